--- a/src/jujubewharf/requests/__init__.py
+++ b/src/jujubewharf/requests/__init__.py
@@ -1,1 +1,1 @@
-"""One request's life: key, claim, attempts, answer, cleanup."""
+"""Request execution: keys, claims, attempts, answers and cleanup."""
--- a/src/jujubewharf/requests/answer.py
+++ b/src/jujubewharf/requests/answer.py
@@ -1,4 +1,4 @@
-"""One answer as it grows: numbered tokens that any number of readers follow."""
+"""Holds the tokens of one answer while it is produced and read."""
 
 from __future__ import annotations
 
@@ -16,20 +16,19 @@
 
 
 class Answer:
-    """Tokens from number 0 on, then one end.
+    """A growing sequence of tokens with one writer and any number of readers.
 
-    One task writes; readers follow from any place. The end of a whole answer
-    carries count and digest, and each reader checks them against what it
-    passed on, so that a gap or a repeat on the way shows as an error and
-    never as a shorter or longer answer.
+    Readers may start at any token index. A finished answer carries a token
+    count and a digest. Each reader compares them with what it passed on, so
+    that a gap or a repeated token is reported as ``ANSWER_BROKEN``.
 
     Args:
-        clock: Time.
+        clock: Source of time and timeouts.
 
     Attributes:
-        texts: Tokens so far.
-        end: How it ended; ``None`` while it runs.
-        first_token_ms: Clock reading of the first token.
+        texts: Tokens added so far.
+        end: How the answer ended; ``None`` while it is running.
+        first_token_ms: Clock reading when the first token was added, in ms.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -45,11 +44,11 @@
 
     @property
     def digest(self) -> str:
-        """Digest of the tokens so far."""
+        """Hex digest of the tokens added so far."""
         return self._digest.hexdigest()
 
     def add(self, texts: Iterable[str]) -> None:
-        """Appends tokens."""
+        """Appends tokens and wakes the readers."""
         if self.first_token_ms is None:
             self.first_token_ms = self._clock.now_ms()
         for text in texts:
@@ -58,16 +57,20 @@
         self._wake()
 
     def finish(self, end: End) -> None:
-        """Ends it; only the first end counts."""
+        """Ends the answer; later calls have no effect."""
         if self.end is None:
             self.end = end
             self._wake()
 
     async def wait_beyond(self, index: int, until_ms: float) -> bool:
-        """Waits for a token at an index, or the end.
+        """Waits until the token at ``index`` exists or the answer has ended.
+
+        Args:
+            index: Token index, from 0.
+            until_ms: Clock reading at which to stop waiting, in ms.
 
         Returns:
-            Whether either came in time.
+            False when the wait timed out.
         """
         while len(self.texts) <= index and self.end is None:
             left_ms = until_ms - self._clock.now_ms()
@@ -84,12 +87,14 @@
     async def follow(
         self, until_ms: float
     ) -> AsyncIterator[model_request.Event]:
-        """Everything from the first token to the end.
+        """Yields all tokens from the first on, then the end of the answer.
 
-        No timeout spans a ``yield``: it would strike in the reader's code.
+        No timeout context spans a ``yield``, because it would cancel code of
+        the reader.
 
         Args:
-            until_ms: When the reader gives up waiting.
+            until_ms: Clock reading at which to stop waiting, in ms. The last
+                event is then a ``DEADLINE_EXCEEDED`` failure.
         """
         is_over = False
 
@@ -98,8 +103,7 @@
             is_over = True
             self._wake()
 
-        # One timer a reader. One around each wait for a token was a tenth of
-        # what an instance spent on relaying.
+        # One timer per reader, because a timer for each token is too expensive.
         alarm = self._clock.call_at_ms(until_ms, strike)
         sent = 0
         digest = xxhash.xxh3_128()
--- a/src/jujubewharf/requests/answers.py
+++ b/src/jujubewharf/requests/answers.py
@@ -1,4 +1,4 @@
-"""All answers of this instance: who runs, who follows, who left."""
+"""Runs the answers of this instance and serves their readers."""
 
 from __future__ import annotations
 
@@ -33,22 +33,23 @@
 
 
 class Answers(mode.Service):
-    """Starts requests, and lets callers and other instances follow them.
+    """Starts requests and lets callers and other instances read their answers.
 
-    The task that writes an answer is not its caller's: so a retry can join
-    it, and a timeout strikes only there.
+    Each answer is written by a task of its own. A retry can therefore join a
+    running answer, and one caller's timeout or disconnect doesn't interrupt the
+    other readers.
 
     Args:
         instance: Name of this instance.
-        runner: Runs requests.
-        homes: Records of keys.
-        claims: Claims of requests that may not be repeated.
-        peers: Messages to other instances.
-        membership: Who is here.
-        clock: Time.
+        runner: Runs requests on the engines.
+        homes: Key records and their home instances.
+        claims: Claims for requests that are not repeatable.
+        peers: Messaging between instances.
+        membership: Instances that are present.
+        clock: Source of time and timeouts.
 
     Attributes:
-        rehoming: Gives key records to new homes.
+        rehoming: Copies key records to new homes.
     """
 
     def __init__(
@@ -89,7 +90,7 @@
 
     @property
     def running(self) -> int:
-        """Answers that are being written here."""
+        """Number of answers that are running or relayed on this instance."""
         return len(self._by_id)
 
     async def answer(
@@ -97,7 +98,7 @@
     ) -> AsyncGenerator[model_request.Event, None]:
         """Answers a request; the last event is ``Finished`` or ``Failed``.
 
-        Closing the iterator early says that the caller is gone.
+        A caller that disconnects closes the iterator early.
         """
         try:
             held = self._join_or_start(request)
@@ -107,7 +108,8 @@
             return
         until_ms = request.arrived_ms + request.deadline_ms
         if held.request is request:
-            # Its own run ends it, and knows best how far it came.
+            # The run enforces this deadline itself and reports whether an
+            # engine ran, so it gets some extra time to do so.
             until_ms += _SLACK_MS
         held.followers += 1
         try:
@@ -118,11 +120,11 @@
             self._reader_left(held)
 
     async def on_start(self) -> None:
-        """Starts the parts."""
+        """Starts the rehoming service."""
         await self.add_runtime_dependency(self.rehoming)
 
     async def on_stop(self) -> None:
-        """Hands answers over, ends what runs, lets releases arrive."""
+        """Hands over answers, cancels running requests, flushes releases."""
         await self._handover.give_all(_HAND_OVER_MS)
         tasks = [held.task for held in self._by_id.values() if held.task]
         for task in tasks:
@@ -133,7 +135,7 @@
     def _join_or_start(
         self, request: model_request.ModelRequest
     ) -> holding.Held:
-        """Finds the key's answer here, or begins one."""
+        """Returns the key's answer on this instance, or starts a new one."""
         key = keys.key_of(request.account, request.key)
         held = self._by_key.get(key) or self._from_kept(key)
         replaces = ""
@@ -163,7 +165,7 @@
         return holding.Held(kept.request, key, answer)
 
     async def _live(self, held: holding.Held) -> None:
-        """A request from its key to its end, written straight down."""
+        """Runs a request from key registration to the end of its answer."""
         request = held.request
         try:
             async with self._until_deadline(request):
@@ -190,7 +192,11 @@
             self._ended(held)
 
     async def _run(self, held: holding.Held) -> relays.Source | None:
-        """Runs a request; returns who took it over, if anybody did."""
+        """Runs a request.
+
+        Returns:
+            The run that took the request over, or ``None``.
+        """
         run = self._runner.run(
             held.request, held.answer, self._ownership.hooks(held)
         )
@@ -219,7 +225,7 @@
             held.lingering = asyncio.create_task(self._linger(held))
 
     async def _linger(self, held: holding.Held) -> None:
-        """Gives a caller that gave a key some time to come back."""
+        """Cancels an answer unless a reader returns within its linger time."""
         try:
             while held.answer.end is None:
                 if held.has_readers:
@@ -251,8 +257,8 @@
         assert end is not None
         if held.is_claimed and _did_not_run(end):
             self._claims.abandon(request.request_id)
-        # A relay's early end says nothing of the run that it followed: kept,
-        # it would hide that run's answer from the next retry.
+        # A relay may end early while the run it follows continues. Keeping such
+        # an end would hide the run's answer from the next retry.
         is_own = held.has_run and held.source is None
         if is_own and not (held.may_run_again and request.is_repeatable):
             self._kept.keep(held.key, request, held.answer)
@@ -299,8 +305,9 @@
         if held is None or held.run_task is None or held.source is not None:
             return
         if held.request.is_repeatable and held.answer.end is None:
-            # This instance was paused or cut off. A caller that still waits
-            # here is served by the other run from now on.
+            # Another instance took the key over while this one was paused or
+            # partitioned. Callers that still wait here get the answer of the
+            # new run.
             held.taken_over = relays.Source(
                 message.by_owner, message.by_request_id
             )
@@ -324,7 +331,7 @@
                     del homes_of[key]
 
     def _own_records(self) -> list[keys.KeyRecord]:
-        """Records of the keys whose answers are here."""
+        """Records of the keys whose answers run or are kept here."""
         own = [
             (held.key, held.request)
             for held in self._by_id.values()
--- a/src/jujubewharf/requests/attempt.py
+++ b/src/jujubewharf/requests/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: slot, prefill, transfer, decode, release."""
+"""Runs one attempt: reservation, prefill, KV transfer, decode, release."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class Dispatch(enum.Enum):
-    """Whether an engine was told to write the answer.
+    """Whether an engine was told to decode the answer.
 
-    Reservations and prefill don't count: they write nothing that a caller
-    or anybody else could see, so they may be repeated for any request.
+    Reservations and prefill don't count. They have no effect outside of the
+    engine, so they may be repeated for any request.
     """
 
     NO = "no"
@@ -40,15 +40,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """What is known of a request over all its attempts.
+    """State of a request that all its attempts share.
 
     Attributes:
-        answer: What the caller has so far.
-        dispatch: Whether any attempt may have begun to write it.
-        is_read: Whether any engine may have been given its prompt to read.
-        attempts: Attempts so far.
-        exclusions: Engines that failed it.
-        lost_engines: Engines that were lost once its answer was begun.
+        answer: Answer of the request.
+        dispatch: Whether any attempt may have started to decode.
+        is_read: Whether any engine may have started a prefill of the prompt.
+        attempts: Number of attempts started.
+        exclusions: Engines excluded after a failure.
+        lost_engines: Engines that were lost after a dispatch.
     """
 
     answer: answers.Answer
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tools:
-    """What every attempt works with."""
+    """Dependencies shared by all attempts."""
 
     instance: str
     fleet: fleets.Fleet
@@ -77,14 +77,15 @@
 
 
 class AttemptRun:
-    """One attempt, written straight down; every exit releases.
+    """One attempt at a request; releases its resources on every exit.
 
     Args:
-        tools: What it works with.
+        tools: Dependencies shared by all attempts.
         request: The request.
-        progress: Shared by all attempts of the request.
-        make_job: Describes the request to routing, as of now.
-        on_dispatch: Told the attempt's id and its engines before decode.
+        progress: State shared by all attempts of the request.
+        make_job: Builds the routing job for the current state of the request.
+        on_dispatch: Called with the attempt id and the names of its engines
+            before decode starts.
     """
 
     def __init__(
@@ -110,15 +111,15 @@
 
     @property
     def attempt_id(self) -> str:
-        """Names the attempt on engines."""
+        """Id under which the engines know the attempt."""
         return self._attempt.attempt_id
 
     async def run(self, choice: jobs.Choice) -> None:
-        """Runs to the last token.
+        """Runs the attempt up to the last token.
 
         Raises:
-            EngineError: An engine failed it; another attempt may help.
-            WharfError: It is given up on.
+            EngineError: An engine failed; another attempt may succeed.
+            WharfError: The request failed and must not be attempted again.
         """
         self._tools.releaser.begin(self.attempt_id)
         try:
@@ -137,7 +138,11 @@
     async def _until_kv(
         self, choice: jobs.Choice, places: contextlib.AsyncExitStack
     ) -> resources.Endpoint:
-        """Brings a decode engine to where it can write."""
+        """Prepares a decode engine: reservation, and prefill and transfer.
+
+        Returns:
+            The engine to decode on.
+        """
         if choice.prefill is None:
             assert choice.decode is not None
             await self._reserve(choice.decode, choice.reserve_at_ms)
@@ -159,7 +164,7 @@
     async def _read_while_waiting(
         self, choice: jobs.Choice, places: contextlib.AsyncExitStack
     ) -> tuple[client.PrefillDone, resources.Endpoint]:
-        """Reads the prompt while the slot is still taken by another."""
+        """Runs the prefill while the reservation waits for a free slot."""
         assert choice.prefill is not None
         assert choice.decode is not None
         reserving = asyncio.create_task(
@@ -222,7 +227,7 @@
     async def _find_slot(
         self, places: contextlib.AsyncExitStack, dies_ms: float
     ) -> resources.Endpoint:
-        """Finds another decode engine while the prefill result lives."""
+        """Reserves another decode engine before the prefill result expires."""
         self._cause = request_counters.WasteCause.NO_DECODE_SLOT
         backoff_ms = 5.0
         try:
@@ -253,7 +258,7 @@
         places: contextlib.AsyncExitStack,
         dies_ms: float,
     ) -> resources.Endpoint:
-        """Moves the KV cache; to another engine when the first can't."""
+        """Transfers the KV cache; on failure, tries other decode engines."""
         for left in reversed(range(_MAX_TRANSFERS)):
             try:
                 await self._import(prefill, decode, done)
@@ -283,8 +288,8 @@
             async with self._clock.timeout_ms(limit_ms):
                 await view.client.import_kv(self._attempt, prefill.address)
         except TimeoutError:
-            # A stalled transfer would hold slot and prefill result for good.
-            # Which end stalls can't be told, so both are left out for a while.
+            # A stalled transfer would hold the slot and the prefill result
+            # indefinitely. Either end may be the cause, so both are excluded.
             self._cause = request_counters.WasteCause.TRANSFER_STALLED
             fault = client.EngineFault.LOST
             source = client.EngineError(fault, prefill.name)
@@ -334,11 +339,11 @@
     def _take(
         self, view: fleets.EngineView, chunk: client.TokenChunk, place: int
     ) -> int:
-        """Passes on what is new, and checks what was replayed.
+        """Adds new tokens to the answer and verifies replayed ones.
 
-        An engine that can't resume writes from the start again. What the
-        caller has already must come out the same, else the two halves are of
-        different answers.
+        An engine without the resume capability starts again at the first token.
+        Tokens that the caller already has must be identical, or the caller
+        would get parts of two different answers.
         """
         if chunk.first_index != place:
             fault = client.EngineFault.LOST
--- a/src/jujubewharf/requests/buckets.py
+++ b/src/jujubewharf/requests/buckets.py
@@ -1,4 +1,4 @@
-"""A token bucket that tells when it has enough again."""
+"""Token bucket for rate limits."""
 
 from __future__ import annotations
 
@@ -9,24 +9,23 @@
 
 @dataclasses.dataclass(slots=True)
 class TokenBucket:
-    """Tokens that are gained at a rate, up to a bound.
+    """Tokens that are added at a fixed rate, up to a burst size.
 
     Attributes:
-        tokens: What it held when it was filled last; less than nothing where
-            more was taken than it had.
-        filled_at_ms: When that was.
+        tokens: Tokens at the last refill. Negative after an overdraft.
+        filled_at_ms: Clock reading of the last refill, in ms.
     """
 
     tokens: float
     filled_at_ms: float
 
     def fill(self, now_ms: float, rate_per_s: float, burst: float) -> None:
-        """Adds what was gained since it was filled last."""
+        """Adds the tokens gained since the last refill."""
         gained = (now_ms - self.filled_at_ms) * rate_per_s / clocks.MS_PER_S
         self.tokens = min(burst, self.tokens + gained)
         self.filled_at_ms = now_ms
 
     def wait_ms(self, rate_per_s: float, tokens: float = 1.0) -> float:
-        """Time until it holds so many tokens, if nobody takes any."""
+        """Time in ms until ``tokens`` are available, if none are taken."""
         missing = max(0.0, tokens - self.tokens)
         return missing / rate_per_s * clocks.MS_PER_S
--- a/src/jujubewharf/requests/claim_records.py
+++ b/src/jujubewharf/requests/claim_records.py
@@ -1,4 +1,4 @@
-"""Claims as they stand on the log, and the fold that says who holds a key."""
+"""Claim records on the log, and the current holder of each key."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
 
     Attributes:
         key: Digest of account and key.
-        body: Digest of the request's body.
-        owner: Instance that may run it if the claim wins.
-        request_id: That run.
-        replaces: Abandoned run that held the key; empty for none.
-        wall_ms: When the key was made, or when it was asked for.
-        is_dated: Whether the key itself tells when it was made.
+        body: Digest of the request body.
+        owner: Instance that may run the request if the claim wins.
+        request_id: Id of the run that the claim is for.
+        replaces: Abandoned run that held the key before; empty for none.
+        wall_ms: Wall-clock time in ms: creation of the key if ``is_dated``,
+            else of the claim.
+        is_dated: Whether the key contains its creation time.
     """
 
     key: bytes
@@ -35,11 +36,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Batch:
-    """What one record of the log holds.
+    """Content of one log record.
 
     Attributes:
-        appended_wall_ms: When it was appended, by the appender's wall clock.
-        claims: In the order in which they count.
+        appended_wall_ms: Wall-clock time of the append at the appending
+            instance, in ms.
+        claims: Claims in the order in which they apply.
     """
 
     appended_wall_ms: float
@@ -47,13 +49,13 @@
 
 
 def encode(batch: Batch) -> bytes:
-    """A batch as bytes for the log."""
+    """Encodes a batch for the log."""
     items = [list(dataclasses.astuple(claim)) for claim in batch.claims]
     return msgpack.packb([_VERSION, batch.appended_wall_ms, items])
 
 
 def decode(payload: bytes) -> Batch:
-    """A batch from the log's bytes; unknown fields are left aside."""
+    """Decodes a batch from the log; unknown fields are ignored."""
     _, wall_ms, items = msgpack.unpackb(payload)[:3]
     count = len(dataclasses.fields(ClaimRecord))
     claims = tuple(ClaimRecord(*item[:count]) for item in items)
@@ -61,14 +63,14 @@
 
 
 class Holders:
-    """Who holds each key, folded from claims in log order.
+    """The claim that holds each key, computed from claims in log order.
 
-    The first claim holds a key. A later one takes it only by naming the very
-    run that holds it as abandoned, so that of two such claims one wins. As
-    every reader folds the same order, all agree, whoever appended.
+    The first claim of a key wins. A later claim replaces it only if it names
+    the holding run as abandoned, so one of several such claims wins. All
+    readers apply the same order and get the same result.
 
     Attributes:
-        undated: Number of held keys that don't tell their age.
+        undated: Number of held keys without a creation time.
     """
 
     def __init__(self) -> None:
@@ -79,7 +81,7 @@
         return len(self._claims)
 
     def fold(self, claim: ClaimRecord) -> None:
-        """Takes the next claim of the log."""
+        """Applies the next claim of the log."""
         held = self._claims.get(claim.key)
         if held is None or held.request_id == claim.replaces:
             self._claims[claim.key] = claim
@@ -87,15 +89,15 @@
             self.undated += (not claim.is_dated) - was_undated
 
     def get(self, key: bytes) -> ClaimRecord | None:
-        """The claim that holds a key."""
+        """Returns the claim that holds a key."""
         return self._claims.get(key)
 
     def older_than(self, wall_ms: float) -> list[ClaimRecord]:
-        """Claims asked for before a time."""
+        """Returns claims with ``wall_ms`` before the given time."""
         return [c for c in self._claims.values() if c.wall_ms < wall_ms]
 
     def drop(self, claims: Sequence[ClaimRecord]) -> None:
-        """Forgets claims whose keys are over age."""
+        """Removes expired claims."""
         for claim in claims:
             if self._claims.pop(claim.key, None) is not None:
                 self.undated -= not claim.is_dated
--- a/src/jujubewharf/requests/claim_shard.py
+++ b/src/jujubewharf/requests/claim_shard.py
@@ -1,9 +1,10 @@
-"""One shard of the claims: a stream of the log and the fold of it.
+"""One shard of the claims: a log stream and the state derived from it.
 
-Whoever appends to the stream knows the fold up to an offset. When the log
-gives its batch that very offset, nobody came in between; when it gives a
-later one, the records between are read and folded first. So the log's order
-alone decides, also when two instances both believe to own the shard.
+A shard appends to its stream and knows the state up to an offset. If the log
+assigns that offset to its batch, no other instance appended in between. If the
+offset is later, the records in between are read and applied first. The order of
+the log alone decides who holds a key, even when two instances both consider
+themselves owner of the shard.
 """
 
 from __future__ import annotations
@@ -28,20 +29,20 @@
 
 
 def stream_of(shard: int) -> str:
-    """The log stream of a shard."""
+    """Returns the log stream of a shard."""
     return f"claims-{shard}"
 
 
 def shard_of(key: bytes) -> int:
-    """The shard of a key."""
+    """Returns the shard of a key."""
     return int.from_bytes(key[:4], "big") % SHARDS
 
 
 class ClaimUnavailableError(Exception):
-    """The log did not confirm the claim; it may still land there.
+    """The log did not confirm the claim; it may still be appended later.
 
     Args:
-        is_new: Whether the log was read to its end meanwhile, and shows no
+        is_new: Whether the log was read to its end after the append and has no
             claim of the key.
     """
 
@@ -51,20 +52,21 @@
 
 
 class KeyTooOldError(Exception):
-    """The key was made before what the claims remember."""
+    """The key is older than the retention period of claims."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Windows:
-    """How long keys are remembered.
+    """Retention periods of keys and claims.
 
     Attributes:
-        dated_ms: Keys that tell their age are refused beyond this age, so
-            their claims may be forgotten after it.
-        undated_ms: Claims of other keys are forgotten after this age.
-        carry_after_ms: Age at which an undated claim is appended anew, well
-            before the log forgets it. Dated ones are over age before that.
-        carry_every_ms: Time between two looks for such claims.
+        dated_ms: Keys with a creation time are refused before this age, and
+            their claims are removed after it.
+        undated_ms: Claims of other keys are removed after this age.
+        carry_after_ms: Age at which a claim without a creation time is appended
+            again, before the log's retention drops it. Claims with a creation
+            time expire before that.
+        carry_every_ms: Interval between checks for such claims.
     """
 
     dated_ms: float = 900_000.0
@@ -80,16 +82,17 @@
 
 
 class ClaimShard:
-    """Claims keys on one stream, many in one append.
+    """Claims keys on one log stream and batches claims into one append.
 
     Args:
-        shard: Its number.
-        platform_log: The platform's log.
-        clock: Time.
-        windows: How long keys are remembered.
+        shard: Number of the shard.
+        platform_log: Log of the platform.
+        clock: Source of time and timeouts.
+        windows: Retention periods.
 
     Attributes:
-        appends: Appends that took effect.
+        appends: Number of appends that the log confirmed.
+        holders: Current holder of each key.
     """
 
     def __init__(
@@ -119,12 +122,13 @@
         """Claims a key.
 
         Returns:
-            The claim that holds the key by the log's order.
+            The claim that holds the key in log order.
 
         Raises:
-            ClaimUnavailableError: That can't be told now.
-            KeyTooOldError: By the clock that also forgets claims; a claimer
-                whose clock is slow can't see it.
+            ClaimUnavailableError: The log did not confirm the claim.
+            KeyTooOldError: The key is too old by this instance's wall clock,
+                which also decides when claims are removed. A claiming instance
+                with a slow clock would not notice.
         """
         loop = asyncio.get_running_loop()
         wanted = _Wanted(claim, loop.create_future())
@@ -134,17 +138,18 @@
         return await wanted.done
 
     async def load(self) -> None:
-        """Reads the stream up to its end.
+        """Reads the stream to its end.
 
         Raises:
-            LogUnavailableError: The log was not reached.
+            LogUnavailableError: The log could not be reached.
         """
         offset = self._next_offset or 0
         while True:
             try:
                 page = await self._log.read(self._stream, offset, limit=_PAGE)
             except log.LogTruncatedError as error:
-                # What is gone is over age, or was carried to a later offset.
+                # Truncated claims have expired or were appended again at a
+                # later offset.
                 offset = error.first_offset
                 continue
             for record in page.records:
@@ -155,11 +160,11 @@
                 return
 
     async def carry(self) -> None:
-        """Appends claims anew before the log forgets them.
+        """Appends claims again before the log's retention drops them.
 
         Raises:
-            LogUnavailableError: The log was not reached.
-            AppendUnknownError: They may be on the log.
+            LogUnavailableError: The log could not be reached.
+            AppendUnknownError: The append may or may not have taken effect.
         """
         await self.load()
         self._forget_over_age()
@@ -197,10 +202,14 @@
                     wanted.done.set_exception(failure)
 
     async def _claim_batch(self, batch: list[_Wanted]) -> bool:
-        """Claims; returns whether what is left unanswered is not on the log.
+        """Claims the keys of a batch.
+
+        Returns:
+            Whether the log was read to its end and has no claim for the entries
+            that are still unanswered.
 
         Raises:
-            LogUnavailableError: The log was not reached.
+            LogUnavailableError: The log could not be reached.
         """
         if self._next_offset is None:
             await self.load()
@@ -214,8 +223,8 @@
         try:
             await self._append([wanted.claim for wanted in left])
         except (log.LogUnavailableError, log.AppendUnknownError):
-            # What the log shows now is certain. A claim that it doesn't show
-            # may still land, so it stays unanswered.
+            # Claims that are on the log now are certain. A claim that isn't may
+            # still be appended later, so it remains unanswered.
             await self.load()
         self._answer_held(left)
         return True
@@ -229,7 +238,7 @@
                 wanted.done.set_result(held)
 
     def _refuse_old(self, batch: list[_Wanted]) -> None:
-        """Refuses keys well before their claims may be forgotten."""
+        """Refuses keys well before their claims may be removed."""
         oldest_ms = self._clock.wall_ms() - self._windows.dated_ms / 2
         for wanted in batch:
             claim = wanted.claim
@@ -238,9 +247,9 @@
                     wanted.done.set_exception(KeyTooOldError())
 
     def _without_excess(self, batch: list[_Wanted]) -> list[_Wanted]:
-        """Leaves out keys without a date beyond the bound.
+        """Drops entries beyond the limit of keys without a creation time.
 
-        To forget an old one for a new one would let the old one run again.
+        Removing an old claim to make room would allow its request to run again.
         """
         room = MAX_UNDATED - self.holders.undated
         kept = []
--- a/src/jujubewharf/requests/claims.py
+++ b/src/jujubewharf/requests/claims.py
@@ -1,8 +1,8 @@
-"""Claims: the right to run a request that may not be repeated.
+"""Claims: the right to run a request that is not repeatable.
 
-A claim is asked of the owner of the key's shard, which gathers claims and
-appends them to the log. The log's order decides who holds a key, never the
-choice of owner, so two owners in a split view cost an append and no more.
+Claims are requested from the owner of the key's shard, which batches them and
+appends them to the log. The log's order decides who holds a key. Two owners of
+one shard in a split view therefore only cost an extra append.
 """
 
 from __future__ import annotations
@@ -40,13 +40,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """Who may run a key.
+    """The run that holds a key.
 
     Attributes:
-        is_won: Whether it is the run that asked.
-        owner: Instance that holds the key.
-        request_id: The run that holds it.
-        body: Digest of that run's body.
+        is_won: Whether the requesting run holds the key.
+        owner: Instance of the run that holds the key.
+        request_id: Id of the run that holds the key.
+        body: Digest of that run's request body.
     """
 
     is_won: bool
@@ -56,7 +56,7 @@
 
 
 def created_wall_ms(key: str) -> float | None:
-    """When a key was made, if it is a UUID of version 7 (RFC 9562)."""
+    """Returns the creation time of a UUID version 7 key (RFC 9562), in ms."""
     try:
         parsed = uuid.UUID(key)
     except ValueError:
@@ -67,15 +67,15 @@
 
 
 class Claims(mode.Service):
-    """Claims keys for this instance, and for others whose shards it owns.
+    """Claims keys for this instance, and for others as owner of shards.
 
     Args:
         instance: Name of this instance.
-        peers: Messages to other instances.
-        membership: Who is here.
-        platform_log: The platform's log.
-        clock: Time.
-        windows: How long keys are remembered.
+        peers: Messaging between instances.
+        membership: Instances that are present.
+        platform_log: Log of the platform.
+        clock: Source of time and timeouts.
+        windows: Retention periods of keys and claims.
     """
 
     def __init__(
@@ -105,20 +105,25 @@
 
     @property
     def appends(self) -> int:
-        """Appends that this instance made for claims."""
+        """Number of log appends that this instance made for claims."""
         return sum(shard.appends for shard in self._shards.values())
 
     def check_age(self, callers_key: str) -> float | None:
-        """Refuses a key that is older than what the claims remember.
+        """Refuses a key that is older than the retention period of claims.
 
-        Its earlier claim may be forgotten, and it would run again.
+        The claim of such a key may have been removed, and its request would run
+        a second time.
+
+        Args:
+            callers_key: Idempotency key as the caller sent it.
 
         Returns:
-            When the key was made, in wall-clock ms, if it tells.
+            Wall-clock creation time of the key in ms, or ``None`` if the key
+            has none.
 
         Raises:
-            WharfError: ``KEY_EXPIRED``, or ``BAD_REQUEST`` for a key from
-                the future, which would never expire.
+            WharfError: ``KEY_EXPIRED``, or ``BAD_REQUEST`` for a creation time
+                in the future, because such a key would not expire in time.
         """
         created_ms = created_wall_ms(callers_key)
         if created_ms is None:
@@ -139,21 +144,22 @@
         *,
         created_ms: float | None = None,
     ) -> Claim:
-        """Claims a key for a run, before its dispatch.
+        """Claims a key for a run before it is dispatched.
 
-        A run that lost may never be dispatched. A run that won and gives up
+        A run that doesn't win must not be dispatched. A run that wins and ends
         before its dispatch calls ``abandon``.
 
         Args:
-            key: See ``keys.key_of``.
-            request_id: The run, unique for all time.
-            body: Digest of the request's body.
-            created_ms: What ``check_age`` returned.
+            key: Digest of account and key, see ``keys.key_of``.
+            request_id: Id of the run; must never be reused.
+            body: Digest of the request body.
+            created_ms: Result of ``check_age``.
 
         Raises:
-            WharfError: ``CLAIM_UNAVAILABLE``; the run did not and may not
-                happen, even if its claim lands on the log later.
-                ``KEY_EXPIRED`` when the shard's owner finds it too old.
+            WharfError: ``CLAIM_UNAVAILABLE``: the run was not and must not be
+                dispatched, even if its claim is appended later.
+                ``KEY_EXPIRED``: the owner of the shard considers the key too
+                old.
         """
         wanted = key_messages.ClaimWanted(
             key,
@@ -171,11 +177,11 @@
             raise
 
     def abandon(self, request_id: str) -> None:
-        """Notes that a run never was and never will be dispatched.
+        """Records that a run was not and will not be dispatched.
 
-        Then a later run of its key may take the claim over. Only the
-        instance that owned the run can say this, so a run whose instance is
-        gone stays unknown.
+        A later run of the key may then replace its claim. Only the instance of
+        the run can state this. If that instance is gone, the outcome of the run
+        remains unknown.
         """
         self._abandoned[request_id] = None
         while len(self._abandoned) > _MAX_ABANDONED:
@@ -199,8 +205,8 @@
             try:
                 held = await self._ask(owner, wanted)
             except network.PeerError:
-                # The next one may claim for the same run again: the fold
-                # takes two claims of one run for one.
+                # The next owner may claim for the same run again. Two claims of
+                # one run count as one.
                 continue
             if held.request_id:
                 return held
@@ -277,7 +283,7 @@
     async def _carry(self) -> None:
         """Keeps owned shards in memory and their claims on the log.
 
-        Claims that are in memory are found also when the log is down.
+        Claims in memory can be looked up while the log is unavailable.
         """
         await self._clock.sleep_ms(_FIRST_CARRY_MS)
         while not self.should_stop:
@@ -300,7 +306,7 @@
     """Another call holds the key.
 
     Args:
-        claim: The claim that holds it.
+        claim: The claim that holds the key.
     """
 
     def __init__(self, claim: Claim) -> None:
@@ -310,7 +316,7 @@
 
 
 class PlainClaims:
-    """Claims of plain calls, whose answers can't be followed elsewhere.
+    """Claims for plain calls, whose answers can't be relayed while running.
 
     Args:
         claims: Claims of this instance.
@@ -327,10 +333,10 @@
         *,
         account: str = "",
     ) -> None:
-        """Takes a key for one call.
+        """Claims a key for one call.
 
         Raises:
-            WharfError: The call must not be sent; ``ClaimLostError`` when
+            WharfError: The call must not be sent. ``ClaimLostError`` when
                 another call with the same body holds the key.
         """
         created_ms = self._claims.check_age(key)
@@ -350,16 +356,16 @@
         raise ClaimLostError(claim)
 
     def abandon(self, request_id: str) -> None:
-        """Notes that a call was not sent and never will be."""
+        """Records that a call was not and will not be sent."""
         self._claims.abandon(request_id)
 
 
 def _unavailable(*, is_new: bool) -> errors.WharfError:
-    """The refusal of a run that did not and will not happen.
+    """Builds the error for a run that was not and will not be dispatched.
 
-    An earlier sending of the key may have run, and its caller would take "did
-    not run" as leave to do it by hand. So that is said without reserve only
-    when the log was read to its end and shows no claim of the key.
+    An earlier run with the same key may have been dispatched, and a caller may
+    act on "did not run" by other means. ``Ran.NO`` is therefore only reported
+    when the log was read to its end and has no claim of the key.
     """
     return errors.WharfError(
         errors.ErrorKind.CLAIM_UNAVAILABLE,
--- a/src/jujubewharf/requests/counters.py
+++ b/src/jujubewharf/requests/counters.py
@@ -1,7 +1,7 @@
 """Counters of requests: refusals, retries, goodput and wasted prefill.
 
-Each event goes to an OpenTelemetry instrument and to a plain counter; the
-experiments and the tests read the plain ones.
+Each event is counted by an OpenTelemetry instrument and by a plain counter.
+Experiments and tests read the plain counters.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class WasteCause(enum.Enum):
-    """Why a prompt that was read was never used."""
+    """Why the result of a prefill was not used."""
 
     CALLER_GONE = "caller_gone"
     DEADLINE = "deadline"
@@ -32,18 +32,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Counts:
-    """Plain totals since the start.
+    """Plain totals since the start of the process.
 
     Attributes:
-        accepted: Requests whose life began here.
-        finished: Requests answered whole.
-        within_targets: Finished requests that met both targets.
-        refused: Requests without a whole answer, by error kind.
+        accepted: Requests accepted.
+        finished: Requests with a complete answer.
+        within_targets: Finished requests that met both latency targets.
+        refused: Requests without a complete answer, by error kind.
         retries: Further attempts, by the fault that caused them.
-        moves: Prefill results given to another decode engine, by cause.
-        wasted_prefill_tokens: Prompt tokens read and never used, by cause.
-        attached: Retries that joined an answer, by where it ran.
-        releases_given_up: Releases that no engine answered in time.
+        moves: Prefill results moved to another decode engine, by cause.
+        wasted_prefill_tokens: Prompt tokens whose prefill was not used, by
+            cause.
+        attached: Retries that joined an existing answer, by place.
+        releases_given_up: Releases that the engine did not confirm in time.
         swept: Attempts freed by the sweep, by reason.
     """
 
@@ -72,7 +73,7 @@
 
 
 class Counters:
-    """Counts events.
+    """Counts events as metrics and as plain totals.
 
     Attributes:
         counts: Plain totals.
@@ -115,12 +116,12 @@
         )
 
     def accepted(self) -> None:
-        """A request's life began."""
+        """Counts an accepted request."""
         self.counts.accepted += 1
         self._accepted.add(1)
 
     def finished(self, *, within_targets: bool) -> None:
-        """A request was answered whole."""
+        """Counts a request with a complete answer."""
         self.counts.finished += 1
         self._finished.add(1)
         if within_targets:
@@ -128,36 +129,36 @@
             self._goodput.add(1)
 
     def refused(self, reason: str) -> None:
-        """A request ended without a whole answer."""
+        """Counts a request without a complete answer."""
         self.counts.refused[reason] += 1
         self._refused.add(1, {"reason": reason})
 
     def retried(self, reason: str) -> None:
-        """A request goes on to another attempt."""
+        """Counts a further attempt at a request."""
         self.counts.retries[reason] += 1
         self._retries.add(1, {"reason": reason})
 
     def moved(self, reason: str) -> None:
-        """A prefill result goes to another decode engine."""
+        """Counts a prefill result moved to another decode engine."""
         self.counts.moves[reason] += 1
         self._moves.add(1, {"reason": reason})
 
     def wasted(self, cause: WasteCause, tokens: int) -> None:
-        """A prompt was read for nothing."""
+        """Counts prompt tokens whose prefill was not used."""
         self.counts.wasted_prefill_tokens[cause.value] += tokens
         self._wasted.add(tokens, {"cause": cause.value})
 
     def attached(self, place: str) -> None:
-        """A retry joined an answer instead of running again."""
+        """Counts a retry that joined an answer instead of running again."""
         self.counts.attached[place] += 1
         self._attached.add(1, {"place": place})
 
     def release_given_up(self) -> None:
-        """An engine never answered a release; the sweep takes over."""
+        """Counts a release that an engine never confirmed."""
         self.counts.releases_given_up += 1
         self._given_up.add(1)
 
     def swept(self, reason: str) -> None:
-        """The sweep freed an attempt's memory."""
+        """Counts an attempt freed by the sweep."""
         self.counts.swept[reason] += 1
         self._swept.add(1, {"reason": reason})
--- a/src/jujubewharf/requests/handover.py
+++ b/src/jujubewharf/requests/handover.py
@@ -1,4 +1,4 @@
-"""Gives finished answers to other instances when this one leaves."""
+"""Hands finished answers over to other instances during a shutdown."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class Handover:
-    """Both sides of a handover.
+    """Sends answers during a shutdown, and accepts them from other instances.
 
-    Without it a retry after its instance's orderly shutdown would run again,
-    or be told "unknown" of a request that has its answer.
+    Without a handover, a retry after an orderly shutdown would run again, or
+    report an unknown outcome although the answer exists.
 
     Args:
         instance: Name of this instance.
-        kept: Answers that are kept here.
-        homes: Records of keys.
-        peers: Messages to other instances.
-        clock: Time.
+        kept: Answers kept on this instance.
+        homes: Key records and their home instances.
+        peers: Messaging between instances.
+        clock: Source of time and timeouts.
     """
 
     def __init__(
@@ -46,10 +46,13 @@
         peers.handle(key_messages.HandOver, self._on_hand_over)
 
     async def give_all(self, timeout_ms: float) -> int:
-        """Gives away what callers may ask for again.
+        """Hands over all finished answers that callers may ask for again.
+
+        Args:
+            timeout_ms: Time limit of the whole handover, in ms.
 
         Returns:
-            Number of answers that were taken over in time.
+            Number of answers that other instances accepted in time.
         """
         turns = asyncio.Semaphore(_AT_ONCE)
         taken: list[bytes] = []
@@ -98,7 +101,7 @@
             message.request_id,
         )
         try:
-            # The same run at another owner: the homes take it for an update.
+            # The run id is unchanged, so the homes treat this as an update.
             await self._homes.register(
                 record, replaces="", keep_ms=kept_answers.KEEP_CLAIMED_MS
             )
@@ -108,7 +111,10 @@
 
 
 def _message(kept: kept_answers.KeptAnswer) -> key_messages.HandOver | None:
-    """What is given away: whole answers to requests with a caller's key."""
+    """Builds the message, or ``None`` if the answer isn't handed over.
+
+    Only complete answers to requests with a caller's key are handed over.
+    """
     request, end = kept.request, kept.end
     if not request.has_callers_key:
         return None
@@ -131,7 +137,7 @@
 def _request(
     message: key_messages.HandOver, now_ms: float
 ) -> model_request.ModelRequest:
-    """The request as far as a kept answer needs it."""
+    """Rebuilds the parts of the request that a kept answer needs."""
     return model_request.ModelRequest(
         request_id=message.request_id,
         key=message.callers_key,
--- a/src/jujubewharf/requests/held.py
+++ b/src/jujubewharf/requests/held.py
@@ -1,4 +1,4 @@
-"""An answer that an instance runs or relays, and who reads it."""
+"""An answer that this instance runs or relays, with its readers."""
 
 from __future__ import annotations
 
@@ -17,25 +17,26 @@
 
 @dataclasses.dataclass(slots=True)
 class Held:
-    """An answer that is running here, or that is relayed from elsewhere.
+    """An answer that runs on this instance or is relayed from another.
 
     Attributes:
-        request: What was asked.
+        request: The request.
         key: Digest of account and key.
         answer: The answer so far.
-        replaces: Failed run of the same key here that this one replaces.
-        task: Writes the answer.
-        run_task: Part of it that speaks to engines.
-        followers: Callers here that read it.
-        pulls: Other instances that read it now.
-        was_pulled: Whether another instance ever read it.
-        left_ms: When the last reader left.
-        source: Where it runs, while relayed.
-        taken_over: Where it runs since another instance took it over.
-        has_run: Whether its own run began here.
-        is_claimed: Whether a claim was asked for.
-        may_have_run: Whether an earlier run of the key may have begun.
-        lingering: Waits for a reader to come back.
+        replaces: Id of the failed run of the same key that this run replaces.
+        task: Task that owns the answer until its end.
+        run_task: Task that runs the request on engines.
+        followers: Number of local callers that read the answer.
+        pulls: Number of pull requests in progress from other instances.
+        was_pulled: Whether another instance ever read the answer.
+        left_ms: Clock reading when the last reader left, in ms.
+        source: Run that the answer is relayed from, while it is.
+        taken_over: Run at the instance that took the request over.
+        has_run: Whether this instance started to run the request.
+        is_claimed: Whether a claim was requested.
+        may_have_run: Whether an earlier run of the key may have been
+            dispatched.
+        lingering: Task that waits for a reader to return.
     """
 
     request: model_request.ModelRequest
@@ -57,17 +58,17 @@
 
     @property
     def body(self) -> bytes:
-        """Digest of the request's body."""
+        """Digest of the request body."""
         return keys.body_of(self.request.body_digest)
 
     @property
     def has_readers(self) -> bool:
-        """Whether anybody reads it now."""
+        """Whether any caller or instance is reading the answer."""
         return bool(self.followers or self.pulls)
 
     @property
     def may_run_again(self) -> bool:
-        """Whether it ended so that a retry of its key is to run anew."""
+        """Whether the answer failed so that a retry of the key may run anew."""
         match self.answer.end:
             case model_request.Failed(ran=ran):
                 return self.request.is_repeatable or ran is errors.Ran.NO
@@ -75,10 +76,10 @@
 
     @property
     def linger_ms(self) -> float:
-        """Time that it goes on without a reader.
+        """How long the answer continues without readers, in ms.
 
-        A caller that gave a key may be about to come back at another
-        instance. Engine memory is held for nobody no longer than this.
+        A caller with a key may be about to retry at another instance. The limit
+        bounds how long engine memory is held without a reader.
         """
         can_be_known = self.request.has_callers_key or self.was_pulled
         if self.source is not None or not can_be_known:
@@ -87,12 +88,12 @@
 
     @property
     def ran_so_far(self) -> errors.Ran:
-        """What may be said when it ends before its own run began."""
+        """What to report if the request fails before it runs here."""
         return errors.Ran.UNKNOWN if self.may_have_run else errors.Ran.NO
 
 
 def failed(error: errors.WharfError) -> model_request.Failed:
-    """An error as the last event of an answer."""
+    """Converts an error into the last event of an answer."""
     return model_request.Failed(
         error.kind,
         error.ran,
--- a/src/jujubewharf/requests/kept.py
+++ b/src/jujubewharf/requests/kept.py
@@ -1,4 +1,4 @@
-"""Answers that have ended, kept for a while for callers that ask again."""
+"""Cache of ended answers for callers that ask again."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeptAnswer:
-    """One ended answer, packed.
+    """One ended answer in packed form.
 
     Attributes:
-        request: What was asked, without its prompt.
-        end: How it ended.
-        packed: Its tokens.
-        expires_ms: Clock reading at which it is forgotten.
+        request: The request without its prompt.
+        end: How the answer ended.
+        packed: Tokens of the answer as msgpack.
+        expires_ms: Clock reading at which the answer expires, in ms.
     """
 
     request: model_request.ModelRequest
@@ -36,20 +36,20 @@
 
     @property
     def size_bytes(self) -> int:
-        """Memory it counts for."""
+        """Memory charged for the answer, in bytes."""
         return len(self.packed) + _OVERHEAD_BYTES
 
     def texts(self) -> tuple[str, ...]:
-        """Its tokens."""
+        """Unpacks the tokens."""
         return tuple(msgpack.unpackb(self.packed))
 
 
 class KeptAnswers:
-    """Bounded in age and bytes; the oldest go first.
+    """Ended answers, limited in age and bytes; the oldest are evicted first.
 
     Args:
-        clock: Time.
-        max_bytes: Bound of memory.
+        clock: Source of time.
+        max_bytes: Memory limit in bytes.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         request: model_request.ModelRequest,
         answer: answers.Answer,
     ) -> None:
-        """Keeps an answer that has ended."""
+        """Adds an answer that has ended."""
         assert answer.end is not None
         packed = msgpack.packb(answer.texts)
         self.keep_packed(key, request, answer.end, packed)
@@ -84,7 +84,7 @@
         end: answers.End,
         packed: bytes,
     ) -> None:
-        """Keeps an answer whose tokens are packed already."""
+        """Adds an answer whose tokens are already packed."""
         keep_ms = KEEP_MS if request.is_repeatable else KEEP_CLAIMED_MS
         kept = KeptAnswer(
             dataclasses.replace(request, prompt=""),
@@ -99,25 +99,25 @@
         self._trim()
 
     def by_id(self, request_id: str) -> KeptAnswer | None:
-        """An answer by its run."""
+        """Returns the answer of a run, unless it has expired."""
         kept = self._by_id.get(request_id)
         if kept is None or kept.expires_ms <= self._clock.now_ms():
             return None
         return kept
 
     def by_key(self, key: bytes) -> KeptAnswer | None:
-        """The latest answer of a key."""
+        """Returns the latest answer of a key."""
         request_id = self._id_of_key.get(key)
         return None if request_id is None else self.by_id(request_id)
 
     def forget_key(self, key: bytes) -> None:
-        """Forgets a key's answer, because it runs again."""
+        """Removes the answer of a key that is about to run again."""
         request_id = self._id_of_key.get(key)
         if request_id is not None:
             self._drop(request_id)
 
     def items(self) -> list[tuple[bytes, KeptAnswer]]:
-        """All that are kept, by key."""
+        """Returns all answers with their keys."""
         return [
             (key, self._by_id[request_id])
             for key, request_id in self._id_of_key.items()
@@ -125,7 +125,7 @@
         ]
 
     def expire(self) -> None:
-        """Drops what is over age."""
+        """Removes expired answers."""
         now_ms = self._clock.now_ms()
         due = [i for i, k in self._by_id.items() if k.expires_ms <= now_ms]
         for request_id in due:
@@ -145,10 +145,10 @@
 
 
 def _told_later(end: answers.End) -> answers.End:
-    """How an end is told to those who ask again.
+    """Returns the end to report to callers that ask again.
 
-    A run that was cancelled because its caller left has an unknown outcome
-    for a caller that is still here.
+    A run that was cancelled because its caller left has an unknown outcome for
+    other callers.
     """
     match end:
         case model_request.Failed(errors.ErrorKind.CANCELLED, ran) if (
--- a/src/jujubewharf/requests/keys.py
+++ b/src/jujubewharf/requests/keys.py
@@ -1,9 +1,9 @@
-"""Idempotency keys: where their records live and what the records say.
+"""Idempotency keys: key records and the home instances that store them.
 
-A key's homes are the two best instances by rendezvous hash, in different
-failure domains where there are two. A home's record is a hint with a bounded
-life: it saves a second run. It is never what makes a run that may not be
-repeated safe; that is the claim (``requests.claims``).
+The homes of a key are the two best instances by rendezvous hashing, in
+different failure domains where possible. A record is a hint with a limited
+lifetime that avoids a second run. It gives no guarantee for requests that are
+not repeatable; claims do (``requests.claims``).
 """
 
 from __future__ import annotations
@@ -32,20 +32,20 @@
 
 
 class HomesUnreachableError(Exception):
-    """Neither home of a key answered."""
+    """No home of a key answered."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyRecord:
-    """Who runs a key.
+    """The run of a key.
 
     Attributes:
         key: Digest of account and key.
-        body: Digest of the request's body.
-        owner: Instance that runs it.
-        request_id: That run.
-        attempt_id: Latest attempt that was dispatched.
-        engines: Engines that hold something for it.
+        body: Digest of the request body.
+        owner: Instance that runs the request.
+        request_id: Id of the run.
+        attempt_id: Latest dispatched attempt; empty for none.
+        engines: Names of the engines that hold resources for that attempt.
     """
 
     key: bytes
@@ -57,11 +57,12 @@
 
 
 class Home(NamedTuple):
-    """One process that keeps a key's record.
+    """A process that stores a key's record.
 
     Attributes:
-        instance: Its name, which a replacement may reuse.
-        incarnation: Tells it from a replacement, whose memory is empty.
+        instance: Name of the instance, which a replacement may reuse.
+        incarnation: Distinguishes the process from a replacement, which starts
+            without records.
     """
 
     instance: str
@@ -75,21 +76,22 @@
 
 
 def key_of(account: str, key: str) -> bytes:
-    """The digest that names a caller's key; accounts never share one.
+    """Returns the digest that identifies a key of an account.
 
-    It is cryptographic, so that no account can aim at another's key.
+    The digest is cryptographic, so that no account can construct a collision
+    with a key of another account.
     """
     data = f"{account}\0{key}".encode()
     return hashlib.sha256(data).digest()[:_KEY_BYTES]
 
 
 def body_of(body_digest: str) -> bytes:
-    """A short digest of a body, to tell a key's misuse."""
+    """Returns a short digest of a body, to detect a key reused for another."""
     return xxhash.xxh3_64_digest(body_digest.encode())
 
 
 def homes_of(key: bytes, members: tuple[views.Member, ...]) -> list[str]:
-    """The one or two homes of a key, best first."""
+    """Returns the one or two homes of a key, best first."""
     domains = {member.instance: member.domain for member in members}
     ranked = hashing.rank(key.hex(), domains)
     if len(ranked) < 2:
@@ -103,17 +105,18 @@
 
 
 class KeyHomes(mode.Service):
-    """This instance as a home of keys, and as one that asks homes.
+    """Stores records as a home of keys, and queries the homes of keys.
 
     Args:
-        peers: Messages to other instances.
-        membership: Who is here.
-        clock: Time.
-        incarnation_of: Number of an instance's process, as far as known.
-        max_records: Most records kept here.
+        peers: Messaging between instances.
+        membership: Instances that are present.
+        clock: Source of time.
+        incarnation_of: Returns the incarnation number of an instance as far as
+            known.
+        max_records: Maximum number of records stored here.
 
     Attributes:
-        evicted: Records dropped before their time because of the bound.
+        evicted: Number of records dropped early because of ``max_records``.
     """
 
     def __init__(
@@ -143,11 +146,11 @@
         return len(self._kept)
 
     def homes(self, key: bytes) -> list[str]:
-        """The homes of a key as this instance sees them now."""
+        """Returns the homes of a key by this instance's current membership."""
         return homes_of(key, self._membership.present())
 
     def places(self, key: bytes) -> list[Home]:
-        """The homes of a key, down to the process."""
+        """Returns the homes of a key with the incarnation of each."""
         return [
             Home(name, self._incarnation_of(name)) for name in self.homes(key)
         ]
@@ -155,13 +158,19 @@
     async def register(
         self, record: KeyRecord, *, replaces: str, keep_ms: float
     ) -> KeyRecord:
-        """Notes a run at the key's homes, unless there is another.
+        """Registers a run at the key's homes unless another run is registered.
 
-        The first home decides and asks the second before it answers, so that
-        a run known to either is found, also by a home that just joined.
+        The first home decides, and asks the second before it answers. A run
+        that is registered at either home is therefore found, even if the other
+        home has just joined.
+
+        Args:
+            record: The run to register.
+            replaces: Run that this one replaces; empty for none.
+            keep_ms: Lifetime of the record in ms.
 
         Returns:
-            The record in force: the given one, or that of the other run.
+            The registered record: the given one or that of another run.
 
         Raises:
             HomesUnreachableError: No home answered.
@@ -176,7 +185,7 @@
         raise HomesUnreachableError
 
     async def look_up(self, key: bytes) -> KeyRecord | None:
-        """A key's record, if a home has one.
+        """Returns the record of a key, or ``None`` if no home has one.
 
         Raises:
             HomesUnreachableError: No home answered.
@@ -193,7 +202,7 @@
     def note_dispatch(
         self, key: bytes, attempt_id: str, engines: tuple[str, ...]
     ) -> None:
-        """Tells the homes what to release should this instance be lost."""
+        """Informs the homes what to release if this instance is lost."""
         message = key_messages.Dispatched(key, attempt_id, engines)
         for home in self.homes(key):
             if home == self._peers.instance:
@@ -204,7 +213,7 @@
     async def copy_to(
         self, home: str, record: KeyRecord, *, keep_ms: float
     ) -> None:
-        """Gives a record to an instance that has just become its home."""
+        """Copies a record to a new home of its key; failures are ignored."""
         message = _register(record, "", keep_ms, is_copy=True)
         try:
             await self._ask(home, message)
@@ -244,7 +253,7 @@
         return _registered(self._get(message.key) or _record(b"", message))
 
     async def _ask_other_home(self, message: key_messages.Register) -> None:
-        """Copies a record to the other home, or adopts what it has."""
+        """Copies a record to the other home, or adopts the one stored there."""
         others = [
             home
             for home in self.homes(message.key)
@@ -254,8 +263,9 @@
             return
         copy = dataclasses.replace(message, is_copy=True)
         try:
-            # Well within the asker's patience: a second home that is silent
-            # must not make the first look silent too.
+            # Must be well below the requester's timeout, so that an
+            # unresponsive second home doesn't make the first one appear
+            # unresponsive.
             answer = await self._ask(others[0], copy, timeout_ms=_COPY_MS)
         except network.PeerError:
             return
@@ -288,7 +298,7 @@
     def _tell_replaced(
         self, known: KeyRecord, message: key_messages.Register
     ) -> None:
-        """Lets an owner that was only paused know that it lost the key."""
+        """Informs an owner that may only be paused that it lost the key."""
         if known.owner not in (self._peers.instance, message.owner):
             told = key_messages.TakenOver(
                 known.request_id, message.owner, message.request_id
--- a/src/jujubewharf/requests/life.py
+++ b/src/jujubewharf/requests/life.py
@@ -1,7 +1,7 @@
-"""One model request, written straight down: place, attempt, try again.
+"""Runs a model request: places it, runs attempts and retries failures.
 
-Every way out of an attempt releases what it holds (see ``attempt``), so an
-engine's memory is never left with a request whose caller or engine is gone.
+Every exit from an attempt releases the resources it holds (see ``attempt``), so
+that no engine memory remains allocated for a request that has ended.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 
 
 class TakenOverError(Exception):
-    """Another instance runs this request now.
+    """Another instance has taken the request over.
 
     Args:
-        owner: That instance.
-        request_id: Its run.
+        owner: The other instance.
+        request_id: Id of the run there.
     """
 
     def __init__(self, owner: str, request_id: str) -> None:
-        super().__init__(f"{owner} runs it as {request_id}")
+        super().__init__(f"request taken over by {owner} as {request_id}")
         self.owner = owner
         self.request_id = request_id
 
@@ -58,14 +58,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hooks:
-    """What the owner of an answer is told or asked during its life.
+    """Callbacks from a running request to the owner of its answer.
 
     Attributes:
-        on_dispatch: Told an attempt and its engines before decode.
-        confirm: Awaited before a further attempt; raises when the request
-            has been taken over by another instance.
-        is_taken_over: Whether a cancel means that another instance runs it.
-        may_have_run: Whether an earlier run of the key may have begun.
+        on_dispatch: Called with the attempt id and the engine names before
+            decode starts.
+        confirm: Awaited before a further attempt; raises ``TakenOverError``
+            when another instance has taken the request over.
+        is_taken_over: Whether a cancellation means that another instance has
+            taken the request over.
+        may_have_run: Whether an earlier run of the key may have been
+            dispatched.
     """
 
     on_dispatch: attempts.OnDispatch = _ignore
@@ -78,14 +81,14 @@
     """Runs model requests on the engines.
 
     Args:
-        instance: Name of this instance; engines learn it as owner.
+        instance: Name of this instance, sent to engines as owner of attempts.
         fleet: Views of the engines.
-        placer: Finds places for requests.
-        clock: Time.
+        placer: Places requests on engines.
+        clock: Source of time and timeouts.
 
     Attributes:
-        counters: Counts what happens to requests.
-        releaser: Gives memory back and knows the living attempts.
+        counters: Counters of requests.
+        releaser: Releases engine resources and tracks running attempts.
     """
 
     def __init__(
@@ -110,7 +113,7 @@
 
     @property
     def counts(self) -> request_counters.Counts:
-        """Plain totals since the start."""
+        """Plain totals since the start of the process."""
         return self.counters.counts
 
     async def run(
@@ -119,10 +122,11 @@
         answer: answers.Answer,
         hooks: Hooks = Hooks(),
     ) -> None:
-        """Answers a request; the answer has an end afterwards.
+        """Runs a request until its answer has ended.
 
         Raises:
-            TakenOverError: ``hooks.confirm`` said so; there is no end yet.
+            TakenOverError: Raised by ``hooks.confirm``; the answer has not
+                ended.
         """
         progress = attempts.Progress(answer)
         if hooks.may_have_run:
@@ -208,7 +212,8 @@
             raise errors.WharfError(errors.ErrorKind.QUARANTINED)
         if progress.attempts >= retries.MAX_ATTEMPTS:
             raise self._given_up(error)
-        # A refusal cost the engines nothing, so it takes no retry budget.
+        # A refusal costs the engine nothing, so it doesn't use the retry
+        # budget.
         was_refused = error.fault in retries.DID_NOTHING
         if not was_refused and not self._budget.take(request.service):
             raise self._given_up(error)
@@ -224,7 +229,11 @@
     async def _wait_for_excluded(
         self, error: errors.WharfError, progress: attempts.Progress
     ) -> None:
-        """Waits when nothing fits only because engines are excluded."""
+        """Waits for exclusions to expire if no other engine fits.
+
+        Raises:
+            WharfError: Waiting does not help.
+        """
         now_ms = self._clock.now_ms()
         lapse_ms = progress.exclusions.next_lapse_ms(now_ms)
         is_none_fitting = error.kind is errors.ErrorKind.NO_FITTING_ENGINE
@@ -258,8 +267,9 @@
         is_dispatched = progress.dispatch is not attempts.Dispatch.NO
         is_asked_again = errors.TABLE[error.kind].retryable
         if is_dispatched and is_asked_again and not request.is_repeatable:
-            # Told "deadline exceeded, retry", a client without a key would
-            # send it anew, and a request that may not be repeated ran twice.
+            # A retryable error would make a client without a key send the
+            # request again, and a request that is not repeatable would run
+            # twice.
             error = errors.WharfError(errors.ErrorKind.OUTCOME_UNKNOWN)
         self.counters.refused(error.kind.value)
         progress.answer.finish(
@@ -290,10 +300,10 @@
 
 
 def ran_of(error: errors.WharfError, progress: attempts.Progress) -> errors.Ran:
-    """What may be said of a failed request: "no" only when it is certain.
+    """Returns whether a failed request ran; ``NO`` only when certain.
 
-    A prompt that was read is work an engine did for the request, though no
-    answer was begun: "no" would be untrue, so it is "unknown".
+    After a prefill an engine has worked for the request even if no decode
+    started, so the result is ``UNKNOWN``.
     """
     match progress.dispatch:
         case attempts.Dispatch.NO if progress.is_read:
--- a/src/jujubewharf/requests/limits.py
+++ b/src/jujubewharf/requests/limits.py
@@ -1,8 +1,8 @@
-"""Limits of accounts and services, and the queue before a service.
+"""Limits of client accounts and services, and the wait queue of a service.
 
-An account's limits are totals of the whole fleet. No instance counts for the
-others, so each enforces its share: the total divided by the instances that
-are present. See ``docs/design/limits.md``.
+The limits of an account apply to the whole fleet. There is no shared counter:
+each instance enforces the total divided by the number of instances that are
+present. See ``docs/design/limits.md``.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from jujubewharf.configuration import resources
 from jujubewharf.requests import buckets
 
-# A balancer spreads one account's requests unevenly; a share has to take a
-# clump of them without refusing an account that is within its total.
+# Load balancers distribute an account's requests unevenly. A share must accept
+# bursts without refusing an account that is within its total.
 BURST_MS = 10_000.0
 MIN_BURST = 8.0
 MIN_IN_FLIGHT = 8
@@ -41,12 +41,12 @@
 
 
 def one_member() -> int:
-    """The member count of an instance that knows of no other."""
+    """Returns 1, for an instance that doesn't know of others."""
     return 1
 
 
 class _AccountShare:
-    """What one account uses at this instance."""
+    """Usage of one account on this instance."""
 
     def __init__(self, burst: float, now_ms: float) -> None:
         self.in_flight = 0
@@ -54,7 +54,7 @@
 
 
 class _ServiceGate:
-    """Requests of one service that run, and those that wait to."""
+    """Running and queued requests of one service."""
 
     def __init__(self) -> None:
         self.in_flight = 0
@@ -64,12 +64,12 @@
         self._turn = 0
 
     def expected_wait_ms(self, service: resources.Service) -> float:
-        """When a request that queued now would run, at the present pace."""
+        """Estimated time in the queue for a new request, in ms."""
         rounds = math.ceil((self.queued + 1) / service.max_in_flight)
         return rounds * self.hold_ms
 
     async def wait(self, priority: int, max_in_flight: int) -> None:
-        """Waits for a place; higher priorities go first."""
+        """Waits for a slot, by priority and then in order of arrival."""
         self._turn += 1
         place: asyncio.Future[None] = asyncio.Future()
         heapq.heappush(self.waiting, (-priority, self._turn, place))
@@ -78,15 +78,16 @@
             await place
         except asyncio.CancelledError:
             if place.done() and not place.cancelled():
-                # The place was handed over in the same turn of the loop as
-                # the caller went away; nobody else would ever pass it on.
+                # The slot was assigned in the same event loop iteration in
+                # which the caller was cancelled. It must be passed on or it is
+                # lost.
                 self.leave(max_in_flight)
             raise
         finally:
             self.queued -= 1
 
     def leave(self, max_in_flight: int) -> None:
-        """Frees a place and hands it on."""
+        """Frees a slot and assigns free slots to queued requests."""
         self.in_flight -= 1
         while self.waiting and self.in_flight < max_in_flight:
             _, _, place = heapq.heappop(self.waiting)
@@ -95,20 +96,21 @@
                 place.set_result(None)
 
     def note_hold(self, held_ms: float) -> None:
-        """Learns how long requests hold their place."""
+        """Updates the moving average of how long requests hold a slot."""
         self.hold_ms += _HOLD_WEIGHT * (held_ms - self.hold_ms)
 
 
 class Limits:
-    """The limits of one kind of service at this instance.
+    """Limits of one kind of service on this instance.
 
-    Model and plain services have one each, so that a till never waits for a
-    report: neither a place in flight nor an account's rate is shared.
+    Model and plain services have separate limits. They share neither slots nor
+    an account's rate, so that plain calls never wait for model requests.
 
     Args:
-        clock: Time.
-        account_of: Finds an account by name; ``None`` has no limits.
-        member_count: Instances that share an account's requests.
+        clock: Source of time and timeouts.
+        account_of: Looks up an account by name; ``None`` means no limits.
+        member_count: Returns the number of instances among which an account's
+            limits are divided.
     """
 
     def __init__(
@@ -127,24 +129,24 @@
 
     @property
     def accounts_held(self) -> int:
-        """Accounts whose use is kept here."""
+        """Number of accounts whose usage is tracked."""
         return len(self._shares)
 
     def in_flight(self, service: str) -> int:
-        """Requests of a service that run here now."""
+        """Number of running requests of a service."""
         gate = self._gates.get(service)
         return gate.in_flight if gate else 0
 
     def queued(self, service: str) -> int:
-        """Requests of a service that wait for a place here now."""
+        """Number of queued requests of a service."""
         gate = self._gates.get(service)
         return gate.queued if gate else 0
 
     def check(self, account_name: str) -> None:
-        """Refuses an account that is over its limits, and takes nothing.
+        """Refuses an account that exceeds its limits, without using them.
 
-        The edge asks before it reads a body, so that an overload costs it
-        no more than the headers.
+        Called before the body is read, so that an overload costs no more than
+        reading the headers.
 
         Raises:
             WharfError: ``RATE_LIMITED`` or ``TOO_MANY_IN_FLIGHT``.
@@ -162,11 +164,17 @@
         deadline_at_ms: float,
         priority: int = 0,
     ) -> AsyncIterator[None]:
-        """Admits a request for the block; it may queue before.
+        """Admits a request for the duration of the block, after queueing.
+
+        Args:
+            account_name: Client account of the caller.
+            service: Service to call.
+            deadline_at_ms: Clock reading of the request's deadline, in ms.
+            priority: Higher priorities leave the queue first.
 
         Raises:
-            WharfError: ``RATE_LIMITED``, ``TOO_MANY_IN_FLIGHT``,
-                ``QUEUE_FULL`` or ``DEADLINE_UNREACHABLE``; nothing ran.
+            WharfError: ``RATE_LIMITED``, ``TOO_MANY_IN_FLIGHT``, ``QUEUE_FULL``
+                or ``DEADLINE_UNREACHABLE``. The request did not run.
         """
         share = self._take_share(account_name)
         try:
@@ -241,7 +249,7 @@
         return share
 
     def _forget_idle(self) -> None:
-        """Bounds the shares held: one that is full again may be forgotten."""
+        """Drops shares whose token bucket is full again."""
         if len(self._shares) < self._sweep_at:
             return
         for name in list(self._shares):
--- a/src/jujubewharf/requests/model_request.py
+++ b/src/jujubewharf/requests/model_request.py
@@ -1,4 +1,4 @@
-"""A checked model request and the numbered events that answer it."""
+"""A validated model request and the events of its answer."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 def mint_id(instance: str) -> str:
-    """A request id that names the instance which minted it."""
+    """Creates a request id that contains the name of the instance."""
     return f"{instance}~{uuid.uuid4().hex}"
 
 
 def minted_by(key: str) -> str | None:
-    """The instance that minted a key; ``None`` for a caller's own key.
+    """Returns the instance that minted a key; ``None`` for a caller's own key.
 
-    A minted key is known to nobody before its answer begins, so only its
-    minter ever runs it: that needs no record and no claim anywhere.
+    A minted key is not known to others before its answer begins, and only the
+    instance that minted it runs it. It therefore needs no record or claim.
     """
     match = _MINTED.fullmatch(key)
     return match["instance"] if match else None
@@ -29,21 +29,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelRequest:
-    """A request that passed the border's checks.
+    """A validated model request.
 
     Attributes:
-        request_id: Minted by the instance that accepted it.
-        key: The caller's idempotency key, or the request id.
-        body_digest: Digest of the body, to tell a key's misuse.
-        account: Name of the caller's account.
-        service: Service asked for.
+        request_id: Id minted by the instance that accepted the request.
+        key: Idempotency key of the caller, or the request id.
+        body_digest: Digest of the body, to detect a key reused for another.
+        account: Name of the client account.
+        service: Requested service.
         prompt: Prompt text.
-        max_tokens: Longest answer.
-        arrived_ms: Clock reading at arrival.
-        deadline_ms: Time after arrival at which it is given up on.
-        priority: Higher goes first.
-        is_repeatable: Whether it may be dispatched more than once.
-        resume_from: Tokens of the answer that the caller has already.
+        max_tokens: Maximum number of tokens of the answer.
+        arrived_ms: Clock reading at arrival, in ms.
+        deadline_ms: Time limit in ms, counted from arrival.
+        priority: Higher priorities go first.
+        is_repeatable: Whether the request may be dispatched more than once.
+        resume_from: Number of tokens of the answer that the caller already has.
     """
 
     request_id: str
@@ -61,13 +61,18 @@
 
     @property
     def has_callers_key(self) -> bool:
-        """Whether the key came with the request."""
+        """Whether the caller sent an idempotency key."""
         return self.key != self.request_id
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tokens:
-    """Some tokens of the answer; ``first_index`` numbers them from 0."""
+    """Consecutive tokens of an answer.
+
+    Attributes:
+        first_index: Index of the first token, from 0.
+        texts: Texts of the tokens.
+    """
 
     first_index: int
     texts: tuple[str, ...]
@@ -75,12 +80,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finished:
-    """The answer is whole.
+    """The answer is complete.
 
     Attributes:
-        count: Tokens it has.
+        count: Number of tokens.
         digest: Digest of all token texts in order.
-        attempt_id: Attempt that wrote the end of it.
+        attempt_id: Attempt that produced the last token.
     """
 
     count: int
@@ -90,13 +95,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """There is no whole answer.
+    """The answer is missing or incomplete.
 
     Attributes:
-        kind: Row of the error table.
-        ran: Whether any engine was given the request.
-        detail: What was wrong this time.
-        retry_after_ms: When the caller should come back, if it helps.
+        kind: Entry of the error table.
+        ran: Whether an engine may have worked on the request.
+        detail: Details of this failure.
+        retry_after_ms: Time in ms after which to retry; ``None`` if unknown or
+            of no use.
     """
 
     kind: errors.ErrorKind
--- a/src/jujubewharf/requests/ownership.py
+++ b/src/jujubewharf/requests/ownership.py
@@ -1,4 +1,4 @@
-"""Decides which instance runs a request: its key, its claim, takeovers."""
+"""Decides which instance runs a request, by key, claim and takeover."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class Ownership:
-    """Finds a key's run, follows it, or lets this instance run it.
+    """Finds and follows an existing run of a key, or lets this instance run it.
 
     Args:
         instance: Name of this instance.
-        homes: Records of keys.
-        claims: Claims of requests that may not be repeated.
-        relay: Follows answers elsewhere.
-        releaser: Frees what a lost run holds.
-        counters: Counts joined answers.
+        homes: Key records and their home instances.
+        claims: Claims for requests that are not repeatable.
+        relay: Follows answers of other instances.
+        releaser: Releases the resources of lost runs.
+        counters: Counters of requests.
 
     Attributes:
-        homes_of: Homes that were given a key's record.
+        homes_of: Homes that have each key's record.
     """
 
     def __init__(
@@ -47,18 +47,19 @@
         self._counters = counters
 
     async def acquire(self, held: holding.Held) -> bool:
-        """Finds out whether this instance is to run the request.
+        """Determines whether this instance runs the request.
 
         Returns:
             False when the answer was relayed to its end instead.
 
         Raises:
-            WharfError: It is refused.
+            WharfError: The request is refused.
         """
         is_mine = await self._acquire(held)
         if is_mine and held.request.resume_from > 0:
-            # The caller holds the beginning of an answer that is gone; a new
-            # run may write another, and the two halves would not fit.
+            # The caller has the first tokens of an answer that no longer
+            # exists. A new run may produce different tokens, which must not be
+            # combined.
             detail = "Ask again for the answer from its start."
             raise errors.WharfError(errors.ErrorKind.KEY_EXPIRED, detail)
         return is_mine
@@ -80,9 +81,8 @@
         """Follows another run of the key.
 
         Returns:
-            Whether that run is over without an answer, so that this request
-            may go on by itself. For one that may not be repeated that only
-            means to go on to its claim.
+            Whether that run ended without an answer, so that this request may
+            proceed. A request that is not repeatable proceeds to its claim.
         """
         result = await self._follow(held, source)
         if result.ending is relays.Ending.DONE:
@@ -97,7 +97,7 @@
         return True
 
     def hooks(self, held: holding.Held) -> life.Hooks:
-        """What the run of a request tells and asks."""
+        """Builds the callbacks for the run of a request."""
         if not held.request.has_callers_key:
             return life.Hooks(may_have_run=held.may_have_run)
 
@@ -105,8 +105,8 @@
             self._homes.note_dispatch(held.key, attempt_id, engines)
 
         async def confirm() -> None:
-            # What may not be repeated is nobody else's once it is claimed,
-            # whatever the hints at the key's homes say.
+            # A claimed request can't be taken over, whatever the records at the
+            # key's homes contain.
             if held.request.is_repeatable:
                 await self._confirm(held)
 
@@ -125,7 +125,7 @@
         if not await self.join(held, source):
             return False
         if not held.request.is_repeatable:
-            # Only the minter may run it, and it no longer knows it.
+            # Only the minting instance may run it, and has no record of it.
             raise errors.WharfError(errors.ErrorKind.KEY_EXPIRED)
         return True
 
@@ -142,8 +142,8 @@
                     mine, replaces=replaces, keep_ms=keep_ms
                 )
             except keys.HomesUnreachableError:
-                # Cut off from both homes, a domain goes on serving; what may
-                # not be repeated is still decided by its claim.
+                # A failure domain that is cut off from both homes continues to
+                # serve. Requests that are not repeatable still need a claim.
                 return True
             self.homes_of[held.key] = self._homes.places(held.key)
             if record.request_id == request.request_id:
@@ -204,10 +204,10 @@
                 held.source = None
 
     async def _confirm(self, held: holding.Held) -> None:
-        """Checks that no other instance took over, after a lost attempt.
+        """Checks for a takeover by another instance after a lost attempt.
 
-        An instance that was paused finds its streams broken; it must not
-        begin a second run of what another has taken over meanwhile.
+        An instance that was paused finds its streams broken. It must not start
+        another attempt if the request was taken over in the meantime.
         """
         try:
             record = await self._homes.look_up(held.key)
--- a/src/jujubewharf/requests/plain.py
+++ b/src/jujubewharf/requests/plain.py
@@ -1,8 +1,8 @@
-"""One call of a plain service: choose an endpoint, call it, retry or tell.
+"""Runs calls of plain services: endpoint choice, retries and errors.
 
-A call that may not be repeated is sent at most once. A retry follows only
-when nothing was sent, or when the call may be repeated and its body is still
-at hand; and never once the answer has begun.
+A call that is not repeatable is sent at most once. A retry requires that
+nothing was sent, or that the call is repeatable and its body is still buffered.
+There is no retry once the reply has begun.
 """
 
 from __future__ import annotations
@@ -38,21 +38,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlainRequest:
-    """A plain call that passed the border's checks.
+    """A validated plain call.
 
     Attributes:
-        request_id: Minted by the instance that accepted it.
-        service: Service asked for.
+        request_id: Id minted by the instance that accepted the call.
+        service: Requested service.
         method: HTTP method.
-        path_query: Path and query below the service's prefix.
-        arrived_ms: Clock reading at arrival.
-        deadline_ms: Time after arrival at which it is given up on.
+        path_query: Path and query relative to the service's prefix.
+        arrived_ms: Clock reading at arrival, in ms.
+        deadline_ms: Time limit in ms, counted from arrival.
         headers: End-to-end headers.
-        body: The body as it arrives; ``None`` without one.
-        account: Name of the caller's account.
-        key: The caller's idempotency key, if it gave one.
-        priority: Higher leaves the queue first.
-        is_repeatable: Whether it may be sent more than once.
+        body: Body stream; ``None`` without a body.
+        account: Name of the client account.
+        key: Idempotency key of the caller; ``None`` without one.
+        priority: Higher priorities leave the queue first.
+        is_repeatable: Whether the call may be sent more than once.
     """
 
     request_id: str
@@ -70,12 +70,12 @@
 
     @property
     def deadline_at_ms(self) -> float:
-        """Clock reading at which it is given up on."""
+        """Clock reading of the deadline, in ms."""
         return self.arrived_ms + self.deadline_ms
 
 
 class Claims(Protocol):
-    """Decides over the whole fleet who may send a call with a key."""
+    """Decides across the fleet which call with a key may be sent."""
 
     async def claim(
         self,
@@ -85,7 +85,7 @@
         *,
         account: str = "",
     ) -> None:
-        """Takes the key for good.
+        """Claims the key for one call.
 
         Raises:
             WharfError: The call must not be sent.
@@ -93,13 +93,13 @@
         ...
 
     def abandon(self, request_id: str) -> None:
-        """Gives the key back: the call was not sent and never will be."""
+        """Records that the call was not and will not be sent."""
         ...
 
 
 @dataclasses.dataclass(slots=True)
 class _Progress:
-    """What became of a call so far."""
+    """State of a call over all its attempts."""
 
     attempts: int = 0
     is_claimed: bool = False
@@ -111,14 +111,14 @@
     """Runs plain calls.
 
     Args:
-        endpoints: Calls endpoints.
-        chooser: Knows the endpoints and picks one.
-        clock: Time.
+        endpoints: Client for endpoints.
+        chooser: Chooses an endpoint for each attempt.
+        clock: Source of time and timeouts.
         claims: See the attribute.
 
     Attributes:
-        claims: Guards keyed calls that may not be repeated; ``None`` refuses
-            no key, for an instance that runs alone.
+        claims: Claims for calls with a key that are not repeatable; ``None``
+            for an instance that runs alone and checks no keys.
     """
 
     def __init__(
@@ -143,7 +143,7 @@
         """Calls an endpoint; the reply's body is read inside the block.
 
         Raises:
-            WharfError: There is no answer, or it broke off in the block.
+            WharfError: The call failed before the reply or during its body.
         """
         progress = _Progress()
         watch = goodput.Stopwatch(
@@ -168,13 +168,13 @@
             watch.ended(failure.kind.value)
             raise failure from error
         except BaseException:
-            # The caller went away, or its connection broke.
+            # The caller disconnected.
             watch.ended(errors.ErrorKind.CANCELLED.value)
             raise
         finally:
             if progress.is_claimed and not progress.may_have_run:
-                # Else the caller, told that it did not run, would be refused
-                # when it sends the call again with its key.
+                # The caller is told that the call did not run, so its key must
+                # be usable again.
                 assert self.claims is not None
                 self.claims.abandon(request.request_id)
         watch.finished()
--- a/src/jujubewharf/requests/plain_body.py
+++ b/src/jujubewharf/requests/plain_body.py
@@ -1,4 +1,4 @@
-"""A request body that can be read again while it is small."""
+"""A request body that can be sent again while it is small."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 
 class ReplayableBody:
-    """Keeps the start of a body as it goes out.
+    """Buffers the start of a body while it is sent.
 
     Args:
-        source: The body as it arrives; ``None`` without one.
-        max_kept_bytes: Bytes kept for a retry.
+        source: Body stream; ``None`` without a body.
+        max_kept_bytes: Number of bytes buffered for a retry.
 
     Attributes:
-        failure: Why the caller's own sending failed, if it did; whoever reads
-            the body may not pass such an error on as it was.
+        failure: Error raised by the caller's body stream, if any. It needs
+            translation before it is reported to the caller, since it doesn't
+            include whether the call ran.
     """
 
     def __init__(
@@ -36,24 +37,24 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether ``read`` can still give the body from its start."""
+        """Whether ``read`` can still return the body from its start."""
         return not self._is_spilled
 
     async def peek(self) -> bytes:
-        """The body's start, all of it when it is small."""
+        """Returns the start of the body, or all of it if it is small."""
         if self._source is None:
             return b""
         while self._kept_bytes < self._max_kept_bytes:
             chunk = await anext(self._source, None)
             if chunk is None:
                 break
-            # Kept even where it reaches over the bound: it is not sent yet.
+            # Buffered even beyond the limit, since it has not been sent yet.
             self._kept.append(chunk)
             self._kept_bytes += len(chunk)
         return b"".join(self._kept)
 
     def read(self) -> AsyncIterator[bytes] | None:
-        """The body from its start; asked for once an attempt."""
+        """Returns the body from its start; called once per attempt."""
         return None if self._source is None else self._read()
 
     async def _read(self) -> AsyncIterator[bytes]:
--- a/src/jujubewharf/requests/plain_endpoints.py
+++ b/src/jujubewharf/requests/plain_endpoints.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint of a plain call."""
+"""Chooses endpoints for plain calls."""
 
 from __future__ import annotations
 
@@ -21,24 +21,23 @@
 
 
 def nobody(endpoint: str) -> bool:
-    """Stands in where nothing is known of endpoints."""
+    """Returns False; used when no endpoint states are available."""
     return False
 
 
 class Chooser:
-    """The plain endpoints and this instance's calls to them.
+    """Tracks plain endpoints and this instance's calls to them.
 
-    The endpoint with the fewest calls in flight is taken, those of the own
-    domain first: a slow endpoint keeps its calls longer and so gets fewer,
-    without any load report.
+    Chooses the endpoint with the fewest calls in flight and prefers those in
+    the own failure domain. Slow endpoints hold calls longer and so receive
+    fewer, without load reports.
 
     Args:
         domain: Failure domain of this instance.
-        clock: Time.
-        is_leaving: Tells of an endpoint that it gets no new work.
-        is_limited: Tells of an endpoint that it is in need, and takes a few
-            requests. Of those that are equally busy it comes last: the others
-            serve callers as well, and nobody has to be asked for a permit.
+        clock: Source of time.
+        is_leaving: Whether an endpoint gets no new work.
+        is_limited: Whether an endpoint takes only a few requests. Among
+            endpoints with equal load, limited ones are chosen last.
     """
 
     def __init__(
@@ -60,7 +59,7 @@
         self._turn = 0
 
     def on_configuration(self, state: states.State) -> None:
-        """Takes over the plain endpoints of a configuration."""
+        """Replaces the endpoints by those of a configuration."""
         endpoints: list[resources.Endpoint] = []
         for entry in state.of_kind(resources.Kind.ENDPOINT):
             assert isinstance(entry.resource, resources.Endpoint)
@@ -68,7 +67,7 @@
         self.take_over(endpoints)
 
     def take_over(self, endpoints: Iterable[resources.Endpoint]) -> None:
-        """Knows the plain ones of these endpoints from now on, and no other."""
+        """Replaces the endpoints; only those with the plain role are used."""
         self._by_service = {}
         names: set[str] = set()
         for endpoint in endpoints:
@@ -83,10 +82,9 @@
     def choose(
         self, service: str, *, excluded: frozenset[str] = frozenset()
     ) -> resources.Endpoint | None:
-        """The best endpoint, or ``None``.
+        """Returns the best endpoint, or ``None``.
 
-        A suspect one is taken where no other is left: suspicion may be wrong,
-        and a refusal helps nobody.
+        An endpoint that failed recently is only chosen if no other is left.
         """
         usable = self._usable(service, excluded)
         trusted = [e for e in usable if not self._is_suspect(e.name)]
@@ -100,16 +98,16 @@
         return best
 
     def has_any(self, service: str, *, excluded: frozenset[str]) -> bool:
-        """Whether ``choose`` would find one."""
+        """Whether ``choose`` would return an endpoint."""
         return bool(self._usable(service, excluded))
 
     def may_get_work(self, endpoint: str) -> bool:
-        """Whether an endpoint may be sent work at this moment."""
+        """Whether an endpoint currently accepts new work."""
         return not self._is_leaving(endpoint)
 
     @contextlib.contextmanager
     def counted(self, endpoint: resources.Endpoint) -> Iterator[None]:
-        """Counts a call to an endpoint for the block."""
+        """Counts a call to an endpoint for the duration of the block."""
         self._outstanding[endpoint.name] += 1
         try:
             yield
@@ -119,7 +117,7 @@
                 del self._outstanding[endpoint.name]
 
     def failed(self, endpoint: str) -> None:
-        """Learns that a call found nobody or was lost."""
+        """Marks an endpoint as suspect after a failed call."""
         until_ms = self._clock.now_ms() + _SUSPECT_MS
         self._suspect_until_ms[endpoint] = until_ms
 
--- a/src/jujubewharf/requests/plain_replies.py
+++ b/src/jujubewharf/requests/plain_replies.py
@@ -1,9 +1,9 @@
-"""Replies to plain calls that may not be repeated, kept for a retry.
+"""Keeps replies of plain calls that are not repeatable, for retries.
 
-A till whose connection breaks sends its sale again with the same key. The
-call is not sent a second time; the retry gets the reply of the first, from
-whichever instance has it. For that the call is not its caller's task: it goes
-on when the caller leaves, which holds no engine memory.
+A client whose connection breaks retries with the same key. The call is not sent
+a second time. The retry gets the reply of the first call from the instance that
+has it. The call therefore runs in a task of its own and continues when its
+caller disconnects, which holds no engine memory.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class _Recording:
-    """A reply as it arrives, which readers follow from its start."""
+    """A reply that is recorded while readers follow it from its start."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -70,7 +70,11 @@
             raise self.failure
 
     async def add(self, chunk: bytes) -> None:
-        """Takes a part in; a large reply waits for its reader."""
+        """Adds a chunk; waits for readers if the reply is large.
+
+        Raises:
+            WharfError: The reply exceeds the limit and has no readers.
+        """
         self.chunks.append(chunk)
         self.size_bytes += len(chunk)
         self.wake()
@@ -80,7 +84,7 @@
             await self.changed()
 
     async def body(self) -> AsyncIterator[bytes]:
-        """The reply's body; raises when it breaks off."""
+        """Yields the body; raises the failure if the reply ends early."""
         place = 0
         while True:
             while place < len(self.chunks):
@@ -104,13 +108,13 @@
 
 
 class PlainReplies:
-    """Runs plain calls and keeps what a retry may ask for.
+    """Runs plain calls and keeps replies that a retry may ask for.
 
     Args:
         instance: Name of this instance.
         runner: Runs plain calls.
-        peers: Messages to other instances.
-        clock: Time.
+        peers: Messaging between instances.
+        clock: Source of time and timeouts.
     """
 
     def __init__(
@@ -135,7 +139,7 @@
     async def run(
         self, request: plain.PlainRequest
     ) -> AsyncIterator[endpoint_client.PlainReply]:
-        """Calls an endpoint, or replays; see ``plain.PlainRunner.run``."""
+        """Calls an endpoint or replays a reply; see ``PlainRunner.run``."""
         if request.is_repeatable or request.key is None:
             async with self._runner.run(request) as reply:
                 yield reply
@@ -192,10 +196,10 @@
     async def _find(
         self, request: plain.PlainRequest, lost: claims.ClaimLostError
     ) -> endpoint_client.PlainReply:
-        """The reply of the call that holds the key.
+        """Returns the reply of the call that holds the key.
 
         Raises:
-            ClaimLostError: It can't be had.
+            ClaimLostError: The reply is not available.
         """
         message = key_messages.PullReply(lost.request_id, _WAIT_MS)
         failures = 0
@@ -252,7 +256,7 @@
         )
 
     def _forget_old(self) -> None:
-        """Keeps what is kept within its bounds, the newest first."""
+        """Evicts expired replies, and the oldest beyond the memory limit."""
         now_ms = self._clock.now_ms()
         ended = [
             (request_id, recording)
--- a/src/jujubewharf/requests/rehoming.py
+++ b/src/jujubewharf/requests/rehoming.py
@@ -1,4 +1,4 @@
-"""Gives the records of this instance's keys to new homes."""
+"""Copies the records of this instance's keys to new homes."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class Rehoming(mode.Service):
-    """Acts whenever the membership changes or a process is replaced.
+    """Copies records when the membership or an incarnation changes.
 
-    The owner of an answer knows its record best, so a home that is lost is
-    made good from here and homes need not copy among themselves.
+    The owner of an answer has the most recent record, so it replaces lost
+    homes. The homes don't copy records among themselves.
 
     Args:
-        homes: Records of keys.
-        homes_of: Homes that were given a key's record; kept up to date.
-        own_records: Records of what runs or is kept here.
-        membership: Who is here.
-        clock: Time.
+        homes: Key records and their home instances.
+        homes_of: Homes that have each key's record; updated here.
+        own_records: Returns the records of answers that run or are kept here.
+        membership: Instances that are present.
+        clock: Source of time.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         membership.listen(self.wake)
 
     def wake(self) -> None:
-        """Says that a home may have changed."""
+        """Signals that the homes of keys may have changed."""
         self._changed.set()
 
     @mode.Service.task
--- a/src/jujubewharf/requests/relay.py
+++ b/src/jujubewharf/requests/relay.py
@@ -1,4 +1,4 @@
-"""Follows an answer that another instance runs."""
+"""Relays answers that other instances run."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 _RETRY_MS = 300.0
 _MAX_FAILURES = 3
 
-# A run that ended like this left no answer, and its caller is still here.
+# Failures after which a request that still has a caller may run again.
 _CUT_SHORT = frozenset(
     {errors.ErrorKind.CANCELLED, errors.ErrorKind.SHUTTING_DOWN}
 )
@@ -29,7 +29,7 @@
 
 
 class Ending(enum.Enum):
-    """How following ended."""
+    """Outcome of following a run."""
 
     DONE = "done"
     NOT_THERE = "not_there"
@@ -39,11 +39,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """How following ended.
+    """Outcome of following a run, with its failure.
 
     Attributes:
-        ending: Only ``DONE`` gave the answer an end.
-        failure: The run's failure when ``FAILED``.
+        ending: The outcome. The local answer has ended only if ``DONE``.
+        failure: Failure of the run if ``FAILED``.
     """
 
     ending: Ending
@@ -52,7 +52,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Source:
-    """A run at an instance."""
+    """A run and the instance that owns it.
+
+    Attributes:
+        owner: Name of the instance.
+        request_id: Id of the run.
+    """
 
     owner: str
     request_id: str
@@ -62,10 +67,10 @@
     """Pulls answers from other instances.
 
     Args:
-        peers: Messages to other instances.
-        membership: Who is suspected.
-        clock: Time.
-        ask_self: Answers a pull at this very instance.
+        peers: Messaging between instances.
+        membership: Provides the suspected instances.
+        clock: Source of time.
+        ask_self: Handles pulls whose source is this instance.
     """
 
     def __init__(
@@ -88,20 +93,20 @@
         body: bytes,
         answer: answers.Answer,
     ) -> Result:
-        """Passes a run's tokens on to an answer, until its end.
+        """Adds the tokens of a run to an answer until the run ends.
 
-        Tokens that the answer has already are compared and left out.
+        Tokens that the answer already has are compared and skipped.
 
         Args:
-            source: The run to follow.
-            own: The request that follows it; two that followed one another
-                would wait for ever.
+            source: Run to follow.
+            own: Run on whose behalf it is followed. Detects two runs that
+                follow each other, which would wait forever.
             key: Digest of account and key.
-            body: Digest of the request's body.
-            answer: Where the tokens go.
+            body: Digest of the request body.
+            answer: Answer to add tokens to.
 
         Raises:
-            WharfError: The answer is broken, or the body is another.
+            WharfError: ``ANSWER_BROKEN`` or ``KEY_CONFLICT``.
         """
         index = 0
         is_first = True
@@ -159,7 +164,7 @@
 def _take(
     answer: answers.Answer, index: int, pulled: key_messages.Pulled
 ) -> int:
-    """Appends what is new; a hole or another text breaks the answer."""
+    """Appends new tokens; raises on a gap or on tokens that differ."""
     texts = list(pulled.texts)
     known = answer.texts[index : index + len(texts)]
     is_broken = pulled.first_index != index or texts[: len(known)] != known
--- a/src/jujubewharf/requests/releases.py
+++ b/src/jujubewharf/requests/releases.py
@@ -1,4 +1,4 @@
-"""Gives engine memory back, and knows which attempts are alive here."""
+"""Releases engine resources and tracks the running attempts."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 def mark_of(attempt_id: str) -> bytes:
-    """Eight bytes that stand for an attempt where sweeps ask owners.
+    """Returns an 8-byte digest that identifies an attempt in sweep messages.
 
-    Should two attempts ever share a mark, one is kept for longer; none that
-    is needed can be freed by it.
+    After a collision, an attempt is kept for longer. An attempt that is needed
+    is never freed.
     """
     return xxhash.xxh3_64_digest(attempt_id.encode())
 
 
 def marks_in(marks: bytes) -> list[bytes]:
-    """The single marks of a run of marks."""
+    """Splits concatenated marks."""
     return [
         marks[start : start + MARK_BYTES]
         for start in range(0, len(marks), MARK_BYTES)
@@ -39,18 +39,18 @@
 
 
 class Releaser:
-    """Releases attempts, again and again until the engine has answered.
+    """Releases attempts and retries until the engine confirms.
 
-    A release whose answer is lost may not have arrived; without the repeat
-    the engine holds a slot for nobody. Repeats end after ``GIVE_UP_MS``,
-    because an engine that is gone for longer has lost its memory, or is cut
-    off, and then the sweep in its own domain frees it.
+    A release without a response may not have arrived, and the engine would hold
+    a slot that is never used. Retries end after ``GIVE_UP_MS``: an engine that
+    is unreachable for longer was restarted or is cut off, and the sweep in its
+    own failure domain frees it.
 
     Args:
         fleet: Views of the engines.
-        clock: Time.
-        counters: Counts what was given up.
-        rng: Jitter.
+        clock: Source of time and timeouts.
+        counters: Counts releases that were given up.
+        rng: Random numbers for jitter.
     """
 
     def __init__(
@@ -69,19 +69,19 @@
         self._logger = structlog.get_logger()
 
     def begin(self, attempt_id: str) -> None:
-        """An attempt begins; called before any engine hears of it.
+        """Adds an attempt; must be called before any engine knows of it.
 
-        The sweep takes "not needed" as leave to free, so the order matters:
-        no engine may hold an attempt that is not yet needed here.
+        The sweep frees attempts that are not needed. An engine must therefore
+        never hold an attempt that is not yet in this set.
         """
         self._needed.add(mark_of(attempt_id))
 
     def end(self, attempt_id: str) -> None:
-        """An attempt ended; what it holds anywhere may be freed."""
+        """Removes an attempt; its resources may be freed anywhere."""
         self._needed.discard(mark_of(attempt_id))
 
     def not_needed(self, marks: bytes) -> bytes:
-        """Those attempts that no request here needs, and never will."""
+        """Returns the marks of attempts that no request here needs any more."""
         return b"".join(
             mark for mark in marks_in(marks) if mark not in self._needed
         )
@@ -93,14 +93,14 @@
         task.add_done_callback(self._tasks.discard)
 
     def release_by_names(self, attempt_id: str, names: tuple[str, ...]) -> None:
-        """Releases an attempt of a lost instance at engines named by it."""
+        """Releases an attempt of a lost instance at the named engines."""
         for name in names:
             view = self._fleet.view(name)
             if view is not None:
                 self.release(attempt_id, view.endpoint)
 
     async def flush(self, timeout_ms: float) -> None:
-        """Waits a while for releases under way, for a shutdown."""
+        """Waits up to ``timeout_ms`` for pending releases, on shutdown."""
         if self._tasks:
             seconds = timeout_ms / clocks.MS_PER_S
             await asyncio.wait(list(self._tasks), timeout=seconds)
--- a/src/jujubewharf/requests/retries.py
+++ b/src/jujubewharf/requests/retries.py
@@ -1,4 +1,4 @@
-"""When a request may be tried again: a budget, a backoff, a rule for faults."""
+"""Retry budget, backoff and exclusions for failed attempts."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from jujubewharf.engines import client
 
 MAX_ATTEMPTS = 24
-# When a caller may come back where nothing tells how soon that helps: engines
-# that failed and claims that can't be made mostly take a second or two.
+# Default retry-after where no better estimate is available. Failed engines and
+# unavailable claims mostly recover within a second or two.
 COME_BACK_MS = 1_000.0
-# Engines that one request may lose while they write its answer. It may be what
-# they crash of, and each takes with it all that it runs.
+# Maximum number of engines that a request may lose during decode. The request
+# itself may crash them, and each crash ends all requests of the engine.
 MAX_LOST_ENGINES = 3
 _FIRST_DELAY_MS = 20.0
 _LONGEST_DELAY_MS = 1_000.0
@@ -20,7 +20,8 @@
 _EXCLUDED_MS = 1_000.0
 _FULL_EXCLUDED_MS = 100.0
 
-# The engine's own word that it did nothing, or no connection to it at all.
+# Faults after which the engine did no work: it refused, or it could not be
+# reached.
 DID_NOTHING = frozenset(
     {
         client.EngineFault.UNREACHABLE,
@@ -38,25 +39,25 @@
 
 
 class RetryBudget:
-    """Retries in proportion to requests, for each service.
+    """Limits retries to a share of the requests of each service.
 
-    Without it a sick pool gets each request many times over, and the retries
-    keep it sick. Every request adds ``retry_ratio`` of a retry, up to a small
-    stock, and a retry takes one.
+    Without a limit, retries multiply the load on a pool that is failing and
+    keep it from recovering. Every request adds ``retry_ratio`` tokens up to a
+    fixed burst size, and a retry takes one token.
     """
 
     def __init__(self) -> None:
         self._left: dict[str, float] = {}
 
     def accepted(self, service: resources.Service) -> None:
-        """A request of the service came."""
+        """Adds the share of a retry for one request of a service."""
         left = self._left.get(service.name, _BURST_RETRIES)
         self._left[service.name] = min(
             _BURST_RETRIES, left + service.retry_ratio
         )
 
     def take(self, service: resources.Service) -> bool:
-        """Takes one retry, if there is one."""
+        """Takes one retry from the budget, if available."""
         left = self._left.get(service.name, _BURST_RETRIES)
         if left < 1.0:
             return False
@@ -65,12 +66,12 @@
 
 
 class Backoff:
-    """Doubling delays with full jitter.
+    """Exponential backoff with jitter.
 
     Args:
-        rng: Seeded random numbers, so that a run can be repeated.
-        first_ms: Longest first delay.
-        longest_ms: Longest delay.
+        rng: Random numbers; seeded for reproducible runs.
+        first_ms: Maximum of the first delay in ms.
+        longest_ms: Maximum of all delays in ms.
     """
 
     def __init__(
@@ -85,24 +86,24 @@
         self._longest_ms = longest_ms
 
     def next_ms(self) -> float:
-        """The next delay; never none, so that time passes between tries."""
+        """Returns the next delay in ms, at least half of its maximum."""
         delay_ms = self._ceiling_ms * (0.5 + 0.5 * self._rng.random())
         self._ceiling_ms = min(self._longest_ms, self._ceiling_ms * 2)
         return delay_ms
 
 
 class Exclusions:
-    """Engines that failed a request, for a while.
+    """Engines that a request avoids for a while after a failure.
 
-    They lapse, because in a pool of one engine a request would otherwise be
-    refused for good over one refusal of a full engine.
+    Exclusions expire, because a request to a pool with a single engine would
+    otherwise fail for good after one refusal.
     """
 
     def __init__(self) -> None:
         self._until_ms: dict[str, float] = {}
 
     def add(self, error: client.EngineError, now_ms: float) -> None:
-        """Excludes the engine that an error names."""
+        """Excludes the engine of an error."""
         if not error.engine:
             return
         is_full = error.fault is client.EngineFault.REFUSED_FULL
@@ -110,7 +111,7 @@
         self._until_ms[error.engine] = now_ms + for_ms
 
     def at(self, now_ms: float) -> frozenset[str]:
-        """Engines excluded now."""
+        """Returns the engines that are excluded at a time."""
         return frozenset(
             name
             for name, until_ms in self._until_ms.items()
@@ -118,7 +119,7 @@
         )
 
     def next_lapse_ms(self, now_ms: float) -> float | None:
-        """When the next exclusion lapses; ``None`` when there is none."""
+        """Returns when the next exclusion expires; ``None`` without any."""
         return min(
             (until for until in self._until_ms.values() if until > now_ms),
             default=None,
--- a/src/jujubewharf/requests/sweep.py
+++ b/src/jujubewharf/requests/sweep.py
@@ -1,12 +1,13 @@
-"""Frees engine memory that is held for nobody.
-
-Each engine is swept by one instance of its own domain, chosen by rendezvous
-hash. The sweep compares what the engine holds with what owners say they
-need. An owner adds an attempt to its list before any engine hears of it, and
-never uses an attempt's id twice, so its "not needed" is final. An owner that
-is silent is given time, asked again by way of other instances, and only an
-attempt that went unclaimed twice is freed: that fences an owner that was
-only paused, which finds its attempt gone and learns who took its key over.
+"""Frees engine memory that no request needs.
+
+Each engine is swept by one instance of its own failure domain, chosen by
+rendezvous hashing. The sweep compares the attempts that the engine holds with
+those that their owners need. An owner registers an attempt before any engine
+knows of it and never reuses an attempt id, so its reply "not needed" is final.
+An unresponsive owner is asked again, also through other instances. Its attempt
+is freed only after a timeout and at least two checks. This fences an owner that
+was only paused: it finds its attempt gone and looks up whether another instance
+has taken the key over.
 """
 
 from __future__ import annotations
@@ -42,11 +43,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Unclaimed:
-    """An attempt whose owner is silent.
+    """An attempt whose owner doesn't respond.
 
     Attributes:
-        since_ms: When it was first found so.
-        sightings: Times it was found so.
+        since_ms: Clock reading of the first check without a response, in ms.
+        sightings: Number of checks without a response.
     """
 
     since_ms: float
@@ -54,17 +55,17 @@
 
 
 class Sweep(mode.Service):
-    """Sweeps the engines that fall to this instance.
+    """Sweeps the engines that are assigned to this instance.
 
     Args:
         instance: Name of this instance.
-        current: The configuration in force.
-        fleet: How to speak to them.
-        releaser: Knows which attempts are alive here.
-        peers: Messages to other instances.
-        membership: Who is here.
-        clock: Time.
-        counters: Counts what was freed.
+        current: Returns the active configuration.
+        fleet: Views of the engines.
+        releaser: Tracks the running attempts of this instance.
+        peers: Messaging between instances.
+        membership: Instances that are present.
+        clock: Source of time.
+        counters: Counts freed attempts.
     """
 
     def __init__(
@@ -113,7 +114,7 @@
     def _is_mine(self, endpoint: resources.Endpoint) -> bool:
         """Whether this instance sweeps the engine.
 
-        An engine whose domain has no instance left falls to any other.
+        An engine whose failure domain has no instance is assigned to any other.
         """
         present = self._membership.present()
         near = [m.instance for m in present if m.domain == endpoint.domain]
@@ -158,7 +159,7 @@
     async def _not_needed(
         self, owner: str, marks: bytes
     ) -> frozenset[bytes] | None:
-        """Attempts the owner needs no more; ``None`` if it can't be asked."""
+        """Returns attempts the owner doesn't need; ``None`` if unknown."""
         if owner == self._instance:
             found = self._releaser.not_needed(marks)
             return frozenset(releases.marks_in(found))
@@ -170,7 +171,7 @@
         return None
 
     def _relays(self, owner: str) -> list[str]:
-        """Instances that may reach an owner that this one doesn't."""
+        """Returns instances that may reach an owner that this one can't."""
         others = [
             m.instance
             for m in self._membership.present()
@@ -227,7 +228,7 @@
         if message.owner == self._instance:
             found = self._releaser.not_needed(message.marks)
             return key_messages.NotNeeded(found)
-        # Asks the owner for somebody who doesn't reach it.
+        # Forwards the question for an instance that can't reach the owner.
         answer = await self._ask(message.owner, message)
         if answer is None:
             return key_messages.NotNeeded(b"", is_owners_word=False)
--- a/tests/requests/deployments.py
+++ b/tests/requests/deployments.py
@@ -1,4 +1,4 @@
-"""A small deployment on the bench, for tests of requests."""
+"""A small deployment on the test bench for tests of requests."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
     """A policy that takes the first engine of a list that is not excluded.
 
     Args:
-        decoders: Names, best first.
-        prefillers: Names, best first; empty lets decoders read.
-        reserve_after_ms: How long after the prefill the slot is taken.
+        decoders: Names of decode engines in order of preference.
+        prefillers: Names of prefill engines in order of preference; empty for
+            prefill on the decode engines.
+        reserve_after_ms: Clock reading at which the slot is reserved.
         looks_later: Whether the decode engine is chosen after the prefill.
     """
 
@@ -58,15 +59,17 @@
 
 
 class Deployment:
-    """Engines ``p1..`` read, ``d1..`` write; instances are given by domain.
+    """Prefill engines ``p1..``, decode engines ``d1..``, and instances.
 
     Args:
-        instances: Domain of each instance, by name.
+        instances: Failure domain of each instance, by name.
         prefillers: Number of prefill engines.
         decoders: Number of decode engines.
-        policy: Policy of every instance; ``None`` for the product's own.
+        policy: Policy of every instance; ``None`` for the default one.
         service: Fields of the service.
         specs: Fields of an engine's spec, by engine name.
+        seed: Seed of the bench.
+        windows: Retention periods of claims; ``None`` for the default.
     """
 
     def __init__(
@@ -160,7 +163,7 @@
         )
 
     async def ask(self, request, name="e1"):
-        """All events of an answer."""
+        """Returns all events of an answer."""
         events = self.bench.instances[name].answer(request)
         return [event async for event in events]
 
@@ -171,7 +174,7 @@
         )
 
     async def held(self) -> list[str]:
-        """Attempts that live engines hold memory for."""
+        """Returns the attempts for which running engines hold memory."""
         return [
             f"{engine.name}:{item.attempt.attempt_id}"
             for engine in self.bench.engines.values()
@@ -199,16 +202,16 @@
 
 
 def is_whole(events, tokens=20, words=400) -> bool:
-    """One answer, without gap or repeat, with its end."""
+    """Whether the answer is complete, without gap or repeat."""
     finished = isinstance(events[-1], model_request.Finished)
     return finished and text_of(events) == expected(tokens, words)
 
 
 def kind_of(end):
-    """The kind of a failure; ``None`` for an answer."""
+    """Returns the kind of a failure; ``None`` for an answer."""
     return getattr(end, "kind", None)
 
 
 def ran_of(end):
-    """What was said of a failure; ``None`` for an answer."""
+    """Returns the ``ran`` field of a failure; ``None`` for an answer."""
     return getattr(end, "ran", None)
--- a/tests/requests/test_answers.py
+++ b/tests/requests/test_answers.py
@@ -1,4 +1,4 @@
-"""Keys across instances: retries join, take over, or are told the truth."""
+"""Idempotency keys across instances: retries join or take over."""
 
 from __future__ import annotations
 
@@ -29,15 +29,14 @@
 
 
 async def ask_quietly(d, request, name):
-    """Asks as a caller that puts up with its instance's death."""
+    """Asks, and ignores the loss of the instance."""
     with contextlib.suppress(processes.InstanceLostError):
         return await d.ask(request, name)
     return []
 
 
 def test_a_retry_elsewhere_joins_the_running_answer():
-    # The caller's connection to e1 breaks and its retry lands on e2 while
-    # the answer is being written. It gets the whole answer of the one run.
+    # A retry at another instance must not start a second run.
     async def story(d):
         first = asyncio.ensure_future(d.ask(d.request(key="k"), "e1"))
         await d.clock.sleep_ms(300)
@@ -62,8 +61,7 @@
 
 
 def test_two_at_once_at_two_instances_run_once():
-    # Both instances hear the key first in the same moment. The key's first
-    # home puts one before the other.
+    # Simultaneous requests with one key must not both run.
     async def story(d):
         both = await asyncio.gather(
             d.ask(d.request(key="k"), "e1"), d.ask(d.request(key="k"), "e2")
@@ -98,8 +96,8 @@
 
 
 def test_a_dead_owners_answer_is_taken_over_and_its_memory_freed():
-    # e1 dies while it writes. The retry at e2 finds the record, finds e1
-    # gone, releases e1's attempt at its engines and runs the request itself.
+    # A retry after the owner's death must run, and must release the lost
+    # attempt.
     async def story(d):
         request = d.request(tokens=900, key="k", deadline_ms=90_000)
         asyncio.ensure_future(ask_quietly(d, request, "e1"))
@@ -117,8 +115,8 @@
 
 
 def test_a_retry_that_had_joined_goes_on_where_the_owner_died():
-    # The retry at e2 has passed on tokens of e1's run when e1 dies. e2 goes
-    # on after the last of them; the caller sees no gap and no repeat.
+    # After the owner's death a relayed answer must continue without a gap or a
+    # repeat.
     async def story(d):
         asyncio.ensure_future(
             ask_quietly(d, d.request(tokens=200, key="k"), "e1")
@@ -135,9 +133,8 @@
 
 
 def test_a_paused_owner_finds_its_run_taken_over():
-    # e1 is paused; its caller gives up and retries at e2, which takes over.
-    # When e1 is back it is told so, gives its engine memory up and serves a
-    # caller that still waits there from e2's run.
+    # An owner that resumes after a takeover must release its attempt and relay
+    # the answer of the new run.
     async def story(d):
         request = d.request(tokens=400, key="k", deadline_ms=60_000)
         first = asyncio.ensure_future(d.ask(request, "e1"))
@@ -158,8 +155,7 @@
 
 
 def test_a_minted_key_is_followed_to_its_minter_and_costs_no_record():
-    # A request without a key gets one that names its instance. The retry at
-    # e2 with that key goes straight there; no home was ever told.
+    # A retry with a minted key goes to the minting instance, without a record.
     async def story(d):
         minted = model_request.mint_id("e1")
         request = model_request.dataclasses.replace(
@@ -197,8 +193,7 @@
 
 
 def test_records_follow_when_their_home_is_lost():
-    # Both homes of the key's record are replaced one after the other while
-    # e1 writes; e1 gives the record to each new home, and a retry joins.
+    # Records must be copied to new homes, so that a retry still joins.
     async def story(d):
         key = next(
             f"k{number}"
@@ -243,8 +238,7 @@
 
 @pytest.mark.parametrize("is_repeatable", [True, False])
 def test_a_finished_answer_outlives_its_instances_shutdown(is_repeatable):
-    # e1 answers and is shut down in order. The answer goes to a home of its
-    # key, and the retry gets it from there instead of a second run.
+    # A retry after an orderly shutdown must not run the request again.
     async def story(d):
         request = d.request(key="k", is_repeatable=is_repeatable)
         await d.ask(request, "e1")
@@ -259,8 +253,7 @@
 
 
 def test_a_silent_second_home_delays_a_request_little():
-    # The second home of the key is paused and not yet suspected. The first
-    # waits a moment for it and answers; the request is not held up for long.
+    # A paused second home that isn't suspected yet must not delay requests.
     async def story(d):
         key = next(
             f"k{number}"
@@ -284,8 +277,7 @@
 
 
 def test_a_joined_answer_keeps_the_retrys_own_deadline():
-    # The first sending has long to run; the retry has little time left and
-    # is told so at its deadline, not when the other run ends.
+    # A retry that joins must end at its own deadline, not at the first one's.
     async def story(d):
         long = d.request(tokens=400, key="k", deadline_ms=60_000)
         asyncio.ensure_future(d.ask(long, "e1"))
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -1,4 +1,4 @@
-"""Requests that may not be repeated: one dispatch over the whole fleet."""
+"""Requests that are not repeatable: one dispatch across the fleet."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 
 
 def test_a_dead_owner_is_told_as_unknown_and_never_run_again():
-    # e1 claims, dispatches and dies. Nobody can know how far it came, so no
-    # retry runs and none is told "did not run".
+    # After the owner's death the outcome is unknown: no retry may run, and none
+    # may report "did not run".
     async def story(d):
         asyncio.ensure_future(ask_quietly(d, once(d), "e1"))
         await d.clock.sleep_ms(400)
@@ -58,10 +58,8 @@
 
 
 def test_without_the_log_nothing_is_dispatched_and_it_is_said_at_once():
-    # The log is down: the claim can't be made, so the request is refused
-    # within a moment and told when to come back. Whether an earlier sending
-    # ran can't be looked up, so only this one is said not to have run. After
-    # the outage it runs.
+    # Without the log a request must be refused quickly, without a dispatch. An
+    # earlier request with the key may have run, so ``ran`` is unknown.
     async def story(d):
         d.bench.log.is_down = True
         before_ms = d.clock.now_ms()
@@ -93,8 +91,7 @@
 
 
 def test_a_claim_whose_answer_was_lost_is_found_on_the_log():
-    # The append takes effect, its answer is lost. Reading the log resolves
-    # it, so the request runs, once.
+    # A claim whose append was not confirmed must be found by reading the log.
     async def story(d):
         d.bench.log.lose_answers = 1
         return await d.ask(once(d), "e1"), d.dispatches()
@@ -105,7 +102,7 @@
 
 
 class _LateLog:
-    """A log whose next append is given no answer and lands later."""
+    """A log whose next append is not confirmed and takes effect later."""
 
     def __init__(self, shared, clock, late_ms):
         self.shared = shared
@@ -132,9 +129,8 @@
 
 
 def test_a_claim_that_lands_late_never_runs_and_holds_nobody_up():
-    # e1's claim gets no answer and is not on the log yet: e1 gives it up and
-    # says "did not run". Then it lands. The caller's retry finds the key
-    # held by a run that e1 says it abandoned, takes it over, and runs once.
+    # A claim that is appended after its run was abandoned must not block the
+    # key.
     async def story(d):
         first = once(d)
         key = keys.key_of("", "k")
@@ -155,8 +151,7 @@
 
 
 def test_two_owners_of_one_shard_agree_by_the_logs_order():
-    # In a split view both e1 and e2 believe to own the key's shard and claim
-    # it for runs of their own. The log puts one first; both read that.
+    # Two owners of a shard in a split view must agree on one winner.
     async def story(d):
         key = keys.key_of("", "k")
         claims = []
@@ -172,9 +167,8 @@
 
 
 def test_a_domain_cut_from_the_log_refuses_and_the_others_run():
-    # Domain a is cut off from the log and the others. Its instance refuses
-    # what must be claimed. It runs nothing, but can't know whether the key ran
-    # elsewhere, and says so.
+    # An instance without the log must refuse, and can't report "did not run",
+    # because the key may have run elsewhere.
     async def story(d):
         d.bench.cut_domain("a")
         await d.clock.sleep_ms(6_000)
@@ -193,8 +187,8 @@
 
 
 def test_a_paused_claimer_still_dispatches_once():
-    # e1 is paused between its claim and its dispatch, for longer than any
-    # patience. The retry at e2 doesn't run; e1 runs when it is back.
+    # A retry must not run while the claiming instance is paused before its
+    # dispatch.
     async def story(d):
         first = asyncio.ensure_future(d.ask(once(d, deadline_ms=60_000), "e1"))
         await d.clock.sleep_ms(30)
@@ -212,8 +206,7 @@
 
 
 def test_a_failure_before_dispatch_gives_the_key_back():
-    # No engine fits; the request did not run, and says so. When one fits
-    # again the retry runs, although the key was claimed before.
+    # A request that was refused before its dispatch must release its claim.
     async def story(d):
         policies = [d.core(name)._placer for name in THREE]
         kept = policies[0]._policy
@@ -239,10 +232,8 @@
 
 @pytest.mark.parametrize("clock", ["right", "slow"])
 def test_a_dated_key_that_is_too_old_never_runs_again(clock):
-    # The log has forgotten the key's claim and the owner its answer. The key
-    # itself tells its age, so it is refused instead of run a second time. An
-    # instance whose clock is slow takes it for fresh; the shard's owner,
-    # whose clock also decides when to forget, does not.
+    # A key whose claim was dropped must be refused by its own creation time,
+    # even if the asked instance has a slow clock.
     async def story(d):
         key = uuid7(d.clock.wall_ms())
         first = await d.ask(once(d, key), "e1")
@@ -266,9 +257,7 @@
 
 
 def test_an_undated_key_is_carried_beyond_the_logs_retention():
-    # The log keeps records for 25 s; after 60 s the claim is still known,
-    # also to instances that have just started, because the shard's owner
-    # appended it anew in time.
+    # Claims must be appended again before the log's retention drops them.
     async def story(d):
         await d.ask(once(d), "e1")
         await d.clock.sleep_ms(60_000)
@@ -309,8 +298,7 @@
 
 @pytest.mark.parametrize("count", [300])
 def test_claims_share_appends(count):
-    # Many claims at once: a shard appends them together, so the log sees a
-    # bounded number of appends a second whatever the load.
+    # Concurrent claims must be batched, to limit the number of appends.
     async def story(d):
         claims = [
             d.core(f"e{i % 3 + 1}").claims.claim(
--- a/tests/requests/test_crashing_requests.py
+++ b/tests/requests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that crashes engines, on the product's own engine protocol."""
+"""A request that crashes the engines it runs on."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def _crash_what_runs(d, crashed: set[str]) -> None:
-    """Ends each decode engine soon after it has begun to write an answer."""
+    """Ends each decode engine soon after it starts to decode an answer."""
     while True:
         for number in range(1, _DECODERS + 1):
             name = f"d{number}"
@@ -25,7 +25,7 @@
 
 
 def test_one_request_crashes_three_engines_at_most():
-    """Its attempts go from one engine to the next, and each crashes."""
+    """A request that crashes engines must not be retried without limit."""
 
     async def main():
         d = await deployments.Deployment(decoders=_DECODERS).start()
--- a/tests/requests/test_life.py
+++ b/tests/requests/test_life.py
@@ -1,4 +1,4 @@
-"""A request's life at one instance, under faults of its engines."""
+"""Requests on one instance while engines fail."""
 
 from __future__ import annotations
 
@@ -34,9 +34,7 @@
 
 
 def test_a_refused_prefill_result_moves_to_another_decode_engine():
-    # The slot is taken only while the prompt is read, and d1 turns out full
-    # when the result is ready. The result goes to d2 before it dies; the
-    # caller sees a whole answer and no prompt is read twice.
+    # A refused reservation must not lose the prefill result.
     async def story(d):
         await _fill(d.engine("d1"))
         d.policy.reserve_after_ms = d.clock.now_ms() + 60
@@ -66,8 +64,8 @@
 
 
 def test_a_result_without_any_slot_is_counted_as_waste():
-    # All decode memory is taken until the result has died. It is wasted
-    # with its cause, and the request goes on by reading anew.
+    # A prefill result that expires without a slot must be counted as wasted,
+    # and the request must run the prefill again.
     async def story(d):
         await _fill(d.engine("d1"))
         request = d.request()
@@ -84,8 +82,7 @@
 
 
 def test_a_stalled_transfer_is_given_up_and_done_elsewhere():
-    # p1's link stalls. The import is given up after a bound, d1's slot is
-    # freed, and the request reads at p2 and is answered whole.
+    # A stalled transfer must time out, free its slot and move elsewhere.
     async def story(d):
         d.engine("p1").link.is_stalled = True
         events = await d.ask(d.request())
@@ -107,8 +104,7 @@
 
 @pytest.mark.parametrize("specs", [{}, {"d2": NO_RESUME}])
 def test_an_engines_death_leaves_no_gap_and_no_repeat(specs):
-    # d1 dies after some tokens. d2 goes on after them, or writes all anew
-    # when it can't resume; the caller sees each token once.
+    # The caller must get each token once, whether or not d2 can resume.
     async def story(d):
         task = asyncio.ensure_future(d.ask(d.request()))
         await d.clock.sleep_ms(400)
@@ -124,8 +120,7 @@
 
 
 def test_a_replay_that_differs_is_a_broken_answer():
-    # d2 can't resume and writes another answer than d1 began. To splice the
-    # two would give the caller a verdict that no engine ever wrote.
+    # Parts of two different answers must not be combined.
     async def story(d):
         task = asyncio.ensure_future(d.ask(d.request()))
         await d.clock.sleep_ms(400)
@@ -151,8 +146,7 @@
 
 @pytest.mark.parametrize("gone_after_ms", [0, 1, 30, 81, 100, 300, 700])
 def test_memory_is_free_at_once_when_the_caller_leaves(gone_after_ms):
-    # The caller hangs up while waiting, reading, transferring or writing;
-    # whatever was held anywhere is released without waiting for a timer.
+    # A disconnect in any phase must release all resources without a timer.
     async def story(d):
         events = d.bench.instances["e1"].answer(d.request())
 
@@ -174,8 +168,7 @@
 
 
 def test_an_unanswered_release_is_repeated():
-    # The engine doesn't hear the first releases. Without a repeat the slot
-    # would stay taken for a caller that has long gone.
+    # A release that was lost must be repeated, or the slot stays allocated.
     async def story(d):
         engine = d.engine("d1")
         release, calls = engine.release, []
@@ -201,8 +194,7 @@
 
 
 def test_retries_stop_when_their_budget_is_used_up():
-    # Every engine loses every answer. The requests fail with a clear kind
-    # and the pool gets no more than the budget's share of further attempts.
+    # Retries must not exceed the budget while every engine fails.
     async def story(d):
         for name in ("d1", "d2"):
             d.engine(name).lose_answers["decode"] = 10_000
@@ -219,7 +211,7 @@
         ),
         story,
     )
-    # Once both engines have failed often enough, nothing is sent at all.
+    # Requests are refused without an attempt while both engines are excluded.
     assert errors.ErrorKind.ENGINE_FAILED in kinds
     assert kinds <= {
         errors.ErrorKind.ENGINE_FAILED,
@@ -229,8 +221,7 @@
 
 
 def test_not_repeatable_is_never_dispatched_twice():
-    # The answer to the dispatch is lost, so the engine may be writing. The
-    # caller is told "unknown", at once, and no other engine is tried.
+    # After a lost response the engine may be decoding, so there is no retry.
     async def story(d):
         d.engine("d1").lose_answers["decode"] = 1
         events = await d.ask(d.request(is_repeatable=False))
@@ -267,9 +258,7 @@
     ],
 )
 def test_the_deadline_tells_whether_it_ran(deadline_ms, ran):
-    # The deadline passes while the prompt is read, or while the answer is
-    # written. An engine was given the request both times, so "did not run"
-    # is never said; "ran" only where an answer was begun.
+    # A deadline during prefill or decode must not report "did not run".
     async def story(d):
         events = await d.ask(d.request(tokens=100, deadline_ms=deadline_ms))
         await d.clock.sleep_ms(100)
@@ -288,8 +277,7 @@
 
 
 def test_a_prompt_that_was_read_is_never_told_as_did_not_run():
-    # The prompt is read and its transfer stalls until the deadline. No
-    # answer is begun, yet an engine has worked for the request.
+    # An engine has worked for the request even though no decode started.
     async def story(d):
         d.bench.stall_link("p1")
         return await d.ask(d.request(deadline_ms=1_000)), d.dispatches()
@@ -303,9 +291,8 @@
 
 
 def test_a_late_answer_that_may_not_be_repeated_is_not_asked_for_again():
-    # The deadline passes while the answer is written. A client that has no
-    # key would obey "retry" and the request would run twice, so the caller
-    # is told that the outcome is unknown, which is not retryable.
+    # A retryable error would make a client without a key send the request
+    # again, and it would run twice.
     async def story(d):
         request = d.request(tokens=100, deadline_ms=400, is_repeatable=False)
         return await d.ask(request), d.dispatches()
@@ -321,7 +308,7 @@
 
 
 def test_a_deadline_before_anything_was_sent_says_did_not_run():
-    # The policy has no place until the deadline, so no engine hears of it.
+    # No engine was contacted, so "did not run" is certain.
     async def story(d):
         return await d.ask(d.request(deadline_ms=500))
 
--- a/tests/requests/test_limits.py
+++ b/tests/requests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of accounts and services, on the virtual clock."""
+"""Limits of client accounts and services, on the virtual clock."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     deadline_at_ms: float = 60_000,
     priority: int = 0,
 ) -> float | errors.WharfError:
-    """The time of admission, or the refusal."""
+    """Returns the time of admission in ms, or the refusal."""
     clock = clocks.Clock()
     try:
         async with limited.admitted(
@@ -60,7 +60,7 @@
         ]
         results = await asyncio.gather(*calls)
         assert results[:2] == [0, 0]
-        # Both places came free at 100 ms, for the two that waited.
+        # Both slots become free at 100 ms, for the two queued calls.
         assert results[2:4] == [100, 100]
         refused = results[4]
         assert refused.kind is errors.ErrorKind.QUEUE_FULL
@@ -102,11 +102,7 @@
 
 
 def test_a_caller_that_leaves_as_its_place_comes_passes_it_on():
-    """A place is handed to a waiting caller that is cancelled just then.
-
-    The cancelled caller never runs. If it kept the place, the service would
-    have one less for good; a later caller must get it.
-    """
+    """A slot assigned to a caller that is just being cancelled must not be lost."""
 
     async def main() -> None:
         limited = _limits()
@@ -125,7 +121,7 @@
 
 
 def test_cancelling_at_every_turn_never_loses_a_place():
-    """As above, for each turn of the loop around the handover."""
+    """As above, for each event loop iteration around the assignment."""
 
     async def main(turns: int) -> None:
         limited = _limits()
--- a/tests/requests/test_plain.py
+++ b/tests/requests/test_plain.py
@@ -1,4 +1,4 @@
-"""Plain calls on the virtual clock: choice, retries, at most one sending."""
+"""Plain calls on the virtual clock: endpoint choice, retries and keys."""
 
 from __future__ import annotations
 
@@ -91,7 +91,7 @@
 
 
 def test_an_endpoint_that_the_list_calls_leaving_gets_no_new_work():
-    """The list says so first; the configuration still has the endpoint."""
+    """A leaving endpoint is not used even while it is still configured."""
 
     async def main() -> None:
         bench = await _bench(_endpoint("a1"), _endpoint("a2"))
@@ -126,10 +126,7 @@
 
 
 def test_what_was_never_sent_goes_to_another_endpoint():
-    """The first endpoint is down: no connection, so nothing ran there.
-
-    The caller sees an answer, also for a call that may not be repeated.
-    """
+    """Without a connection nothing ran, so any call may be retried elsewhere."""
 
     async def main() -> None:
         bench = await _bench(_endpoint("a1"), _endpoint("b1", "b"))
@@ -143,11 +140,7 @@
 
 
 def test_a_lost_answer_of_a_call_that_may_not_be_repeated_is_unknown():
-    """The endpoint takes the call and dies before it answers.
-
-    Another endpoint is there, but a second sending could log stock twice; the
-    caller is told that the outcome is unknown, never that it did not run.
-    """
+    """A call that may have run must not be sent again, and its outcome must be reported as unknown."""
 
     async def main() -> None:
         bench = await _bench(_endpoint("a1"), _endpoint("a2"))
@@ -189,7 +182,7 @@
 
 
 def test_retries_are_bounded_by_a_budget():
-    """All endpoints fail; ten retries are in hand and none is earned."""
+    """With a retry ratio of 0, only the initial budget of ten is available."""
 
     async def main() -> None:
         bench = await _bench(_endpoint("a1"), _endpoint("a2"))
@@ -232,7 +225,7 @@
 
 
 def test_a_keyed_call_that_may_not_be_repeated_is_sent_once_for_its_key():
-    """The caller sends the same sale twice with one key, then another."""
+    """A repeated key gets the kept reply; with another body, a conflict."""
 
     async def main() -> None:
         bench = await _bench(_endpoint("a1"))
@@ -249,10 +242,7 @@
 
 
 def test_a_key_whose_call_did_not_run_can_be_used_again():
-    """No endpoint is reachable; the caller is told that it did not run.
-
-    It sends the call again with its key once the endpoint is back.
-    """
+    """A call that did not run must release its key."""
 
     async def main() -> None:
         bench = await _bench(_endpoint("a1"))
@@ -274,7 +264,7 @@
         bench.instances["e1"].log.is_cut = True
         error = await _call(bench, key="k", body=_chunks([b"one"]))
         assert error.kind is errors.ErrorKind.CLAIM_UNAVAILABLE
-        # This sending did not run; whether an earlier one did can't be told.
+        # This call did not run, but an earlier one with the key may have.
         assert error.ran is errors.Ran.UNKNOWN
         assert _runs(bench) == 0
         await bench.stop()
@@ -283,7 +273,7 @@
 
 
 def test_plain_calls_do_not_wait_for_model_requests():
-    """Every place of a model service is taken, and its queue is full."""
+    """A full model service must not block plain calls."""
 
     async def main() -> None:
         bench = await _bench(_endpoint("a1"))
@@ -307,11 +297,11 @@
 
 
 def _die_while_running(bench: benches.Bench, *, once: bool = True) -> None:
-    """Makes endpoints take a call, run it, and lose the answer.
+    """Makes endpoints run a call and lose the reply.
 
     Args:
-        bench: Whose endpoints.
-        once: Only the first call is lost when true, else every one.
+        bench: Bench with the endpoints.
+        once: Whether only the first reply is lost, or every one.
     """
     endpoints = bench.endpoints
     whole = endpoints.run
--- a/tests/requests/test_plain_replies.py
+++ b/tests/requests/test_plain_replies.py
@@ -1,4 +1,4 @@
-"""Sales at tills: sent once over all instances, answered also on a retry."""
+"""Plain calls that are not repeatable: sent once, with a reply for retries."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 async def call(d, name, request):
-    """The reply's body, or the error's kind and word."""
+    """Returns the reply's body, or the error's ``kind`` and ``ran``."""
     core = d.core(name)
 
     async def body():
@@ -64,8 +64,7 @@
 @pytest.mark.parametrize("retry_at", ["e1", "e2"])
 @pytest.mark.parametrize("after_ms", [50, 3_000])
 def test_a_retry_gets_the_reply_of_the_one_call(retry_at, after_ms):
-    # The till's connection breaks before or after the stock was logged. The
-    # retry, at the same or another instance, gets the first call's reply.
+    # A retry must get the first call's reply, from whichever instance it asks.
     async def story(d):
         await declare(d, 1_000)
         first = asyncio.ensure_future(call(d, "e1", sale(d, 1)))
@@ -105,8 +104,8 @@
 
 
 def test_a_dead_instances_sale_is_unknown_and_not_sent_again():
-    # e1 sends the sale and dies. Whether the stock was logged can't be known
-    # here, so the retry is told so and the endpoint hears of it once.
+    # After the instance's death the outcome is unknown, and the retry must not
+    # be sent.
     async def story(d):
         await declare(d, 1_000)
         first = asyncio.ensure_future(call(d, "e1", sale(d, 1)))
@@ -122,8 +121,7 @@
 
 
 def test_a_sale_that_was_not_sent_may_be_sent_by_the_retry():
-    # No endpoint is reachable: the sale did not run, and is told so. When
-    # one is back the retry runs although e1 had claimed the key.
+    # A call that was not sent must release its claim.
     async def story(d):
         await declare(d, 10)
         d.bench.endpoints.dead.add("till-1")
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -1,8 +1,8 @@
-"""Each safeguard is needed: without it a check fails.
+"""Checks that each safeguard is needed.
 
-A safeguard is switched off by a patch, and a scenario or a seed of the random
-run that passes with it must fail without it. The same table stands in
-``docs/design/requests.md``.
+Each safeguard is disabled by a patch. A test or a seed of the random run that
+passes with it must fail without it. ``docs/design/requests.md`` has the same
+table.
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Off:
-    """A safeguard, how to switch it off, and what notices.
+    """A safeguard, how to disable it, and the check that must then fail.
 
     Attributes:
         name: The safeguard.
-        owner: Class or module that has it.
-        attribute: What is replaced there.
-        replacement: By what.
-        check: Fails with ``AssertionError`` when it is off.
+        owner: Class or module to patch.
+        attribute: Name of the patched attribute.
+        replacement: Value of the patched attribute.
+        check: Must raise ``AssertionError`` while the safeguard is disabled.
     """
 
     name: str
@@ -54,7 +54,7 @@
 
 
 def seeds(*numbers):
-    """A check by seeds of the random run."""
+    """Returns a check that runs seeds of the random run."""
 
     def check():
         for number in numbers:
--- a/tests/requests/test_sweep.py
+++ b/tests/requests/test_sweep.py
@@ -1,4 +1,4 @@
-"""The sweep frees what is held for nobody, and never a live request's."""
+"""The sweep frees memory that no request needs, and no other."""
 
 from __future__ import annotations
 
@@ -13,8 +13,7 @@
 
 
 def test_memory_of_a_killed_instance_is_freed_within_a_bound():
-    # e1 dies while it writes and nobody retries. Its owner's silence is
-    # noticed; after the bound no engine holds anything of it.
+    # Memory of a lost instance must be freed even if no retry arrives.
     async def story(d):
         asyncio.ensure_future(ask_quietly(d, d.request(**LONG), "e1"))
         await d.clock.sleep_ms(500)
@@ -29,7 +28,7 @@
 
 
 def test_memory_of_a_restarted_instance_is_freed_at_the_next_sweep():
-    # The new e1 knows nothing of the old one's attempts, and says so.
+    # The new process doesn't need the attempts of the old one.
     async def story(d):
         asyncio.ensure_future(ask_quietly(d, d.request(**LONG), "e1"))
         await d.clock.sleep_ms(500)
@@ -41,8 +40,7 @@
 
 
 def test_a_reservation_that_lands_after_its_release_is_freed():
-    # The reservation is slow; the caller leaves, the release overtakes it,
-    # and the slot is taken for a request that is long over.
+    # A release may overtake a slow reservation, which must still be freed.
     async def story(d):
         for name in ("d1", "d2"):
             d.engine(name).lag_ms["reserve"] = 1_500
@@ -60,8 +58,7 @@
 
 
 def test_live_requests_keep_their_memory():
-    # Long answers are written by all instances while sweeps go on; none is
-    # taken from them, although some attempts are older than any grace.
+    # Attempts older than the grace period must not be freed while they run.
     async def story(d):
         asked = [d.ask(d.request(**LONG), name) for name in ("e1", "e2", "e3")]
         answers = await asyncio.gather(*asked)
@@ -74,8 +71,7 @@
 
 
 def test_an_owner_that_others_can_reach_keeps_its_memory():
-    # d1 stands in c and is swept from there. The links between c and a, where
-    # the owner is, are cut, but b reaches both: the owner's word comes round.
+    # An owner must be asked through other instances when the direct link fails.
     async def story(d):
         task = asyncio.ensure_future(d.ask(d.request(**LONG), "e1"))
         await d.clock.sleep_ms(500)
@@ -91,8 +87,7 @@
 
 
 def test_an_owner_paused_for_long_loses_its_memory_and_answers_whole():
-    # e1 is paused longer than the sweep's patience. Its attempt is freed;
-    # when e1 is back it finds the stream broken and runs a second attempt.
+    # An owner that resumes after its attempt was freed must run a new attempt.
     async def story(d):
         task = asyncio.ensure_future(d.ask(d.request(**LONG), "e1"))
         await d.clock.sleep_ms(500)
