--- a/tests/requests/test_answers.py
+++ b/tests/requests/test_answers.py
@@ -218,8 +218,7 @@
 
 @pytest.mark.parametrize("is_repeatable", [True, False])
 def test_a_caller_that_left_leaves_no_memory_held(is_repeatable):
-    # The caller of a keyed request leaves and doesn't come back. The run
-    # lingers for a stated while, then everything is released.
+    # A run without readers must release its memory after the linger time.
     async def story(d):
         request = d.request(tokens=900, key="k", is_repeatable=is_repeatable)
         request = model_request.dataclasses.replace(request, deadline_ms=9e4)
--- a/tests/requests/test_limits.py
+++ b/tests/requests/test_limits.py
@@ -102,7 +102,7 @@
 
 
 def test_a_caller_that_leaves_as_its_place_comes_passes_it_on():
-    """A slot assigned to a caller that is just being cancelled must not be lost."""
+    """A slot assigned to a caller that is being cancelled must not be lost."""
 
     async def main() -> None:
         limited = _limits()
