--- a/src/jujubewharf/requests/life.py
+++ b/src/jujubewharf/requests/life.py
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, owner: str, request_id: str) -> None:
-        super().__init__(f"request taken over by {owner} as {request_id}")
+        super().__init__(f"{owner} took the request over as {request_id}")
         self.owner = owner
         self.request_id = request_id
 
--- a/tests/requests/test_plain.py
+++ b/tests/requests/test_plain.py
@@ -140,7 +140,7 @@
 
 
 def test_a_lost_answer_of_a_call_that_may_not_be_repeated_is_unknown():
-    """A call that may have run must not be sent again; its outcome is unknown."""
+    """A call that may have run is not sent again; its outcome is unknown."""
 
     async def main() -> None:
         bench = await _bench(_endpoint("a1"), _endpoint("a2"))
