--- a/src/jujubewharf/forwarding/__init__.py
+++ b/src/jujubewharf/forwarding/__init__.py
@@ -1,6 +1,6 @@
-"""Requests passed on unchanged: routes, placement, the life of a call.
+"""Forwards HTTP requests unchanged to the services behind the router.
 
-Callers here speak to the services behind the system in those services' own
-words. Nothing of a request or an answer is understood but what routing needs:
-which service, what may be repeated, how long it may take, how large it is.
+Callers use each service's own protocol. The router reads only what routing
+needs: the service, whether the request may be repeated, its time limit and its
+size.
 """
--- a/src/jujubewharf/forwarding/accounts.py
+++ b/src/jujubewharf/forwarding/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts of a routing configuration: keys, priority and quota."""
+"""Client accounts of a routing configuration: keys, priorities and quotas."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from jujubewharf import errors
 from jujubewharf.forwarding import calls
 
-# Stock of an account for which a rate is declared and no burst.
+# Default burst, in seconds of the rate, for quotas without a declared burst.
 _UNDECLARED_BURST_S = 0.5
 
 
 class QuotaUnit(enum.Enum):
-    """What a quota counts."""
+    """Unit in which a quota is measured."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -24,13 +24,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Quota:
-    """What one account may use, over all instances together.
+    """Rate limit of one account, shared by all instances.
 
     Attributes:
-        rate_per_s: Units that it gains each second.
-        burst: Units that it may have saved up.
-        unit: What is counted.
-        unsized_tokens: Tokens that a request counts which doesn't tell its
+        rate_per_s: Units replenished per second.
+        burst: Maximum number of unused units that accumulate.
+        unit: Unit in which requests are counted.
+        unsized_tokens: Tokens charged for a request that does not state its
             size.
     """
 
@@ -48,12 +48,15 @@
         counts_tokens: bool,
         unsized_tokens: float,
     ) -> Quota | None:
-        """A quota as operators declare it; ``None`` where it bounds nothing.
+        """Builds a quota from operator settings.
 
-        A rate that is 0, missing or no number bounds nothing; one bad figure
-        must not keep a whole configuration from being in force. With a rate
-        and no burst an account may save up what it gains in half a second:
-        without any stock not even a steady pace would pass.
+        A missing, non-positive or non-finite rate means no limit, so that one
+        bad value does not invalidate the whole configuration. A rate without a
+        burst gets a burst of half a second at that rate, because an account
+        without any burst could not even send requests at a steady rate.
+
+        Returns:
+            The quota, or ``None`` if there is no limit.
         """
         if not math.isfinite(rate_per_s) or rate_per_s <= 0.0:
             return None
@@ -67,7 +70,7 @@
         )
 
     def units_of(self, work: calls.ModelWork | None) -> float:
-        """What a request counts."""
+        """Returns the number of units that a request is charged."""
         match self.unit:
             case QuotaUnit.REQUESTS:
                 return 1.0
@@ -77,7 +80,7 @@
                 return float(work.prompt_tokens + work.output_tokens)
 
     def part(self, part: float) -> Quota:
-        """A part of it, for one instance of several."""
+        """Returns the quota scaled by a factor, for one instance of several."""
         return dataclasses.replace(
             self, rate_per_s=self.rate_per_s * part, burst=self.burst * part
         )
@@ -85,14 +88,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Account:
-    """One client account.
+    """A client account.
 
     Attributes:
-        name: Unique name; endpoints are told it.
-        key_digests: Hex SHA-256 of each of its keys.
-        priority: Rank of its requests, 0 first; ``None`` leaves that to the
-            route.
-        quota: What it may use; ``None`` for no bound.
+        name: Unique name, sent to endpoints.
+        key_digests: Hex SHA-256 digests of the account's keys.
+        priority: Priority of its requests, 0 is the highest; ``None`` to use
+            the priority of the route.
+        quota: Rate limit; ``None`` for no limit.
     """
 
     name: str
@@ -102,13 +105,14 @@
 
 
 class AccountTable:
-    """The accounts of one configuration, found by key.
+    """Looks up the accounts of one configuration by key.
 
     Args:
-        accounts: The accounts; ``None`` where callers need no key.
+        accounts: The accounts; ``None`` if callers need no key.
 
     Attributes:
         is_open: Whether callers need no key.
+        by_name: The accounts by name.
     """
 
     def __init__(self, accounts: Sequence[Account] | None) -> None:
@@ -121,13 +125,13 @@
         )
 
     def identify(self, authorizations: Sequence[str]) -> Account:
-        """The account whose key a caller shows.
+        """Returns the account that a caller's key belongs to.
 
         Args:
-            authorizations: Values of its ``Authorization`` headers.
+            authorizations: Values of the request's ``Authorization`` headers.
 
         Raises:
-            WharfError: ``UNAUTHENTICATED``.
+            WharfError: ``UNAUTHENTICATED`` if no account has the key.
         """
         account = self._by_key.find(bearer.token_of(authorizations))
         if account is None:
--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -1,7 +1,7 @@
-"""One sending of a streamed request: memory, prefill, decode.
+"""One attempt of a streamed request: reserve memory, prefill, decode.
 
-Memory on a decode engine is reserved before the prompt is read, since what was
-read is lost when no engine fetches it in time.
+Memory on a decode engine is reserved before prefill, because a prefill result
+that no engine fetches in time expires.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 from jujubewharf.forwarding import restraints as all_restraints
 from jujubewharf.forwarding import runs
 
-# Prefill engines that are asked for one request. A decode engine that reads
-# instead stops the answers that it writes for up to half a second.
+# Maximum number of prefill engines tried per request. If all fail, the decode
+# engine prefills the prompt itself, which stalls its other answers meanwhile.
 _MAX_READERS = 3
 
 
 @dataclasses.dataclass(slots=True)
 class Upstream:
-    """One engine's answer while it is passed on.
+    """An engine's answer while it is forwarded.
 
     Attributes:
-        engine: Who answers.
-        reply: Its answer.
-        exits: Ends the engine's work and gives back what was held for it.
-        placed_ms: When its memory was reserved.
-        memory_part: Part of the engine's memory that it holds.
+        engine: Engine that answers.
+        reply: The engine's answer.
+        exits: Stops the engine's work and releases its reservation on close.
+        placed_ms: Clock reading when the memory was reserved.
+        memory_part: Reserved share of the engine's memory, 0 to 1.
         has_begun: Whether any of the body has arrived.
     """
 
@@ -52,7 +52,13 @@
 
 @dataclasses.dataclass(slots=True)
 class _Prefilled:
-    """A prompt that was read, or wasn't; ``is_fetched`` once it was used."""
+    """Result of the prefill stage.
+
+    Attributes:
+        source: Handle of the prefill result; ``None`` if there is none.
+        reader: Engine that holds the result.
+        is_fetched: Whether a decode engine has fetched the result.
+    """
 
     source: calls.Source | None = None
     reader: resources.Endpoint | None = None
@@ -63,14 +69,14 @@
     """Sends streamed requests to engines.
 
     Args:
-        backends: Calls engines.
-        registry: Tells which engines take work.
-        places: Finds memory for requests.
-        budget: Bounds retries over the fleet.
-        observations: Learns how engines fare.
-        limits: Bound what engines get that name limits.
-        restraints: What engines want.
-        clock: Time.
+        backends: Client for engines.
+        registry: Registered endpoints.
+        places: Reserves memory on decode engines.
+        budget: Retry budget of the fleet.
+        observations: Records engine latencies and failures.
+        limits: Rate limits set by engines.
+        restraints: Rate limits, backoffs and drain notices sent by engines.
+        clock: Time source.
     """
 
     def __init__(
@@ -96,15 +102,16 @@
     async def attempt(
         self, run: runs.Run, *, after_event: int | None
     ) -> Upstream:
-        """Sends a request to one engine, with memory reserved before.
+        """Reserves memory on an engine and sends the request to it.
 
         Args:
             run: The request.
-            after_event: Last event that its caller has.
+            after_event: Number of the last event that the caller has received.
 
         Raises:
-            EngineError: The sending failed; another may help.
-            WharfError: There was no memory, or no retry is left.
+            EngineError: The attempt failed; another engine may succeed.
+            WharfError: No memory was available, or the retry budget is
+                exhausted.
         """
         async with contextlib.AsyncExitStack() as exits:
             place = await exits.enter_async_context(self._places.place(run))
@@ -140,13 +147,15 @@
         sending: calls.Sending,
         prefilled: _Prefilled,
     ) -> calls.Sending:
-        """What to send to an engine that refused although it had reserved.
+        """Returns a replacement for a request that the engine refused.
 
-        Either it is carrying out an order, or it couldn't fetch the prefill
-        result. Then it can still read the prompt by itself.
+        An engine that refuses despite its reservation is either changing roles
+        or could not fetch the prefill result. In the second case it can prefill
+        the prompt itself.
 
         Raises:
-            EngineError: It takes no work now; the fault says so.
+            EngineError: The engine accepts no work at the moment.
+            WharfError: The retry budget is exhausted.
         """
         if error.fault is not client.EngineFault.REFUSED_FULL:
             raise error
@@ -192,21 +201,20 @@
     async def _prefilled(
         self, run: runs.Run, place: all_places.Place
     ) -> AsyncIterator[_Prefilled]:
-        """Has the prompt read, and frees the result if nobody fetched it.
+        """Runs prefill and frees the result on exit if no engine fetched it.
 
-        Where no engine reads it the block gets an empty one: the decode engine
-        then reads the prompt by itself, more slowly.
+        If no prefill engine succeeds the block gets an empty result, and the
+        decode engine prefills the prompt itself.
         """
         prefilled = _Prefilled()
         readers = place.readers[:_MAX_READERS]
         if readers and run.was_read and not self._budget.take(run.service):
-            # Only the first reading is no retry.
+            # Every prefill after the first one counts as a retry.
             readers = []
         for reader in readers:
             if not await self._may_read(reader):
-                # Asked again at the moment of sending: it was chosen when the
-                # request was placed, by a leader that may be cut off from the
-                # store, or has begun to leave while another one was asked.
+                # Checked again right before sending: the placement may be
+                # outdated, and the engine may have started to drain meanwhile.
                 continue
             try:
                 prefilled.source = await self._prefill(run, reader)
@@ -215,10 +223,8 @@
                     # It may have been accepted, so the next one is a retry.
                     run.was_read = True
                 if not self._may_read_again(run, error):
-                    # The run would be a retry as well, and the fleet's bound
-                    # is reached: a refused call is one, and one without an
-                    # answer may have been refused. With two engines dark 18
-                    # such runs in ten seconds exceeded the bound by 5.
+                    # Decoding now would also be a retry: the prefill call may
+                    # have been refused, and the retry budget is exhausted.
                     raise run.failure() from error
             else:
                 prefilled.reader = reader
@@ -232,7 +238,7 @@
                 await self._drop(prefilled)
 
     async def _may_read(self, reader: resources.Endpoint) -> bool:
-        """Whether an engine takes a prompt at this moment."""
+        """Returns whether an engine accepts a prefill request at the moment."""
         if self._restraints.must_wait(reader.name):
             return False
         if not await self._limits.take(reader.name):
@@ -242,10 +248,10 @@
         return self._registry.takes_work(reader.name)
 
     def _may_read_again(self, run: runs.Run, error: client.EngineError) -> bool:
-        """Whether another engine may be asked to read the prompt.
+        """Returns whether prefill may be tried on another engine.
 
-        A refused call counts as a retry, the first one that is accepted
-        doesn't; a call that found no connection was none.
+        A refused call uses the retry budget; a call that could not connect does
+        not.
         """
         if error.fault is client.EngineFault.UNREACHABLE:
             return True
@@ -291,20 +297,19 @@
         if prefilled.source is None or prefilled.reader is None:
             return
         with contextlib.suppress(client.EngineError):
-            # The result dies by itself within a second; dropping it only
-            # frees the memory sooner, so a failure needs no repeat.
+            # The result expires by itself within a second; dropping it only
+            # frees the memory sooner, so failures are not retried.
             await self._backends.drop_source(prefilled.reader, prefilled.source)
 
     async def _check_wanted(self, place: all_places.Place) -> None:
-        """Passes where an engine wants the run for which it reserved memory.
+        """Checks that the engine still accepts the request it has memory for.
 
-        Its answers to others may have said since that it wants none now, or
-        have named its first limit. The prompt may have been read in vain then,
-        but a second and a half of such runs would still come to an engine in
-        need.
+        The engine may have asked for backoff or set a rate limit after the
+        memory was reserved. Without this check, requests already in prefill
+        would still reach an overloaded engine.
 
         Raises:
-            EngineError: It wants none now.
+            EngineError: ``DEFERRED`` if the engine accepts no request now.
         """
         name = place.engine.name
         has_permit = place.has_permit or await self._limits.take(name)
@@ -319,7 +324,7 @@
         sending: calls.Sending,
     ) -> calls.Reply:
         if not self._registry.takes_work(engine.name):
-            # It began to leave while the prompt was read.
+            # The engine started to drain during prefill.
             fault = client.EngineFault.REFUSED_LEAVING
             raise client.EngineError(fault, engine.name)
         began_ms = self._clock.now_ms()
--- a/src/jujubewharf/forwarding/budget.py
+++ b/src/jujubewharf/forwarding/budget.py
@@ -1,4 +1,4 @@
-"""Retries in proportion to requests, over the whole fleet."""
+"""Retry budget that is proportional to the requests of the whole fleet."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from jujubewharf import clock as clocks
 from jujubewharf.forwarding import recent
 
-# Part of the bound that is used: requests near the edge of the window are
-# counted a little earlier or later by who checks the bound.
+# Share of the allowed retries that is used. The margin covers requests near the
+# edge of the window, which another counter may assign to the next window.
 _USED_PART = 0.85
 
 
 class FleetBudget:
-    """This instance's share of the retries that the fleet may make.
+    """This instance's share of the fleet's retry budget.
 
-    Instances that each kept a bound of their own would together exceed the
-    fleet's. So each takes the ratio of its own requests, and of the stock that
-    doesn't depend on requests only its share.
+    Retries are allowed in proportion to the instance's own requests, plus its
+    share of a fixed allowance for the fleet. Independent budgets per instance
+    would together exceed the fleet's limit.
 
     Args:
-        clock: Time.
-        ratio: Retries allowed for each request.
-        slack: Retries allowed besides, to all instances together.
-        window_ms: Time over which both are counted.
-        share: Tells this instance's part of ``slack``, 0 to 1.
+        clock: Time source.
+        ratio: Retries allowed per request.
+        slack: Additional retries per window, for all instances together.
+        window_ms: Length of the sliding window in milliseconds.
+        share: Returns this instance's share of ``slack``, 0 to 1.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self.change(ratio=ratio, slack=slack, window_ms=window_ms)
 
     def change(self, *, ratio: float, slack: float, window_ms: float) -> None:
-        """Takes other bounds; what was counted before still counts."""
+        """Changes the limits; requests and retries already counted are kept."""
         self._ratio = ratio
         self._slack = slack
         self._window_ms = window_ms
@@ -51,11 +51,11 @@
             counted.window_ms = window_ms
 
     def accepted(self, service: str) -> None:
-        """A request for a service came."""
+        """Counts a request for a service."""
         self._of(self._requests, service).add(self._clock.now_ms())
 
     def left(self, service: str) -> float:
-        """Retries that may be made now; below 1 there is none."""
+        """Returns the retries left; fractional, below 1 means none."""
         now_ms = self._clock.now_ms()
         requests = self._of(self._requests, service).total(now_ms)
         retries = self._of(self._retries, service).total(now_ms)
@@ -63,7 +63,7 @@
         return _USED_PART * allowed - retries
 
     def take(self, service: str) -> bool:
-        """Takes one retry, if there is one."""
+        """Consumes one retry and returns whether there was one."""
         if self.left(service) < 1.0:
             return False
         self._of(self._retries, service).add(self._clock.now_ms())
--- a/src/jujubewharf/forwarding/calls.py
+++ b/src/jujubewharf/forwarding/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request and its answer, as they are passed on."""
+"""Requests of callers and answers of endpoints, as they are forwarded."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelWork:
-    """The size of a model request.
+    """Size of a model request.
 
     Attributes:
-        prompt_tokens: Tokens to read.
-        output_tokens: Most tokens that the answer has.
-        expected_tokens: The caller's estimate of them, which may be far off.
+        prompt_tokens: Tokens of the prompt.
+        output_tokens: Maximum number of output tokens.
+        expected_tokens: The caller's estimate of the output tokens, which may
+            be inaccurate.
     """
 
     prompt_tokens: int
@@ -24,7 +25,7 @@
 
     @property
     def answer_tokens(self) -> int:
-        """Tokens that the answer will have, as far as is known."""
+        """Estimated number of output tokens."""
         if self.expected_tokens is None:
             return self.output_tokens
         return min(self.output_tokens, self.expected_tokens)
@@ -32,24 +33,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """A request that passed the border's checks.
+    """A validated request of a caller.
 
     Attributes:
-        request_id: The caller's own id of this sending.
+        request_id: Request id chosen by the caller, unique for each try.
         method: HTTP method.
-        host: Host that the caller named.
-        path_query: Path and query as they were sent.
-        headers: End-to-end headers, without those that the system sets.
+        host: Value of the ``Host`` header.
+        path_query: Path and query as received.
+        headers: End-to-end headers, without those that the router sets.
         body: The whole body.
-        arrived_ms: Clock reading when its last byte had been read.
-        patience_ms: How long the caller waits from arrival; ``None`` when it
-            didn't say.
-        work: Size of a model request; ``None`` for plain ones.
-        last_event: Last event that the caller has of an earlier sending.
-        account: Name of the client account, which endpoints are told; ``None``
-            where no key was shown or none is asked for.
-        is_trial: Whether this try is let through although others of the same
-            request have crashed engines.
+        arrived_ms: Clock reading when the last byte was read.
+        patience_ms: Time that the caller waits, counted from arrival; ``None``
+            if it did not say.
+        work: Size of a model request; ``None`` for plain requests.
+        last_event: Number of the last event that the caller received in an
+            earlier try.
+        account: Name of the client account, sent to endpoints; ``None`` if no
+            key was given or none is required.
+        is_trial: Whether this request is let through as a trial although it is
+            in quarantine.
     """
 
     request_id: str
@@ -67,19 +69,19 @@
 
     @property
     def path(self) -> str:
-        """The path without its query."""
+        """Path without the query."""
         return self.path_query.partition("?")[0]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer as an engine gave it; the body raises where it breaks off.
+    """An answer of an endpoint; iterating the body raises if it breaks off.
 
     Attributes:
         status: HTTP status.
         headers: End-to-end headers.
-        body: The body as it arrives.
-        length: Its size in bytes, where that is known.
+        body: Chunks of the body as they arrive.
+        length: Size of the body in bytes, if known.
     """
 
     status: int
@@ -89,17 +91,17 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether the engine says that it did what was asked."""
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Source:
-    """A prefill result that waits on an engine to be fetched.
+    """Handle of a prefill result that waits on an engine to be fetched.
 
     Attributes:
-        address: ``IP:PORT`` of that engine.
-        handle: Names the result there.
+        address: ``IP:PORT`` of the engine.
+        handle: Name of the result on that engine.
     """
 
     address: str
@@ -108,15 +110,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sending:
-    """One call to one engine.
+    """One request to one engine or endpoint.
 
     Attributes:
-        call: What the caller sent.
-        left_ms: Time that the engine is given.
-        priority: Rank among the engine's requests, 0 first.
-        source: Prefill result that the engine fetches first.
-        hold: Reservation that it runs under.
-        after_event: Last event that arrived; the engine goes on after it.
+        call: The caller's request.
+        left_ms: Time limit for the engine in milliseconds.
+        priority: Priority on the engine, 0 is the highest.
+        source: Prefill result for the engine to fetch.
+        hold: Name of the memory reservation to use.
+        after_event: Number of the last event that arrived; the engine continues
+            after it.
     """
 
     call: Call
--- a/src/jujubewharf/forwarding/crash_records.py
+++ b/src/jujubewharf/forwarding/crash_records.py
@@ -1,4 +1,4 @@
-"""Crash reports as the store keeps them: JSON, with the time of writing."""
+"""Encodes crash reports as JSON for the store, with the time of writing."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class _Record(pydantic.BaseModel):
-    """A report, with ages from when it was written."""
+    """A crash report; ages are relative to the time of writing."""
 
-    # Errors are logged, and the digest of a body must not be.
+    # Validation errors are logged and must not contain the body's digest.
     model_config = pydantic.ConfigDict(hide_input_in_errors=True)
 
     written_unix_ms: float
@@ -31,11 +31,11 @@
 
 
 def encode(report: crash_reports.CrashReport, *, wall_ms: float) -> bytes:
-    """A report as bytes.
+    """Encodes a report.
 
     Args:
         report: The report.
-        wall_ms: Unix time now.
+        wall_ms: Current Unix time in milliseconds.
     """
     record = _Record(
         written_unix_ms=wall_ms,
@@ -55,15 +55,15 @@
 
 
 def decode(data: bytes, *, wall_ms: float) -> crash_reports.CrashReport:
-    """The report that bytes hold, as old as it is now.
+    """Decodes a report and adds the time since it was written to its ages.
 
     Args:
-        data: What ``encode`` gave.
-        wall_ms: Unix time now. Where clocks differ a report may seem to come
-            from later; it is then taken for new.
+        data: Output of ``encode``.
+        wall_ms: Current Unix time in milliseconds. A report from the future,
+            which clock differences can cause, is treated as new.
 
     Raises:
-        ValueError: They hold none.
+        ValueError: The data is not a valid report.
     """
     record = _Record.model_validate_json(data)
     since_ms = max(0.0, wall_ms - record.written_unix_ms)
--- a/src/jujubewharf/forwarding/crash_reports.py
+++ b/src/jujubewharf/forwarding/crash_reports.py
@@ -1,6 +1,7 @@
-"""What instances tell each other of requests under which engines crashed.
+"""Reports that instances exchange about requests that crash engines.
 
-Ages are spans and never instants, for clocks differ between instances.
+Reports hold ages rather than timestamps, because the clocks of instances
+differ.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crash:
-    """An engine that crashed under a request.
+    """An engine that crashed while it processed a request.
 
     Attributes:
-        engine: Name of the engine's start.
-        age_ms: How long ago that was.
+        engine: Name of the engine's registration.
+        age_ms: Time since the crash in milliseconds.
     """
 
     engine: str
@@ -25,17 +26,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReport:
-    """All that is known of one request; two of them can be joined.
+    """Everything that an instance knows about the crashes of one request.
 
     Attributes:
-        fingerprint: Names the request.
-        label: Id of one of its tries, which names it in log lines.
-        crashes: Engines that crashed under it.
-        cleared_age_ms: How long ago an engine answered it whole; ``None`` where
-            none has.
-        trials: Tries that were let through all the same.
-        trial_age_ms: How long ago the last of them was; ``None`` where none
-            was.
+        fingerprint: Fingerprint of the request.
+        label: Request id of one of its tries, for log lines.
+        crashes: Engines that crashed.
+        cleared_age_ms: Time since an engine last answered the request
+            completely; ``None`` if none has.
+        trials: Number of trials allowed in quarantine.
+        trial_age_ms: Time since the last trial; ``None`` if there was none.
     """
 
     fingerprint: fingerprints.Fingerprint
--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -1,10 +1,10 @@
-"""Which engines crashed while they worked on a request, over all its tries.
+"""Tracks which engines crashed while they processed a request.
 
-An engine ends under all that it runs, so most of the requests that it ran are
-innocent. One that an engine has answered whole is: its record is cleared. One
-under which three engines have crashed, with no whole answer since, is in
-quarantine and goes to no further engine, but for one try: it may have been
-beside crashes each time, and only a run tells.
+A crashed engine takes all its requests with it, so most requests that run
+during a crash did not cause it. A complete answer clears a request. A request
+under which three engines have crashed since its last complete answer is
+quarantined: it is sent to no engine, except for trials that find out whether it
+is the cause.
 """
 
 from __future__ import annotations
@@ -21,42 +21,38 @@
 from jujubewharf.forwarding import crash_reports
 from jujubewharf.forwarding import fingerprints
 
-# An innocent request is beside a crash now and then, and beside three in a row
-# hardly ever; each crash costs an engine and all that it ran.
+# Number of crashes that quarantines a request. One or two can be coincidence.
 QUARANTINE_CRASHES = 3
-# A try that was let through has come to its end by then, one way or another. If
-# it neither came through nor crashed an engine, it told nothing.
+# Time after which a trial is considered to have ended without a result.
 TRIAL_MS = 15_000.0
-# Each may reach an engine, and one that tells nothing may be by intent.
+# Bounds the trials of one request, since each may crash an engine.
 _MOST_TRIALS = 2
-# A crash counts for this long, so that one wrong suspicion of an innocent
-# request ends by itself.
+# Retention of crashes, after which a wrongly quarantined request is released.
 KEPT_MS = 600_000.0
-# Requests that are remembered, and crashes of each: a caller may make up any
-# number of requests, and no instance's memory may grow with them.
+# Bound the memory, because callers can send any number of distinct requests.
 MOST_RECORDS = 1_024
 _MOST_CRASHES = 8
 _MOST_LABEL_CHARS = 64
-# Two instances that tell each other of one moment reckon it a little apart.
+# Tolerance for timestamps of one event that two instances compute from ages.
 _SAME_MS = 1_000.0
 _NEVER_MS = float("-inf")
 
 
 def _nobody(fingerprint: fingerprints.Fingerprint) -> None:
-    """Stands in where nobody is to be told."""
+    """Default callback that does nothing."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Record:
-    """What is known of one request.
+    """Crash history of one request.
 
     Attributes:
-        label: Id of one of its tries, which names it in log lines.
-        crashes_ms: Engines that crashed under it, and when.
-        cleared_ms: When an engine last answered it whole; crashes up to then
-            don't count.
-        trials: Tries that were let through in quarantine.
-        trial_ms: When the last of them was.
+        label: Request id of one of its tries, for log lines.
+        crashes_ms: Time of each crash by engine name.
+        cleared_ms: Time of the last complete answer; earlier crashes do not
+            count.
+        trials: Number of trials allowed in quarantine.
+        trial_ms: Time of the last trial.
     """
 
     label: str
@@ -67,21 +63,21 @@
 
     @property
     def is_quarantined(self) -> bool:
-        """Whether it goes to no further engine."""
+        """Whether the request may not be sent to any engine."""
         return len(self.crashes_ms) >= QUARANTINE_CRASHES
 
     @property
     def changed_ms(self) -> float:
-        """When anything of it was last seen."""
+        """Time of the last crash or complete answer."""
         return max((self.cleared_ms, *self.crashes_ms.values()))
 
     def state(self) -> tuple[object, ...]:
-        """What makes it differ from what was known before."""
+        """Returns a snapshot for detecting changes."""
         crashed = frozenset(self.crashes_ms)
         return crashed, self.cleared_ms, self.trials, self.trial_ms
 
     def drop(self, oldest_ms: float) -> None:
-        """Forgets what doesn't count any more."""
+        """Removes crashes and trials that no longer count."""
         oldest_ms = max(oldest_ms, self.cleared_ms)
         if self.trial_ms <= oldest_ms:
             self.trials = 0
@@ -94,14 +90,14 @@
 
 
 class CrashHistory:
-    """Remembers under which requests engines crashed.
+    """Stores the crash history of requests.
 
     Args:
-        clock: Time.
+        clock: Time source.
 
     Attributes:
-        on_seen: Told of which request this instance has seen something new.
-        on_quarantine: Told which request goes to no further engine.
+        on_seen: Called with the request when this instance adds information.
+        on_quarantine: Called with the request when it is quarantined.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -109,7 +105,7 @@
         self.on_quarantine: Callable[[fingerprints.Fingerprint], None] = _nobody
         self._clock = clock
         self._records: dict[fingerprints.Fingerprint, _Record] = {}
-        # How many of them have an outline.
+        # Number of records by outline.
         self._outlines: dict[fingerprints.Outline, int] = {}
 
     def __len__(self) -> int:
@@ -119,12 +115,12 @@
         return f"CrashHistory(requests={len(self)})"
 
     def crashed(self, call: calls.Call, engine: str, *, stage: str) -> None:
-        """Learns that an engine crashed while it worked on a request.
+        """Records that an engine crashed while it processed a request.
 
         Args:
             call: The request.
-            engine: Name of the engine's start.
-            stage: What it was asked for: ``prefill`` or ``run``.
+            engine: Name of the engine's registration.
+            stage: Stage of processing: ``prefill`` or ``run``.
         """
         fingerprint = fingerprints.Fingerprint.from_call(call)
         record = self._of(fingerprint, label=call.request_id)
@@ -143,7 +139,7 @@
             self._tell_quarantine(fingerprint)
 
     def came_through(self, call: calls.Call) -> None:
-        """Learns that an engine has answered a request whole."""
+        """Records that an engine answered a request completely."""
         record = self._find(call)
         if record is None or not record.crashes_ms:
             return
@@ -152,14 +148,14 @@
         self.on_seen(fingerprints.Fingerprint.from_call(call))
 
     def learn(self, report: crash_reports.CrashReport) -> bool:
-        """Learns what another instance knows of a request.
+        """Merges a report from another instance.
 
         Returns:
-            Whether any of it is new, and counts.
+            Whether the report changed the record.
         """
         record = self._of(report.fingerprint, label=report.label)
         before = record.state()
-        # The same name for it at all instances, in whichever order they heard.
+        # All instances choose the same label, independent of the merge order.
         record.label = min(record.label, report.label)
         now_ms = self._clock.now_ms()
         record.cleared_ms = _later(
@@ -176,17 +172,18 @@
         return True
 
     def known(self) -> tuple[fingerprints.Fingerprint, ...]:
-        """Requests of which anything is remembered."""
+        """Returns the fingerprints of all recorded requests."""
         self._forget_old()
         return tuple(self._records)
 
     def reports(
         self, wanted: Iterable[fingerprints.Fingerprint] | None = None
     ) -> tuple[crash_reports.CrashReport, ...]:
-        """What is known, of some requests or of all.
+        """Returns the reports of some or all requests.
 
         Args:
-            wanted: The requests; those that aren't known are left out.
+            wanted: Fingerprints of the requests, unknown ones are skipped;
+                ``None`` for all.
         """
         self._forget_old()
         chosen = self._records if wanted is None else wanted
@@ -211,7 +208,7 @@
         )
 
     def count(self, call: calls.Call) -> int:
-        """Engines that crashed under a request, and count against it."""
+        """Returns the number of crashes that count against a request."""
         record = self._find(call)
         if record is None:
             return 0
@@ -219,17 +216,20 @@
         return len(record.crashes_ms)
 
     def is_quarantined(self, call: calls.Call) -> bool:
-        """Whether a request goes to no further engine."""
+        """Returns whether a request may not be sent to any engine."""
         return self.count(call) >= QUARANTINE_CRASHES
 
     def begin_trial(self, fingerprint: fingerprints.Fingerprint) -> bool:
-        """Lets one try of a request through all the same, if none was.
+        """Starts a trial of a quarantined request if one is allowed.
 
-        A second one may follow where it told nothing.
+        A further trial may start after the previous one ended without a result.
+
+        Returns:
+            Whether the trial may run.
         """
         record = self._records.get(fingerprint)
         if record is None:
-            # More is known where the try arrived than here.
+            # The receiving instance has a record that has not arrived here.
             return False
         now_ms = self._clock.now_ms()
         record.drop(now_ms - KEPT_MS)
@@ -245,11 +245,11 @@
         return True
 
     def check(self, call: calls.Call) -> None:
-        """Passes where a request may be sent to an engine.
+        """Checks that a request may be sent to an engine.
 
-        Asked when a request arrives and right before each sending: another try
-        of it may have crashed an engine meanwhile. The one that is let through
-        passes until one more has crashed.
+        Called on arrival and again right before each attempt, because another
+        try of the request may have crashed an engine in between. A trial passes
+        until one more engine has crashed.
 
         Raises:
             WharfError: ``QUARANTINED``.
@@ -268,7 +268,10 @@
         return "" if record is None else record.label
 
     def _find(self, call: calls.Call) -> _Record | None:
-        """The record of a request; its body is read only for a likely one."""
+        """Returns the record of a request.
+
+        The body is hashed only if the outline matches a record.
+        """
         if not self._outlines:
             return None
         if fingerprints.Outline.from_call(call) not in self._outlines:
@@ -278,7 +281,7 @@
     def _of(
         self, fingerprint: fingerprints.Fingerprint, *, label: str
     ) -> _Record:
-        """The record of a request, a new one where there is none."""
+        """Returns the record of a request, creating it if needed."""
         record = self._records.get(fingerprint)
         if record is not None:
             return record
@@ -290,11 +293,11 @@
         return record
 
     def _make_room(self) -> None:
-        """Keeps the number of records bounded.
+        """Evicts records until there is room for another one.
 
-        The account with the most gives way, and of its requests the one with
-        the fewest crashes: a caller that makes up thousands of them pushes out
-        none of another caller's, nor its own that are sure to crash engines.
+        Evicts from the account with the most records, fewest crashes first. An
+        account that sends many distinct requests thus cannot evict the records
+        of other accounts.
         """
         if len(self._records) < MOST_RECORDS:
             return
@@ -332,7 +335,7 @@
 
 
 def _later(known_ms: float, age_ms: float | None, now_ms: float) -> float:
-    """The later of two moments, one of which is told by its age."""
+    """Returns the later of a timestamp and one that is given by its age."""
     if age_ms is None or now_ms - age_ms <= known_ms + _SAME_MS:
         return known_ms
     return now_ms - age_ms
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -1,4 +1,4 @@
-"""An instance that forwards: its parts, put together from adapters."""
+"""Assembles a forwarding instance from its components and adapters."""
 
 from __future__ import annotations
 
@@ -49,18 +49,28 @@
 from jujubewharf.platform import tables
 from jujubewharf.requests import plain_endpoints
 
-# Share of the fleet's retries while the group can't be reached: small enough
-# for two dozen instances that are all cut off.
+# Share of the retry budget while the group is unreachable. Small enough for two
+# dozen isolated instances to stay within the fleet's budget.
 _SHARE_ALONE = 1 / 24
-# The balancer asks each second and takes an instance out after two misses.
+# Time for the load balancer, which probes every second, to remove an instance
+# after two failed probes.
 _BALANCER_MS = 2_600.0
-# What is left of the time before SIGKILL for closing down.
+# Reserve for closing connections before SIGKILL.
 _LAST_MS = 500.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Adapters:
-    """Everything outside that an instance speaks to."""
+    """Interfaces of an instance to external systems.
+
+    Attributes:
+        backends: Client for engines and plain endpoints.
+        configurations: Table of routing configurations.
+        endpoints: Table of endpoint registrations.
+        group: Group of all instances.
+        peers: Connections between instances; ``None`` without a leader.
+        crashes: Table of crash reports; ``None`` if they are not stored.
+    """
 
     backends: ports.Backends
     configurations: tables.Table[routes.RoutingConfiguration | None]
@@ -71,28 +81,28 @@
 
 
 class ForwardingEntry(mode.Service):
-    """Everything of an instance but its listeners.
+    """An instance without its listeners.
 
     Args:
-        settings: The instance's settings.
-        clock: Time.
-        adapters: What it speaks to.
-        rng: Random numbers, seeded by tests.
+        settings: Settings of the instance.
+        clock: Time source.
+        adapters: Interfaces to external systems.
+        rng: Random numbers, seeded in tests.
 
     Attributes:
-        admission: Counts requests in flight; closed by a shutdown.
+        admission: Counts requests in flight; closed on shutdown.
         source: Configuration in force.
-        registry: Endpoints that have registered.
-        restraints: What endpoints have said that they want.
-        share: Part of what the fleet shares, where nobody leads.
-        fleet: The leader of this instance, or its followers.
-        lease: The right to give orders to engines.
-        budget: Retries that this instance may make.
-        quotas: What accounts may use.
-        endpoint_limits: What endpoints take that name limits.
-        work: What requests cost, as observed here.
-        crashes: Which engines crashed under which requests.
-        fleet_crashes: Has all instances know it.
+        registry: Registered endpoints.
+        restraints: Rate limits, backoffs and drain notices of endpoints.
+        share: This instance's share of fleet-wide limits if there is no leader.
+        fleet: Link to the leader, or to the followers if this instance leads.
+        lease: Lease that is required to send orders to engines.
+        budget: Retry budget of this instance.
+        quotas: Enforces account quotas.
+        endpoint_limits: Enforces rate limits set by endpoints.
+        work: Observed costs of requests.
+        crashes: Crash history of requests.
+        fleet_crashes: Shares the crash history between instances.
     """
 
     def __init__(
@@ -159,8 +169,8 @@
             rng,
         )
         peers = adapters.peers
-        # Who leads gives the orders; without peers, whoever holds the first
-        # part of the group of all instances.
+        # The leader sends the orders; without peers, the holder of the first
+        # partition of the group does.
         self.lease = (
             self.share.lease
             if peers is None
@@ -284,7 +294,7 @@
         )
 
     async def on_start(self) -> None:
-        """Starts to follow the store."""
+        """Starts the services of the instance."""
         await self.add_runtime_dependency(self.quotas)
         await self.add_runtime_dependency(self._configurations)
         await self.add_runtime_dependency(self._endpoints)
@@ -297,19 +307,19 @@
             await self.add_runtime_dependency(self._leadership)
 
     def _is_shut(self, name: str) -> bool:
-        """Whether an endpoint gets no work at this moment."""
+        """Returns whether an endpoint accepts no requests at the moment."""
         if not self.registry.takes_work(name):
             return True
         return self.restraints.must_wait(name)
 
     def _limit_share(self) -> float:
-        """Equal part of what the fleet shares, where nobody counts for all."""
+        """Returns this instance's share of rate limits without a leader."""
         if self._leadership is None:
             return self.share.fraction
         return self.fleet.equal_share() or _SHARE_ALONE
 
     def _retry_share(self) -> float:
-        """Part of the fleet's retries that this instance may make."""
+        """Returns this instance's share of the retry budget."""
         if self._leadership is None:
             return self.share.fraction
         window_ms = self._settings.retries.window_s * clocks.MS_PER_S
@@ -326,13 +336,13 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer may send callers here."""
+        """Whether the load balancer may send requests to this instance."""
         is_informed = self.source.current is not None and self.registry.is_known
         return self.admission.is_ready and is_informed
 
     @property
     def limits(self) -> routes.CallerLimits:
-        """Bounds of what callers send, as far as known."""
+        """Limits on callers; defaults before the first configuration."""
         current = self.source.current
         return routes.CallerLimits() if current is None else current.limits
 
@@ -346,7 +356,7 @@
             yield reply
 
     def take_settings(self, settings: all_settings.ForwardingSettings) -> None:
-        """Puts settings in force that may change while the process runs."""
+        """Applies settings that can change while the process runs."""
         self._settings = settings
         self.quotas.tolerated = settings.quotas
         self.budget.change(
@@ -356,11 +366,11 @@
         )
 
     def retries_left(self) -> dict[str, float]:
-        """Retries that this instance may make now, by service."""
+        """Returns the remaining retries of this instance by service."""
         return {name: self.budget.left(name) for name in self._services()}
 
     def new_shutdown(self) -> shutdown.Shutdown:
-        """A graceful shutdown of this instance; the caller runs it."""
+        """Creates a graceful shutdown, to be run by the caller."""
         return shutdown.Shutdown(
             self.admission,
             lambda: 0,
--- a/src/jujubewharf/forwarding/events.py
+++ b/src/jujubewharf/forwarding/events.py
@@ -1,8 +1,8 @@
-"""Cuts a stream of server-sent events into whole, numbered events.
+"""Splits a stream of server-sent events into complete, numbered events.
 
-Events are passed on as they came. Only their ids are read: an engine may stop
-in the middle of an event, and a stream that goes on at another engine must
-neither leave out an event nor give one twice.
+Events are forwarded unchanged; only their ids are parsed. A stream that breaks
+inside an event can then resume on another engine without losing or repeating
+events.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event.
+    """A complete event.
 
     Attributes:
-        number: Its id; ``None`` for one without, such as a comment.
-        data: Its bytes, with the empty line that ends it.
+        number: Numeric event id; ``None`` for events without one, such as
+            comments.
+        data: Bytes of the event, including the terminating empty line.
     """
 
     number: int | None
@@ -27,18 +28,18 @@
 
 
 class EventCutter:
-    """Collects bytes and gives out the events that are whole."""
+    """Buffers bytes and returns complete events."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
     def has_partial(self) -> bool:
-        """Whether an event has begun that isn't whole yet."""
+        """Whether an incomplete event is buffered."""
         return bool(self._rest)
 
     def feed(self, data: bytes) -> list[Event]:
-        """Takes bytes in; returns the events that they completed."""
+        """Adds bytes and returns the events that they complete."""
         *whole, self._rest = (self._rest + data).split(_END)
         return [Event(_number(part), part + _END) for part in whole]
 
--- a/src/jujubewharf/forwarding/fingerprints.py
+++ b/src/jujubewharf/forwarding/fingerprints.py
@@ -1,7 +1,7 @@
-"""What stays the same of a request when its caller sends it again.
+"""Identifies a request across the tries of its caller.
 
-Each try has an id and a connection of its own, and may come to any instance.
-Its caller, host, method, path and body are those of the try before.
+Each try has its own request id and connection, and can arrive at any instance.
+Caller, host, method, path and body stay the same.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outline:
-    """The part of a fingerprint that costs the same for any body.
+    """Part of a fingerprint that does not require hashing the body.
 
     Attributes:
-        account: Client account of the caller; empty for none.
-        shape: Hash of host, method, path and the body's length.
+        account: Client account of the caller; empty if there is none.
+        shape: Hash of host, method, path and body length.
     """
 
     account: str
@@ -31,7 +31,7 @@
 
     @classmethod
     def from_call(cls, call: calls.Call) -> Outline:
-        """The outline of a request."""
+        """Returns the outline of a request."""
         parts = (call.host.lower(), call.method, call.path_query)
         text = "\0".join((*parts, str(len(call.body))))
         shape = xxhash.xxh3_64_intdigest(text.encode(errors="surrogateescape"))
@@ -40,15 +40,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fingerprint:
-    """Names a request over all of its tries.
+    """Identifies a request across its tries.
 
-    The digest is cryptographic: nobody can make up a request that is taken for
-    another caller's.
+    The digest is cryptographic, so that no caller can construct a request that
+    matches the fingerprint of another caller's request.
 
     Attributes:
-        outline: Tells nearly all other requests from it, at little cost.
-        digest: Digest of the caller's token, where there are no accounts, and
-            of all that the outline is made of, the body included.
+        outline: Cheap pre-check that rules out most other requests.
+        digest: Digest of host, method, path, body and, if the headers contain
+            one, the caller's token.
     """
 
     outline: Outline
@@ -56,7 +56,7 @@
 
     @classmethod
     def from_call(cls, call: calls.Call) -> Fingerprint:
-        """The fingerprint of a request; the cost grows with its body."""
+        """Computes the fingerprint of a request, hashing its body."""
         tokens = [v for n, v in call.headers if n.lower() == _TOKEN_HEADER]
         digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
         fields = (call.host.lower(), call.method, call.path_query, *tokens)
--- a/src/jujubewharf/forwarding/follower.py
+++ b/src/jujubewharf/forwarding/follower.py
@@ -1,4 +1,4 @@
-"""Follows a table of the platform's store, over its outages and gaps."""
+"""Follows a table of the platform's store through outages and truncation."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
     description="Reads of the store's tables, by outcome.",
 )
 
-# Pause after a failed call, spread so that instances that lost the store
-# together don't come back to it together.
+# Mean pause after a failed read. Jittered, so that instances that lost the
+# store at the same time do not reconnect at the same time.
 _RETRY_MS = 250.0
-# The store may forget a change that was read late, or show an old end. A whole
-# reading now and then finds what the changes left out.
+# Interval of full reads. They find changes that incremental reads missed
+# because the store dropped them or returned an outdated end offset.
 _WHOLE_EVERY_MS = 15_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pace:
-    """How often a table is read.
+    """Polling parameters of a table.
 
     Attributes:
-        wait_ms: How long one read waits for news at the store.
-        pause_ms: Time between the end of one read and the next.
+        wait_ms: Long-poll timeout of one read.
+        pause_ms: Time between the end of one read and the start of the next.
     """
 
     wait_ms: float
@@ -46,18 +46,18 @@
 
 
 class TableFollower(mode.Service, Generic[T]):
-    """Reads a table whole, then its changes, and again after a gap.
+    """Reads a whole table, then its changes, and starts over after a gap.
 
     Args:
-        name: Names the table in log lines.
+        name: Name of the table in log lines.
         table: The table.
-        pace: How often it is read.
-        clock: Time.
-        rng: Spreads the pauses.
-        on_page: Told each page; the flag says whether it is the whole table.
-        on_lost: Told when the store can't be reached any more.
-        is_watched: Whether another instance makes sure now that no change is
-            left out, so that no whole reading is due.
+        pace: Polling parameters.
+        clock: Time source.
+        rng: Jitter of the pauses.
+        on_page: Called with each page and whether it is the whole table.
+        on_lost: Called when the store is unreachable.
+        is_watched: Returns whether another instance currently guarantees that
+            no change is missed, so that full reads are not needed.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
 
     @property
     def offset(self) -> int:
-        """Offset up to which the table was read; 0 before that."""
+        """Offset up to which the table was read; 0 before the first read."""
         return self._offset or 0
 
     @mode.Service.task
@@ -128,7 +128,7 @@
             await self._clock.sleep_ms(self._pace.pause_ms)
 
     async def _next_page(self) -> tuple[tables.TablePage[T], bool]:
-        """The next page, and whether it is the whole table."""
+        """Returns the next page and whether it is the whole table."""
         now_ms = self._clock.now_ms()
         is_whole = self._offset is None
         if not is_whole and self._is_watched():
@@ -150,7 +150,7 @@
                 "store_regained", table=self._name, away_ms=away_ms
             )
             self._lost_ms = None
-        # A whole reading may be older than the changes that were read before.
+        # A full read can be older than changes that were already read.
         self._offset = max(page.end, self._offset or 0)
         self._on_page(page, is_whole)
 
--- a/src/jujubewharf/forwarding/following.py
+++ b/src/jujubewharf/forwarding/following.py
@@ -1,4 +1,4 @@
-"""What an instance follows of the store, by its leader's word or by itself."""
+"""Followers of the store's tables, fed by the leader or by the store itself."""
 
 from __future__ import annotations
 
@@ -19,17 +19,15 @@
 OnPage = Callable[[tables.TablePage[T], bool], None]
 _Configuration = routes.RoutingConfiguration | None
 
-# Part of the time within which a change must be in force that a read waits at
-# the store. One that waits hears of a change at once, but for one that arrives
-# in the same instant: that is answered only when its wait is over. With more
-# than the whole time a new route was refused 2.2 s after it was acknowledged,
-# where 2 s were allowed.
+# Long-poll timeout of configuration reads, as a share of the time within which
+# a change must be in force. A change that arrives just as a read begins is
+# returned only when the read times out, so the timeout must be well below that
+# time.
 _CONFIGURATION_PART = 0.5
-# Part of the time within which no work may go to an endpoint that leaves, after
-# which its entry is read again. Endpoints write all the time, so a read never
-# waits; twice in that time, and some for the calls themselves.
+# Polling interval of endpoint reads, as a share of the time within which an
+# endpoint that drains must get no more work. Allows two reads in that time.
 _REGISTRY_PART = 0.4
-# The same for the instance that reads it for all.
+# The same for the leader, which reads on behalf of all instances.
 _LEADING_REGISTRY_PART = 0.2
 
 
@@ -42,15 +40,15 @@
     *,
     on_page: OnPage[_Configuration],
 ) -> follower.TableFollower[_Configuration]:
-    """Follows what operators declare.
+    """Creates the follower of the routing configurations.
 
     Args:
-        table: The store's table.
-        fleet: The leader of this instance, or its followers.
+        table: Table of configurations.
+        fleet: Link to the leader or the followers.
         store: Settings of the store.
-        clock: Time.
-        rng: Spreads the readings.
-        on_page: Told what was read, and whether it is the whole table.
+        clock: Time source.
+        rng: Jitter of the pauses.
+        on_page: Called with each page and whether it is the whole table.
     """
     feed = fleet.feeds.configurations
     pace = follower.Pace(
@@ -77,16 +75,16 @@
     on_page: OnPage[resources.Endpoint],
     on_lost: Callable[[], None],
 ) -> follower.TableFollower[resources.Endpoint]:
-    """Follows which endpoints there are; see ``configurations``.
+    """Creates the follower of the endpoint registrations.
 
     Args:
-        table: The store's table.
-        fleet: The leader of this instance, or its followers.
+        table: Table of endpoint registrations.
+        fleet: Link to the leader or the followers.
         store: Settings of the store.
-        clock: Time.
-        rng: Spreads the readings.
-        on_page: Told what was read, and whether it is the whole table.
-        on_lost: Told that the store can't be reached.
+        clock: Time source.
+        rng: Jitter of the pauses.
+        on_page: Called with each page and whether it is the whole table.
+        on_lost: Called when the store is unreachable.
     """
     feed = fleet.feeds.endpoints
 
--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""One request's life: its route, its service, its answer, its end."""
+"""Handles one request: routing, authentication, forwarding, deadline."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 
 class RouteSource:
-    """The configuration in force, and its tables of routes and accounts.
+    """The configuration in force, with its route and account tables.
 
     Attributes:
-        current: The configuration; ``None`` before the first.
-        accounts: Its client accounts.
+        current: The configuration; ``None`` before the first one.
+        accounts: Client accounts of the configuration.
     """
 
     def __init__(self) -> None:
@@ -40,13 +40,13 @@
         self._table = routes.RouteTable(())
 
     def take(self, configuration: routes.RoutingConfiguration) -> bool:
-        """Puts a configuration in force unless it is older.
+        """Puts a configuration in force if it is newer than the current one.
 
-        The store may show an older state after a newer one. A version that
-        was used must not be left again.
+        The store can return an older state after a newer one, and a version
+        that was in force must not be rolled back.
 
         Returns:
-            Whether it is in force now and wasn't before.
+            Whether the configuration was put in force.
         """
         if self.current is not None:
             if configuration.version <= self.current.version:
@@ -57,10 +57,11 @@
         return True
 
     def match(self, host: str, path: str) -> routes.Route:
-        """The route of a request.
+        """Returns the route of a request.
 
         Raises:
-            WharfError: There is none, or nothing is known yet.
+            WharfError: ``UNKNOWN_SERVICE`` if no route matches, ``NOT_READY``
+                if there is no configuration yet.
         """
         if self.current is None:
             raise errors.WharfError(
@@ -74,14 +75,15 @@
     def account_of(
         self, route: routes.Route, headers: calls.Headers
     ) -> accounts.Account | None:
-        """The account whose key a request shows.
+        """Returns the account whose key a request contains.
 
         Returns:
-            ``None`` where none is asked for and none is shown.
+            The account; ``None`` if no key is required and no valid one is
+            given.
 
         Raises:
-            WharfError: ``UNAUTHENTICATED``; its detail names the version that
-                decided.
+            WharfError: ``UNAUTHENTICATED``; its detail contains the version of
+                the configuration.
         """
         if self.accounts.is_open:
             return None
@@ -97,18 +99,18 @@
 
 
 class Forwarder:
-    """Passes requests on.
+    """Forwards requests.
 
     Args:
-        source: The configuration in force.
-        plain_forwarder: Runs plain requests.
-        stream_forwarder: Runs streams on engines.
-        budget: Bounds retries over the fleet.
-        quotas: Bound what accounts use over the fleet.
-        history: Learns which requests came through.
-        quarantine: Admits none that crash engines.
-        clock: Time.
-        rng: Splits routes between their services.
+        source: Configuration in force.
+        plain_forwarder: Forwards plain requests.
+        stream_forwarder: Forwards streams from engines.
+        budget: Retry budget of the fleet.
+        quotas: Enforces account quotas.
+        history: Records requests that completed.
+        quarantine: Rejects requests that crash engines.
+        clock: Time source.
+        rng: Splits traffic between the services of a route.
         domain: Failure domain of this instance.
     """
 
@@ -142,7 +144,7 @@
         """Answers a request; the reply's body is read inside the block.
 
         Raises:
-            WharfError: There is no answer, or it broke off in the block.
+            WharfError: There is no answer, or it broke off inside the block.
         """
         try:
             run = self._new_run(call)
@@ -198,10 +200,10 @@
     def _without_key(
         self, call: calls.Call, account: accounts.Account | None
     ) -> calls.Call:
-        """The request as endpoints get it: with an account, without its key.
+        """Returns the request with the account's name and without its key.
 
-        Where no keys are configured a token is none of this system's, and goes
-        on to the endpoint that may ask for it.
+        If no keys are configured, the ``Authorization`` header is meant for the
+        endpoint and is forwarded.
         """
         if self._source.accounts.is_open:
             return call
@@ -210,7 +212,7 @@
         return dataclasses.replace(call, headers=kept, account=name)
 
     def _pick(self, route: routes.Route) -> str:
-        """One of the route's services, by their weights."""
+        """Selects one of the route's services by weight."""
         names = [share.service for share in route.shares]
         if len(names) == 1:
             return names[0]
@@ -219,7 +221,7 @@
 
     @contextlib.asynccontextmanager
     async def _bounded(self, run: runs.Run) -> AsyncIterator[None]:
-        """Ends the block at the deadline, and names its failures."""
+        """Enforces the deadline and maps failures to errors for the caller."""
         try:
             async with self._clock.timeout_ms(run.left_ms(self._clock)):
                 yield
@@ -235,11 +237,11 @@
         assert current is not None
         service = current.services.get(run.service)
         if run.route.is_stream and service is not None and service.engine:
-            # Kept with the request: a later configuration may drop the service
-            # while it runs.
+            # Stored in the run, because a later configuration may remove the
+            # service while the request runs.
             run.traits = service.engine
-            # Counted against its quota when it is placed, where all requests of
-            # the fleet are.
+            # The quota is charged on placement, which the leader does for all
+            # requests of the fleet.
             return await self._stream.begin(stack, run)
         self._quotas.take(run)
         return await self._plain.begin(stack, run)
--- a/src/jujubewharf/forwarding/limits.py
+++ b/src/jujubewharf/forwarding/limits.py
@@ -1,8 +1,8 @@
-"""Keeps to the rate limits that endpoints name.
+"""Enforces the rate limits that endpoints set.
 
-The load this answers: an endpoint in need asks for a few requests a second
-while its service gets dozens, at many instances at once. Each permit is for
-one request or prompt, and whoever gets none is told when to ask again.
+An overloaded endpoint may allow a few requests per second while many instances
+together receive far more for its service. Every request and every prefill needs
+a permit; callers without a permit are told when to try again.
 """
 
 from __future__ import annotations
@@ -13,35 +13,35 @@
 from jujubewharf import clock as clocks
 from jujubewharf.requests import buckets
 
-# Permits that may be saved up, as time at the limit. Requests come unevenly,
-# and with less most of a limit of several dozen a second would be lost.
+# Burst of the token buckets, in seconds of the limit. Requests arrive unevenly,
+# and a smaller burst would leave much of a high limit unused.
 _SAVED_UP_S = 0.25
-# A limit below this is taken for it: with no request at all nobody would ever
-# hear that it has ended.
+# Lower bound of limits. Without any request an instance would never learn that
+# the limit has ended.
 _LEAST_PER_S = 0.1
-# Whoever got no permit asks again within this time, for the limit may have
-# been raised and others may need none.
+# Upper bound of the retry-after time, because limits may be raised and other
+# instances may not use their permits.
 _LONGEST_WAIT_MS = 5_000.0
 
 
 class Permits(Protocol):
-    """Gives out what endpoints' limits allow."""
+    """Issues permits within the rate limits of endpoints."""
 
     async def take(self, endpoint: str) -> bool:
         """Takes a permit for one request.
 
         Returns:
-            Whether there was one. If not, ``restraints.Restraints`` has the
-            endpoint wait until it is worth to ask again.
+            Whether a permit was available. If not, ``restraints.Restraints``
+            defers the endpoint until a retry is worthwhile.
         """
         ...
 
 
 class LimitLedger:
-    """Permits of endpoints, given out by one who counts all of them.
+    """Token buckets that enforce the rate limits of endpoints.
 
     Args:
-        first_permits: Tells what an endpoint's count begins with, below 1.
+        first_permits: Returns the initial tokens of a new bucket, below 1.
     """
 
     def __init__(self, first_permits: Callable[[], float]) -> None:
@@ -61,13 +61,13 @@
 
         Args:
             endpoint: Name of the endpoint.
-            limit_per_s: Its limit.
-            now_ms: Now.
-            part: Part of the limit that is given out here.
+            limit_per_s: Rate limit of the endpoint in requests per second.
+            now_ms: Current clock reading.
+            part: Share of the limit that is issued here, 0 to 1.
 
         Returns:
-            0 where there was one; else the time in ms until it is worth to ask
-            again, a later one for each who asks.
+            0 if a permit was taken, else the retry-after time in milliseconds.
+            Successive callers get increasing times.
         """
         rate_per_s = max(limit_per_s, _LEAST_PER_S) * part
         bucket = self._by_name.get(endpoint)
@@ -92,5 +92,5 @@
         promised_ms = self._promised_ms.get(endpoint, 0.0) + apart_ms
         at_ms = min(max(free_ms, promised_ms), now_ms + _LONGEST_WAIT_MS)
         self._promised_ms[endpoint] = at_ms
-        # Never no time at all, or who asks again at once would ask for ever.
+        # At least 1 ms, so that callers do not retry in a busy loop.
         return max(1.0, at_ms - now_ms)
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -1,4 +1,4 @@
-"""Passes one plain request on: choose an endpoint, send, send again or tell."""
+"""Forwards plain requests: selects an endpoint, sends, retries."""
 
 from __future__ import annotations
 
@@ -24,30 +24,29 @@
 from jujubewharf.forwarding import runs
 from jujubewharf.requests import plain_endpoints
 
-# Answers up to this size are read whole before their first byte is passed on,
-# so that one which breaks off can be asked for again, or be told as an error.
+# Answers up to this size are buffered before their first byte is forwarded, so
+# that an answer that breaks off can be retried or reported as an error.
 MAX_BUFFERED_BYTES = 262_144
-# A repeatable request is sent again when no answer came after this part of
-# its target: late enough that most answers are there, early enough that the
-# second one is in time.
+# Share of a route's target time after which an unanswered request is retried if
+# it may be repeated. Leaves time for the second attempt.
 _PATIENCE_OF_TARGET = 0.75
 _SERVER_ERROR = 500
-# Before the deadline, to pass on the failure that an endpoint gave earlier.
+# Reserve before the deadline for forwarding an earlier endpoint's error.
 _LAST_WORD_MS = 50.0
 
 
 class PlainForwarder:
-    """Runs plain requests.
+    """Forwards plain requests.
 
     Args:
-        backends: Calls endpoints.
-        registry: Tells which of them take work.
-        chooser: Picks one.
-        budget: Bounds retries over the fleet.
-        limits: Bound what endpoints get that name limits.
-        restraints: What endpoints want.
-        clock: Time.
-        rng: Spreads the times at which refused callers come back.
+        backends: Client for endpoints.
+        registry: Registered endpoints.
+        chooser: Selects endpoints.
+        budget: Retry budget of the fleet.
+        limits: Rate limits set by endpoints.
+        restraints: Rate limits, backoffs and drain notices sent by endpoints.
+        clock: Time source.
+        rng: Jitter of retry-after times.
     """
 
     def __init__(
@@ -73,10 +72,10 @@
     async def begin(
         self, stack: contextlib.AsyncExitStack, run: runs.Run
     ) -> calls.Reply:
-        """Gets an answer; it is read while the stack is open.
+        """Returns an answer, whose body is read while the stack is open.
 
         Raises:
-            WharfError: There is none.
+            WharfError: There is no answer.
         """
         failed: set[str] = set()
         answered: calls.Reply | None = None
@@ -107,7 +106,7 @@
     async def _choose(
         self, run: runs.Run, failed: Collection[str]
     ) -> resources.Endpoint | None:
-        """An endpoint that takes one more request at this moment."""
+        """Returns an endpoint that accepts a request now, if there is one."""
         while True:
             endpoint = self._chooser.choose(
                 run.service, excluded=frozenset(failed)
@@ -115,14 +114,14 @@
             if endpoint is None:
                 return None
             if not await self._limits.take(endpoint.name):
-                # Deferred from now on, so the next choice is another.
+                # The endpoint is now deferred and not selected again.
                 continue
             if self._chooser.may_get_work(endpoint.name):
-                # It may have begun to leave while the leader was asked.
+                # It may have started to drain while the leader was asked.
                 return endpoint
 
     def _nobody(self, run: runs.Run) -> errors.WharfError:
-        """The error where no endpoint takes the request now."""
+        """Returns the error for a request that no endpoint accepts."""
         names = [e.name for e in self._registry.of_service(run.service)]
         wait_ms = self._restraints.wait_ms(names)
         if wait_ms is None:
@@ -139,7 +138,7 @@
     def _may_repeat(self, run: runs.Run, reason: str) -> bool:
         left = self._budget.left(run.service)
         if not run.tried:
-            # Nothing of it has reached any endpoint.
+            # No endpoint has received any part of the request.
             return True
         if not run.may_send or not run.has_attempts:
             return False
@@ -209,12 +208,12 @@
         return reply
 
     def _patience_ms(self, run: runs.Run, *, has_answer: bool) -> float | None:
-        """How long an endpoint is waited for; ``None`` to the deadline.
+        """Returns the timeout of an attempt; ``None`` to wait for the deadline.
 
         Args:
             run: The request.
-            has_answer: Whether another endpoint's own failure is at hand, which
-                is a better answer at the deadline than one of ours.
+            has_answer: Whether another endpoint has already answered with an
+                error, which is forwarded if this attempt times out.
         """
         if has_answer:
             return max(0.0, run.left_ms(self._clock) - _LAST_WORD_MS)
@@ -226,7 +225,7 @@
 
 
 async def _buffered(reply: calls.Reply) -> calls.Reply:
-    """Reads a body as far as is kept; a longer rest follows as it arrives."""
+    """Buffers a body up to ``MAX_BUFFERED_BYTES`` and streams the rest."""
     parts: list[bytes] = []
     size = 0
     async for part in reply.body:
--- a/src/jujubewharf/forwarding/ports.py
+++ b/src/jujubewharf/forwarding/ports.py
@@ -1,4 +1,4 @@
-"""What forwarding needs of engines and of the platform's store."""
+"""Interfaces to engines and instances that forwarding requires."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoleOrder:
-    """An order to change role.
+    """An order to change an engine's role.
 
     Attributes:
-        role: Role wanted.
+        role: Requested role.
         holder: Name of the instance that holds the lease.
         fence: Fencing token of the lease.
     """
@@ -30,12 +30,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerAdapters:
-    """What an instance needs to lead others or follow one.
+    """Interfaces for connecting instances with each other.
 
     Attributes:
-        leaders: The group of those who may lead; its contacts are addresses.
-        transport: Dials and listens.
-        address: Where this instance is dialled.
+        leaders: Group of the instances that can lead; its contacts are
+            addresses.
+        transport: Opens and accepts connections.
+        address: Address on which this instance accepts connections.
     """
 
     leaders: groups.Group
@@ -44,36 +45,36 @@
 
 
 class Backends(Protocol):
-    """Calls engines and plain endpoints.
+    """Client for engines and plain endpoints.
 
-    Every call raises ``client.EngineError``; its fault tells whether the
-    endpoint may have begun to work.
+    All calls raise ``client.EngineError`` on failure; its fault tells whether
+    the endpoint may have started to process the request.
     """
 
     def listen(self, listener: notices.Listener) -> None:
-        """Calls back with what each answer says of its endpoint.
+        """Registers a callback for notices in answers.
 
-        Every answer counts, those to refused requests and to calls about an
-        engine's state too. The listener hears of it before whoever asked.
+        The callback receives the notices of every answer, including refusals
+        and answers to status calls, before the answer is returned.
         """
         ...
 
     def send(
         self, endpoint: resources.Endpoint, sending: calls.Sending
     ) -> contextlib.AbstractAsyncContextManager[calls.Reply]:
-        """Sends a request; leaving the context ends the engine's work."""
+        """Sends a request; leaving the context cancels it on the engine."""
         ...
 
     async def prefill(
         self, endpoint: resources.Endpoint, sending: calls.Sending
     ) -> calls.Source:
-        """Reads the prompt only; the result waits there for a short time."""
+        """Runs prefill only; the engine keeps the result for a short time."""
         ...
 
     async def drop_source(
         self, endpoint: resources.Endpoint, source: calls.Source
     ) -> None:
-        """Frees a prefill result that nobody will fetch."""
+        """Frees a prefill result that will not be fetched."""
         ...
 
     async def reserve(
@@ -81,30 +82,35 @@
     ) -> str:
         """Reserves a slot and memory.
 
+        Args:
+            endpoint: The engine.
+            tokens: Size of the memory in tokens.
+            ttl_ms: Time until the reservation expires, in milliseconds.
+
         Returns:
-            The reservation's name.
+            Name of the reservation.
         """
         ...
 
     async def drop_reservation(
         self, endpoint: resources.Endpoint, hold: str
     ) -> None:
-        """Gives a reservation back."""
+        """Releases a reservation."""
         ...
 
     async def is_changing(self, endpoint: resources.Endpoint) -> bool:
-        """Whether an engine is carrying out an order, and so takes no work."""
+        """Returns whether an engine is changing roles and accepts no work."""
         ...
 
     async def has_crashed(self, endpoint: resources.Endpoint) -> bool:
-        """Whether no process is at an endpoint's address any more.
+        """Returns whether an endpoint's process no longer exists.
 
-        ``False`` where that can't be told. Raises nothing.
+        Returns ``False`` if this cannot be determined. Never raises.
         """
         ...
 
     async def order_role(
         self, endpoint: resources.Endpoint, order: RoleOrder
     ) -> None:
-        """Asks an engine to change its role; again is harmless."""
+        """Orders an engine to change its role; idempotent."""
         ...
--- a/src/jujubewharf/forwarding/quarantine.py
+++ b/src/jujubewharf/forwarding/quarantine.py
@@ -1,4 +1,4 @@
-"""Admits requests, but not those that crash engines."""
+"""Rejects requests that crash engines."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class Trials(Protocol):
-    """Lets one try of a request in quarantine through, over all instances."""
+    """Grants trials of quarantined requests across all instances."""
 
     async def take(self, call: calls.Call) -> bool:
-        """Whether this try is the one."""
+        """Returns whether this try may run as a trial."""
         ...
 
 
 class Quarantine:
-    """Decides whether a try may go to an engine.
+    """Decides whether a request may be sent to an engine.
 
     Args:
-        history: Tells under which requests engines crashed.
-        trials: Let one try of such a request through.
+        history: Crash history of requests.
+        trials: Grants trials of quarantined requests.
     """
 
     def __init__(self, history: crashes.CrashHistory, trials: Trials) -> None:
@@ -32,10 +32,11 @@
         self._trials = trials
 
     async def admit(self, run: runs.Run) -> None:
-        """Passes where a request may go to an engine, or to one more.
+        """Checks that a request may be sent to an engine, or to a further one.
 
-        Asked before it uses anything up. A stream that goes on at another
-        engine is asked again: the engine before may have been the third.
+        Called before the request uses any resources, and again when a stream
+        resumes on another engine, because the engine that failed may have been
+        the crash that led to quarantine.
 
         Raises:
             WharfError: ``QUARANTINED``.
--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -1,7 +1,7 @@
-"""Holds accounts to what they may use, by buckets of all their use.
+"""Enforces account quotas with token buckets.
 
-The load this answers: one account sends many times its usual. Without a bound
-it takes the engines' memory from all others, who have a right to theirs.
+Without quotas, one account that sends far more than usual would take engine
+memory from all other accounts.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from jujubewharf.forwarding import runs
 from jujubewharf.requests import buckets
 
-# Part of the burst that an account has where nothing of its use is known, as
-# after a change of leader. With all of it each change would grant the burst
-# once more; with none, accounts far within their quota would be refused.
+# Share of the burst that an account starts with if its use is unknown, for
+# example after a change of leader. The whole burst would be granted again on
+# each change; none at all would reject accounts that are within their quota.
 _UNKNOWN_PART = 0.25
 
 
@@ -27,28 +27,28 @@
     """Admits requests within the quotas of their accounts."""
 
     def take(self, run: runs.Run) -> None:
-        """Counts a request against its account's quota, once for each run.
+        """Charges a request to its account's quota, once per run.
 
         Raises:
-            WharfError: ``RATE_LIMITED``: the account has used it up.
+            WharfError: ``RATE_LIMITED`` if the quota is used up.
         """
         ...
 
     def give_back(self, run: runs.Run) -> None:
-        """Takes back what was counted for a request that didn't run."""
+        """Refunds a request that did not run."""
         ...
 
     def admitted(self, run: runs.Run) -> None:
-        """Learns that a request of this instance's own callers runs."""
+        """Records that a request received by this instance was admitted."""
         ...
 
 
 @contextlib.contextmanager
 def counted(quotas: Quotas, run: runs.Run) -> Iterator[None]:
-    """Counts a request for a block that places it.
+    """Charges a request for the duration of its placement.
 
-    What was counted here is given back where the block fails or is left, since
-    the request didn't run.
+    If the block raises or is cancelled, the request did not run, and what was
+    charged here is refunded.
 
     Raises:
         WharfError: ``RATE_LIMITED``.
@@ -65,12 +65,12 @@
 
 @dataclasses.dataclass(slots=True)
 class _Use:
-    """What one account may still use, and what was promised of it.
+    """Use of one account's quota.
 
     Attributes:
-        bucket: What it may use now.
-        promised_ms: When the refused request that is to come back last would
-            find what it needs.
+        bucket: Units available now.
+        promised_ms: Latest retry-after time that was given to a refused
+            request, as a clock reading.
     """
 
     bucket: buckets.TokenBucket
@@ -78,15 +78,14 @@
 
 
 class QuotaLedger:
-    """What accounts may still use, counted by one who sees all of it.
+    """Token buckets of all accounts.
 
-    A request is admitted while anything is left, and what it counts beyond
-    that is a debt: so a request larger than the burst can run at all, and no
-    account gets more over time than its rate. More than its burst is used at
-    once by one request at most.
+    A request is admitted while any units are left, and may take its bucket into
+    debt. Requests larger than the burst can thus run, while the average rate
+    stays within the quota. At most one request exceeds the burst at a time.
 
     Args:
-        now_ms: When the count begins.
+        now_ms: Clock reading at which counting starts.
     """
 
     def __init__(self, now_ms: float = 0.0) -> None:
@@ -94,7 +93,7 @@
         self._since_ms = now_ms
 
     def left(self, account: str, quota: accounts.Quota, now_ms: float) -> float:
-        """Units that may be used now; less than nothing in debt."""
+        """Returns the units available now; negative in debt."""
         return self._filled(account, quota, now_ms).bucket.tokens
 
     def take(
@@ -106,18 +105,18 @@
         *,
         debt: float = 0.0,
     ) -> float:
-        """Takes units if the account has anything left.
+        """Charges units if the account has any left.
 
         Args:
             account: Name of the account.
-            quota: What it may use.
-            units: What the request counts.
-            now_ms: Now.
-            debt: Debt up to which this request is admitted all the same.
+            quota: Quota of the account.
+            units: Units to charge.
+            now_ms: Current clock reading.
+            debt: Debt in units up to which the request is still admitted.
 
         Returns:
-            0 where they were taken; else the time in ms until a request that
-            is told so now finds what it needs.
+            0 if the units were charged, else the retry-after time in
+            milliseconds.
         """
         use = self._filled(account, quota, now_ms)
         if use.bucket.tokens > -debt:
@@ -132,38 +131,38 @@
         units: float,
         now_ms: float,
     ) -> None:
-        """Counts what was used already, or gives back what wasn't (below 0)."""
+        """Charges units unconditionally; negative units are a refund."""
         self._filled(account, quota, now_ms).bucket.tokens -= units
 
     @property
     def names(self) -> frozenset[str]:
-        """Accounts whose use is known."""
+        """Accounts with a bucket."""
         return frozenset(self._uses)
 
     def knows(self, account: str) -> bool:
-        """Whether anything is known of an account's use."""
+        """Returns whether an account has a bucket."""
         return account in self._uses
 
     def put(self, account: str, units: float, now_ms: float) -> None:
-        """Learns what an account has left by another's count."""
+        """Sets an account's available units to a value counted elsewhere."""
         self._uses[account] = _Use(buckets.TokenBucket(units, now_ms))
 
     def keep_only(self, names: Collection[str]) -> None:
-        """Forgets accounts that are no more."""
+        """Removes all accounts but the given ones."""
         for name in list(self._uses):
             if name not in names:
                 del self._uses[name]
 
     def forget(self) -> None:
-        """Forgets all use."""
+        """Removes all accounts."""
         self._uses.clear()
 
     def resume(self, now_ms: float) -> None:
-        """Counts again after somebody else has counted for a while.
+        """Resumes counting after another instance has counted for a while.
 
-        What accounts have saved up meanwhile they may have used there. Debts
-        stay: without them a count that changes hands often would grant each
-        time what it grants to an account of which it knows nothing.
+        Accounts may have used their accumulated units there, so these are
+        capped. Debts are kept; otherwise frequent changes of the counting
+        instance would let accounts exceed their quotas.
         """
         self._since_ms = now_ms
 
@@ -185,10 +184,11 @@
     def _promise(
         self, use: _Use, quota: accounts.Quota, units: float, now_ms: float
     ) -> float:
-        """When a refused request finds what it needs.
+        """Returns the retry-after time of a refused request in milliseconds.
 
-        Each is told a later time than the one before, by what that one needs:
-        told the same, all would come back together and most be refused again.
+        Each refused request gets a later time than the one before, by the units
+        that it needs. Otherwise all would retry at once, and most would be
+        refused again.
         """
         needed = min(units, quota.burst)
         own_ms = units / quota.rate_per_s * clocks.MS_PER_S
--- a/src/jujubewharf/forwarding/refusals.py
+++ b/src/jujubewharf/forwarding/refusals.py
@@ -1,6 +1,6 @@
-"""Status and headers of an error answer.
+"""HTTP status and headers of error responses.
 
-Some statuses promise that nothing ran.
+Some statuses tell the caller that the request was not processed.
 """
 
 from __future__ import annotations
@@ -8,17 +8,17 @@
 from jujubewharf import clock as clocks
 from jujubewharf import errors
 
-# Callers take these for the word that the request has not run and never will,
-# and send it again although it may not be repeated.
+# Callers retry requests that got one of these, even non-idempotent ones,
+# because they take them to mean that the request was not processed.
 PROMISES = frozenset({408, 421, 429, 503})
 _UNKNOWN_OUTCOME = 504
 
 
 def status_of(error: errors.WharfError) -> int:
-    """The HTTP status of a failure.
+    """Returns the HTTP status of an error.
 
-    A status that promises that nothing ran is given only where that is known;
-    whatever else the error's kind says.
+    Statuses in ``PROMISES`` are only used if the request was certainly not
+    processed; otherwise they are replaced by 504.
     """
     status = error.answer.http_status
     if status in PROMISES and error.ran is not errors.Ran.NO:
@@ -27,10 +27,10 @@
 
 
 def headers_of(error: errors.WharfError) -> dict[str, str]:
-    """HTTP headers that tell a caller what to do about a failure.
+    """Returns the HTTP headers of an error response.
 
-    When to come back is told only where nothing ran: a caller that came back
-    after a request of unknown outcome might have it run twice.
+    ``Retry-After`` is only set if the request was certainly not processed, so
+    that a request of unknown outcome is not repeated.
     """
     found: dict[str, str] = {}
     if error.retry_after_ms is not None and error.ran is errors.Ran.NO:
--- a/src/jujubewharf/forwarding/registration.py
+++ b/src/jujubewharf/forwarding/registration.py
@@ -1,9 +1,8 @@
-"""One start of an endpoint, as it has registered itself.
+"""Registration of one start of an endpoint.
 
-An endpoint may start again under the name that it had. It then holds nothing
-of before: reservations, prefill results, orders and all that was learned of
-its speed are gone. So each start is an endpoint of its own inside, with a name
-that no other start has, and nothing that is known by name can be mixed up.
+An endpoint that restarts may register under its former name, but has lost its
+reservations, prefill results and orders, and its speed may differ. Each start
+is therefore a separate endpoint with a unique name inside the router.
 """
 
 from __future__ import annotations
@@ -15,12 +14,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Registration(resources.Endpoint):
-    """An endpoint whose ``name`` is that of one start.
+    """An endpoint whose ``name`` is unique to one start of its process.
 
     Attributes:
-        registered_as: Name by which it knows itself, and under which it
-            registered; other starts may have had it.
-        started_ms: Unix time of this start; ``None`` where it doesn't tell.
+        registered_as: Name under which the endpoint registered; earlier starts
+            may have used it too.
+        started_ms: Unix time of the start in milliseconds; ``None`` if the
+            endpoint does not report it.
     """
 
     registered_as: str = ""
@@ -28,7 +28,7 @@
 
     @classmethod
     def from_endpoint(cls, endpoint: resources.Endpoint) -> Registration:
-        """The registration of an endpoint that never started under its name."""
+        """Creates the registration of an endpoint's first start."""
         fields = {
             field.name: getattr(endpoint, field.name)
             for field in dataclasses.fields(endpoint)
@@ -37,14 +37,14 @@
 
 
 def public_name(endpoint: resources.Endpoint) -> str:
-    """Name by which an endpoint knows itself."""
+    """Returns the name under which an endpoint registered."""
     if isinstance(endpoint, Registration):
         return endpoint.registered_as
     return endpoint.name
 
 
 def started_ms(endpoint: resources.Endpoint) -> int | None:
-    """Unix time of an endpoint's start; ``None`` where it doesn't tell."""
+    """Returns the Unix time of an endpoint's start in ms, if known."""
     if isinstance(endpoint, Registration):
         return endpoint.started_ms
     return None
--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that have registered themselves, as the store shows them."""
+"""Endpoints that are registered in the platform's store."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from jujubewharf.configuration import resources
 from jujubewharf.forwarding import registration
 
-# An endpoint that lives is back in the store this long after its return, plus
-# the time for this instance's next look.
+# Time after an outage of the store within which running endpoints register
+# again, excluding this instance's polling interval.
 LAPSE_GRACE_MS = 2_400.0
 
 Listener = Callable[[Sequence[resources.Endpoint]], None]
@@ -23,16 +23,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """The newest word of one endpoint.
+    """Newest store entry of one endpoint.
 
     Attributes:
-        key: Name under which it registered; it may be that of an earlier
-            start.
-        offset: Place in the store; of two words the later counts.
-        endpoint: ``None`` when its entry was removed. ``drained`` is its own
-            word that it leaves.
-        is_unreadable: Whether there is an entry that can't be understood; it
-            names no endpoint.
+        key: Name under which the endpoint registered; earlier starts may have
+            used it too.
+        offset: Offset in the store; the higher one is newer.
+        endpoint: The endpoint; ``None`` if the entry was removed. ``drained``
+            is set if the entry says that the endpoint drains.
+        is_unreadable: Whether the entry could not be decoded.
     """
 
     key: str
@@ -42,25 +41,24 @@
 
 
 class Registry:
-    """Which endpoints there are, and which of them take new work.
+    """Tracks which endpoints are registered and which of them accept work.
 
-    The store may show an old state after a newer one, and drops entries of
-    living endpoints while it is away. So a record counts only when it is
-    later than what is known of its name, and an entry that vanished over an
-    outage is kept for the time in which a living endpoint registers again.
+    The store can return an old state after a newer one, and drops the entries
+    of running endpoints during an outage. Records are therefore only applied if
+    they are newer than the known one, and entries that vanish during an outage
+    are kept until running endpoints must have registered again.
 
-    An endpoint that starts again may register under the key that it had. Its
-    endpoint then has another name, so nothing that is known of the earlier
-    start is taken for its own. A word of the earlier start that arrives after
-    one of the later start is left out.
+    Endpoints that restart may register under the same key. Each start has its
+    own endpoint name, and records of an earlier start are ignored once a later
+    one is known.
 
-    The store may be away while an endpoint begins to leave, and its entry goes
-    on to say that it is ready. Its own word in an answer counts before that.
+    While the store is unavailable, an endpoint that drains is still stored as
+    ready. Drain notices in the endpoint's answers take precedence.
 
     Args:
-        clock: Time.
-        says_it_leaves: Tells of an endpoint's start, by its name, whether it
-            has said in an answer that it leaves.
+        clock: Time source.
+        says_it_leaves: Returns whether the endpoint of this name has sent a
+            drain notice.
     """
 
     def __init__(
@@ -83,23 +81,23 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether anything was ever read."""
+        """Whether any record was read."""
         return bool(self._records)
 
     @property
     def is_away(self) -> bool:
-        """Whether the store can't be reached."""
+        """Whether the store is unavailable."""
         return self._is_away
 
     @property
     def age_ms(self) -> float:
-        """Time since the store was last read; for log lines."""
+        """Time since the last successful read, for log lines."""
         if self._heard_ms is None:
             return float("inf")
         return self._clock.now_ms() - self._heard_ms
 
     def present(self) -> list[resources.Endpoint]:
-        """All that are registered, those that leave included."""
+        """Returns all registered endpoints, including draining ones."""
         return [
             self._as_it_says(record.endpoint)
             for record in self._records.values()
@@ -107,34 +105,37 @@
         ]
 
     def listen(self, listener: Listener) -> None:
-        """Calls back with all that take new work, whenever that may change."""
+        """Registers a callback that gets all endpoints that accept work."""
         self._listeners.append(listener)
 
     def of_service(self, service: str) -> Sequence[resources.Endpoint]:
-        """Endpoints of a service that take new work."""
+        """Returns the endpoints of a service that accept work."""
         self._forget_lapsed()
         return self._by_service.get(service, ())
 
     def takes_work(self, name: str) -> bool:
-        """Whether an endpoint may be sent new work at this moment.
+        """Returns whether an endpoint accepts work now.
 
-        Asked again right before each sending: the answer may change while a
-        request waits for its place.
+        Checked again right before each attempt, because the endpoint may have
+        started to drain while the request waited.
         """
         self._forget_lapsed()
         endpoint = self._by_name.get(name)
         return endpoint is not None and not endpoint.drained
 
     def knows(self, name: str) -> bool:
-        """Whether an endpoint is registered, or was before an outage."""
+        """Returns whether an endpoint is registered or was until an outage."""
         return name in self._by_name
 
     def begins_to_leave(self) -> None:
-        """Learns that some endpoint has just said that it leaves."""
+        """Updates the index after an endpoint has sent a drain notice."""
         self._index()
 
     def get(self, name: str) -> resources.Endpoint | None:
-        """An endpoint's newest registration, also when it leaves."""
+        """Returns an endpoint's registration, even if it drains.
+
+        Endpoints whose entry vanished during an outage are left out.
+        """
         endpoint = self._by_name.get(name)
         if (
             endpoint is None
@@ -144,10 +145,10 @@
         return endpoint
 
     def replaced(self, name: str) -> None:
-        """Learns from whoever has its address now that an endpoint is gone.
+        """Removes an endpoint whose address belongs to another endpoint now.
 
-        An instance that is cut off from the store would else send to it for
-        as long as the cut lasts. A later word of the endpoint itself counts.
+        Otherwise an instance that is cut off from the store would keep sending
+        requests to it. A newer record of the endpoint restores it.
         """
         endpoint = self._by_name.get(name)
         if endpoint is None:
@@ -160,18 +161,18 @@
         self._index()
 
     def store_lost(self) -> None:
-        """Learns that the store can't be reached."""
+        """Records that the store is unavailable."""
         self._is_away = True
 
     def store_back(self) -> None:
-        """Learns that the store answers."""
+        """Records that the store answers."""
         self._heard_ms = self._clock.now_ms()
         if self._is_away:
             self._is_away = False
             self._back_ms = self._clock.now_ms()
 
     def take(self, records: Iterable[Record]) -> None:
-        """Takes over what the store shows of some endpoints."""
+        """Applies changed records."""
         for record in records:
             known = self._records.get(record.key)
             is_later = known is None or record.offset > known.offset
@@ -180,12 +181,12 @@
         self._index()
 
     def take_all(self, records: Sequence[Record], end: int) -> None:
-        """Takes over everything the store holds.
+        """Applies a full read of the store.
 
         Args:
             records: All entries.
-            end: Where the store ended before they were read. What is known
-                from before and isn't among them was removed.
+            end: End offset of the store before the read. Older known records
+                that are not among the entries were removed.
         """
         self.take(records)
         keys = {record.key for record in records}
@@ -196,7 +197,7 @@
         self._index()
 
     def _is_of_earlier_start(self, record: Record) -> bool:
-        """Whether a later start than the one that it tells of is known."""
+        """Returns whether a later start of the record's endpoint is known."""
         if record.endpoint is None:
             return False
         started_ms = registration.started_ms(record.endpoint)
@@ -243,7 +244,7 @@
             self._index()
 
     def _as_it_says(self, endpoint: resources.Endpoint) -> resources.Endpoint:
-        """A registration, leaving where the endpoint has said so itself."""
+        """Marks an endpoint as draining if it has sent a drain notice."""
         if endpoint.drained or not self._says_it_leaves(endpoint.name):
             return endpoint
         return dataclasses.replace(endpoint, drained=True)
--- a/src/jujubewharf/forwarding/reloading.py
+++ b/src/jujubewharf/forwarding/reloading.py
@@ -1,4 +1,4 @@
-"""Puts changes of the settings file in force while the process runs."""
+"""Reloads the settings file while the process runs."""
 
 from __future__ import annotations
 
@@ -12,28 +12,26 @@
 from jujubewharf import clock as clocks
 from jujubewharf.forwarding import settings as all_settings
 
-# The file may change without a signal. Nothing in it is urgent, and a look is
-# one read of a kilobyte.
+# Polling interval for changes of the file that are not signalled.
 CHECK_MS = 5_000.0
-# Fields that take effect at once. The others name what the process listens on
-# or is known by.
+# Fields that can change without a restart. The others define listeners and the
+# identity of the process.
 LIVE_FIELDS = frozenset({"quotas", "retries", "stop_within_s"})
-# A file with many errors is told in part; `jujubewharf settings check` tells
-# all of them.
+# Maximum length of a logged error; `jujubewharf settings check` prints all.
 _MAX_DETAIL = 500
 
 
 class SettingsReloader(mode.Service):
-    """Reads the settings file again, on a signal and now and then.
+    """Reads the settings file periodically and on request.
 
-    A file that doesn't fit changes nothing: it may be read while it is being
-    written, and an instance that stopped for it would take the others along.
+    An invalid file is ignored, because it may be read while it is being
+    written.
 
     Args:
-        path: The settings file.
-        settings: What was read of it at the start.
-        clock: Time.
-        apply: Takes the settings whose live fields have changed.
+        path: Path of the settings file.
+        settings: Settings at startup.
+        clock: Time source.
+        apply: Called with the new settings if a live field has changed.
 
     Attributes:
         settings: Settings in force.
@@ -50,7 +48,7 @@
         super().__init__()
         self.settings = settings
         self._path = path
-        # Also what waits for a restart, so that it is told only once.
+        # Includes changes that need a restart, so that each is logged once.
         self._seen = settings
         self._clock = clock
         self._apply = apply
@@ -58,7 +56,7 @@
         self._logger = structlog.get_logger()
 
     def request(self) -> None:
-        """Asks for a look now; for a signal handler."""
+        """Requests an immediate reload; for signal handlers."""
         self._asked.set()
 
     @mode.Service.task
@@ -76,7 +74,7 @@
                 self._take(found)
 
     async def _wait(self) -> bool:
-        """Waits for the next look; true where a signal asks for it."""
+        """Waits for the next reload; returns whether it was requested."""
         try:
             async with self._clock.timeout_ms(CHECK_MS):
                 await self._asked.wait()
--- a/src/jujubewharf/forwarding/restraints.py
+++ b/src/jujubewharf/forwarding/restraints.py
@@ -1,9 +1,8 @@
-"""What endpoints have said in their answers of the work that they want.
+"""Rate limits, backoffs and drain notices that endpoints send in their answers.
 
-An answer can name a rate limit, say that its endpoint leaves, or ask the
-instance that it goes to to back off for a while. The first two are terms for
-all instances: whoever hears them tells the others, see
-``leadership.fleet_limits``. The last concerns this instance alone.
+Rate limits and drain notices apply to all instances; the instance that receives
+one forwards it to the others, see ``leadership.fleet_limits``. A backoff
+applies only to the instance that receives it.
 """
 
 from __future__ import annotations
@@ -17,22 +16,23 @@
 from jujubewharf.engines import notices
 from jujubewharf.forwarding import beliefs
 
-# What is known of an endpoint that isn't registered is kept for this long. Its
-# entry may be missing for an outage of the store and come back as it was.
+# Retention for endpoints that are not registered. Their entry may be missing
+# because of an outage of the store and return later.
 _KEPT_MS = 600_000.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Restraint:
-    """What one endpoint wants.
+    """Restraints of one endpoint.
 
     Attributes:
-        terms: Its terms for all instances.
-        since_ms: When its terms changed last.
-        limit_heard_ms: When its limit was heard last.
-        backoff_until_ms: Until when it wants no request of this instance.
-        deferred_until_ms: Until when its limit leaves nothing for this one.
-        deferred_for_ms: Length of that time from its beginning on.
+        terms: Rate limit and drain notice, valid for all instances.
+        since_ms: Time of the last change of the terms.
+        limit_heard_ms: Time at which the rate limit was last received.
+        backoff_until_ms: End of the backoff of this instance.
+        deferred_until_ms: Time until which the rate limit leaves no permits for
+            this instance.
+        deferred_for_ms: Total length of that deferral.
     """
 
     terms: notices.Terms
@@ -44,22 +44,24 @@
 
 
 def _nobody(terms: notices.Terms) -> None:
-    """Stands in where nobody is to be told."""
+    """Default callback that does nothing."""
 
 
 class Restraints:
-    """Learns what endpoints want, and tells which are not to be asked now.
+    """Stores the restraints of endpoints and tells which must not be called.
 
-    That an endpoint leaves is never taken back: its next start is another
-    endpoint, with a name of its own.
+    A drain notice is never withdrawn: the next start of the endpoint is a
+    separate endpoint with its own name.
 
     Args:
-        clock: Time.
+        clock: Time source.
 
     Attributes:
-        on_news: Told what an answer to this instance has changed for all.
-        on_leaving: Told that some endpoint has said that it leaves.
-        is_registered: Tells which endpoints must not be forgotten.
+        on_news: Called with the new terms if an answer to this instance has
+            changed them.
+        on_leaving: Called when an endpoint starts to drain.
+        is_registered: Returns whether an endpoint is registered; only others
+            are evicted.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -72,7 +74,7 @@
     def heard(
         self, endpoint: resources.Endpoint, notice: notices.Notice
     ) -> None:
-        """Learns what an answer to this instance says."""
+        """Applies a notice from an answer to this instance."""
         if endpoint.name not in self._by_name and not notice.restrains:
             return
         known = self._of(endpoint.name)
@@ -94,16 +96,16 @@
             self.on_news(terms)
 
     def told(self, terms: notices.Terms, *, is_news: bool) -> bool:
-        """Learns terms from another instance.
+        """Applies terms that another instance has sent.
 
         Args:
             terms: The terms.
-            is_news: Whether they have just changed. Of what the other one has
-                known for a while the stricter holds: it may have been cut off
-                since, and the endpoint's next answer tells.
+            is_news: Whether the terms have just changed. Otherwise the stricter
+                of both terms applies, because the sender's may be outdated; the
+                next answer of the endpoint corrects them.
 
         Returns:
-            Whether they were not known before.
+            Whether the terms have changed.
         """
         known = self._of(terms.endpoint)
         if not is_news:
@@ -119,7 +121,7 @@
 
     @property
     def terms(self) -> tuple[notices.Terms, ...]:
-        """All terms that keep any work away."""
+        """Terms of all endpoints that limit their requests."""
         return tuple(
             known.terms
             for known in self._by_name.values()
@@ -128,40 +130,40 @@
 
     @property
     def has_any(self) -> bool:
-        """Whether any endpoint wants anything; for most fleets none does."""
+        """Whether any endpoint has restraints."""
         return bool(self._by_name)
 
     def limited_names(self) -> frozenset[str]:
-        """Endpoints that take a bounded number of requests."""
+        """Returns the endpoints that have a rate limit."""
         return frozenset(filter(self.is_limited, self._by_name))
 
     def waiting_names(self) -> frozenset[str]:
-        """Endpoints that are not to be asked now."""
+        """Returns the endpoints that must not be called now."""
         return frozenset(filter(self.must_wait, self._by_name))
 
     def is_leaving(self, name: str) -> bool:
-        """Whether an endpoint has said that it takes no new work."""
+        """Returns whether an endpoint has sent a drain notice."""
         known = self._by_name.get(name)
         return known is not None and known.terms.is_leaving
 
     def is_limited(self, name: str) -> bool:
-        """Whether an endpoint takes a bounded number of requests."""
+        """Returns whether an endpoint has a rate limit."""
         return self.rate_limit_per_s(name) is not None
 
     def rate_limit_per_s(self, name: str) -> float | None:
-        """What an endpoint takes from all instances; ``None`` for any."""
+        """Returns an endpoint's rate limit for all instances, if it has one."""
         known = self._by_name.get(name)
         return None if known is None else known.terms.rate_limit_per_s
 
     def is_backing_off(self, name: str) -> bool:
-        """Whether an endpoint wants no request of this instance now."""
+        """Returns whether this instance must back off from an endpoint."""
         known = self._by_name.get(name)
         return (
             known is not None and known.backoff_until_ms > self._clock.now_ms()
         )
 
     def backoffs_ms(self) -> dict[str, float]:
-        """Time for which endpoints want nothing of this instance, by name."""
+        """Returns the remaining backoff times of this instance by endpoint."""
         now_ms = self._clock.now_ms()
         return {
             name: known.backoff_until_ms - now_ms
@@ -170,29 +172,29 @@
         }
 
     def defer(self, name: str, wait_ms: float) -> None:
-        """Learns that an endpoint's limit leaves nothing for so long."""
+        """Defers calls to an endpoint whose rate limit leaves no permits."""
         known = self._of(name)
         known.deferred_until_ms = self._clock.now_ms() + wait_ms
         known.deferred_for_ms = wait_ms
 
     def must_wait(self, name: str) -> bool:
-        """Whether an endpoint is not to be asked now."""
+        """Returns whether an endpoint must not be called now."""
         return self._wait_ms(name) > 0.0
 
     def wait_ms(self, names: Iterable[str]) -> float | None:
-        """Time until one of some endpoints may be asked again.
+        """Returns the time until the first of some endpoints may be called.
 
         Returns:
-            ``None`` where one may be asked now, or there is none.
+            ``None`` if one may be called now, or if no endpoints are given.
         """
         first_ms = min(map(self._wait_ms, names), default=0.0)
         return first_ms if first_ms > 0.0 else None
 
     def apart_ms(self, names: Iterable[str]) -> float:
-        """Time between two requests that limited endpoints take from here.
+        """Returns the mean interval of requests to endpoints with rate limits.
 
-        Each takes about one in the time for which it is deferred; 0 where none
-        is.
+        Each endpoint accepts about one request per deferral; 0 if none is
+        deferred.
         """
         waits = [
             self._by_name[name].deferred_for_ms
@@ -212,11 +214,11 @@
     def _limit_after(
         self, known: _Restraint, notice: notices.Notice
     ) -> float | None:
-        """The limit that is believed after an answer.
+        """Returns the rate limit that applies after a notice.
 
-        An answer to an earlier request may be from before the word that was
-        heard last. It would let all instances loose on an endpoint in need, so
-        only a later one raises a limit or ends it.
+        Answers can arrive out of order. An outdated one must not raise or end
+        the limit of an overloaded endpoint, so only an answer to a later
+        request does.
         """
         limit, named = known.terms.rate_limit_per_s, notice.rate_limit_per_s
         if named is not None and (limit is None or named < limit):
@@ -232,7 +234,7 @@
 
     def _take(self, known: _Restraint, terms: notices.Terms) -> None:
         if terms.rate_limit_per_s != known.terms.rate_limit_per_s:
-            # How long to wait was reckoned by the former limit.
+            # The deferral was computed from the former limit.
             known.deferred_until_ms = 0.0
             known.deferred_for_ms = 0.0
         begins_to_leave = terms.is_leaving and not known.terms.is_leaving
--- a/src/jujubewharf/forwarding/routes.py
+++ b/src/jujubewharf/forwarding/routes.py
@@ -1,4 +1,4 @@
-"""Routes from hosts and paths to services, and the table that matches them."""
+"""Routes from hosts and path prefixes to services."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class Repeat(enum.Enum):
-    """What may be done a second time for one sending of a caller.
+    """Whether a request may be repeated after a failure.
 
-    ``NEVER``: one engine at most may begin to work on it. ``AGAIN``: the whole
-    request may run more than once. ``CONTINUE``: a stream that broke may go on
-    elsewhere after the last event that arrived.
+    ``NEVER``: at most one engine may start to process it. ``AGAIN``: the whole
+    request may run more than once. ``CONTINUE``: a stream that breaks may
+    resume elsewhere after the last event that arrived.
     """
 
     NEVER = "never"
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Share:
-    """One service of a route, with its share of the route's requests."""
+    """One service of a route and its share of the route's traffic."""
 
     service: str
     weight: float
@@ -32,22 +32,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go, and how.
+    """Maps requests of one host and path prefix to services.
 
     Attributes:
         name: Unique name.
-        host: Host that callers name, without a port, in lower case.
-        path_prefix: Begins and ends with a slash.
-        shares: Services that may run it; the weights of all count together.
-        repeat: What may be repeated.
-        is_stream: Whether the answer is a series of numbered events.
-        is_model: Whether requests carry a prompt's size and run on engines.
-        timeout_ms: Longest time from arrival to the end of the answer.
-        target_ms: Time to the answer (streams: to the first event) within
-            which the caller is served well.
-        priority: 0 is served first.
-        max_attempts: Engines that one request may be sent to.
-        is_public: Whether its callers need no key.
+        host: Host name in lower case, without a port.
+        path_prefix: Prefix that begins and ends with a slash.
+        shares: Services of the route; weights are relative to their sum.
+        repeat: Whether requests may be repeated.
+        is_stream: Whether answers are streams of numbered events.
+        is_model: Whether requests state their prompt's size and run on engines.
+        timeout_ms: Time limit from arrival to the end of the answer.
+        target_ms: Target for the time to the answer, or to the first event of a
+            stream.
+        priority: Priority of requests, 0 is the highest.
+        max_attempts: Maximum number of engines that a request is sent to.
+        is_public: Whether callers need no key.
     """
 
     name: str
@@ -66,15 +66,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What all engines of a model service have in common.
+    """Properties that all engines of a model service share.
 
     Attributes:
-        slots: Requests that one engine runs at once.
-        memory_tokens: Tokens that one engine's KV cache holds.
-        handle_ttl_ms: Time for which a prefill result waits to be fetched.
-        role_switch_ms: Time for which a change of role keeps it from work.
-        hold_max_ms: Longest time for which memory can be reserved.
-        event_tokens: Tokens in one event of an answer.
+        slots: Maximum number of concurrent requests of an engine.
+        memory_tokens: Size of an engine's KV cache in tokens.
+        handle_ttl_ms: Time until a prefill result expires.
+        role_switch_ms: Time that a role change takes.
+        hold_max_ms: Maximum time of a memory reservation.
+        event_tokens: Tokens per event of an answer.
     """
 
     slots: int
@@ -87,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutedService:
-    """A service as routing sees it; ``engine`` is ``None`` for plain ones."""
+    """A service; ``engine`` is ``None`` for plain services."""
 
     name: str
     engine: EngineTraits | None = None
@@ -95,7 +95,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, and how long a connection may be idle."""
+    """Limits on requests and connections of callers.
+
+    Attributes:
+        max_header_bytes: Maximum size of a request's headers.
+        max_body_bytes: Maximum size of a request's body.
+        header_timeout_ms: Time limit for receiving the headers.
+        idle_timeout_ms: Time after which an idle connection is closed.
+    """
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -105,14 +112,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingConfiguration:
-    """One whole version of what operators have declared.
+    """One version of the routing configuration.
 
     Attributes:
-        version: Grows with each change; an older one is never taken back.
+        version: Version number, increased by each change.
         routes: All routes.
-        services: All services, by name.
-        limits: Bounds of what callers send.
-        accounts: Client accounts; ``None`` where callers need no key.
+        services: All services by name.
+        limits: Limits on requests and connections of callers.
+        accounts: Client accounts; ``None`` if callers need no key.
     """
 
     version: int
@@ -123,10 +130,10 @@
 
 
 class RouteTable:
-    """Matches host and path against the routes of one configuration.
+    """Matches hosts and paths against the routes of one configuration.
 
     Args:
-        routes: The routes; of two with one host and prefix the later wins.
+        routes: The routes; for equal host and prefix the last one is used.
     """
 
     def __init__(self, routes: Sequence[Route]) -> None:
@@ -136,10 +143,10 @@
             of_host[route.path_prefix] = route
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix that begins the path.
+        """Returns the route with the longest matching path prefix, if any.
 
-        Prefixes end with a slash, so only the path's own slashes are tried:
-        the cost doesn't grow with the number of routes.
+        Prefixes end with a slash, so only the prefixes at the path's slashes
+        are looked up. The cost does not depend on the number of routes.
         """
         of_host = self._by_host.get(_bare(host))
         if of_host is None:
@@ -153,7 +160,7 @@
 
 
 def _bare(host: str) -> str:
-    """A host without its port, in lower case, as names are compared."""
+    """Returns the host in lower case and without a port."""
     name, colon, port = host.rpartition(":")
     if colon and port.isdigit():
         host = name
--- a/src/jujubewharf/forwarding/runs.py
+++ b/src/jujubewharf/forwarding/runs.py
@@ -1,4 +1,4 @@
-"""What is known of one request while it is passed on."""
+"""State of one request while it is forwarded."""
 
 from __future__ import annotations
 
@@ -13,35 +13,35 @@
 from jujubewharf.forwarding import routes
 from jujubewharf.requests import retries
 
-# A refusal names a time at which trying again may help. Requests last
-# seconds on engines, so a place is free again after a part of one.
+# Default ``Retry-After`` of refusals. Requests run for seconds, so a slot
+# becomes free within a fraction of one.
 RETRY_AFTER_MS = 1_000.0
 
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """One request and what became of it so far.
+    """State of one request.
 
     Attributes:
-        call: What the caller sent.
-        route: Route that was matched.
-        service: Service that was picked of the route's.
-        deadline_at_ms: Clock reading at which it gets its final answer.
-        domain: Failure domain of the instance that takes the request.
-        tried: Engines that it was sent to.
-        may_have_run: Whether any of them may have begun to work on it.
-        refusals: Sendings that an engine said it did not run.
-        was_read: Whether a prefill engine has read its prompt.
-        traits: What the engines of its service have in common; ``None`` for
-            plain services.
-        lost_by: Engines that lost its answer, or a part of it.
-        event_ms: Clock reading when its last event was passed on.
-        longest_gap_ms: Longest time between two of its events.
-        trail: Routine log lines that are written only if it fails.
-        account: Client account that it belongs to.
-        is_counted: Whether it was counted against the account's quota.
-        backoff_until_ms: Clock readings until which engines want nothing of the
-            instance that sends it, where that isn't the one that places it.
+        call: The caller's request.
+        route: Matched route.
+        service: Service selected from the route's services.
+        deadline_at_ms: Clock reading at which the answer must be complete.
+        domain: Failure domain of the instance that received the request.
+        tried: Engines that the request was sent to.
+        may_have_run: Whether any engine may have started to process it.
+        refusals: Number of attempts that an engine refused.
+        was_read: Whether a prefill engine may have processed the prompt.
+        traits: Properties of the service's engines; ``None`` for plain
+            services.
+        lost_by: Engines that lost the answer or a part of it.
+        event_ms: Clock reading when the last event was forwarded.
+        longest_gap_ms: Longest time between two events.
+        trail: Routine log lines, which are only written if the request fails.
+        account: Client account of the caller.
+        is_counted: Whether the account's quota was charged.
+        backoff_until_ms: Ends of backoffs by engine, of the instance that sends
+            the request, if another instance places it.
     """
 
     call: calls.Call
@@ -66,54 +66,54 @@
 
     @property
     def priority(self) -> int:
-        """Rank, 0 first; that of its account goes before that of its route."""
+        """Priority, 0 is the highest; the account's precedes the route's."""
         if self.account is None or self.account.priority is None:
             return self.route.priority
         return self.account.priority
 
     @property
     def units(self) -> float:
-        """What it counts against its account's quota."""
+        """Units to charge to the account's quota."""
         if self.account is None or self.account.quota is None:
             return 0.0
         return self.account.quota.units_of(self.call.work)
 
     @property
     def ran(self) -> errors.Ran:
-        """What may be promised to the caller."""
+        """What the caller may be told about whether the request ran."""
         return errors.Ran.UNKNOWN if self.may_have_run else errors.Ran.NO
 
     @property
     def has_attempts(self) -> bool:
-        """Whether it may be sent to a further engine."""
+        """Whether the request may be sent to another engine."""
         return len(self.tried) < self.route.max_attempts
 
     @property
     def may_send(self) -> bool:
-        """Whether what may have happened allows another run."""
+        """Whether the request may run again after what may have happened."""
         is_once = self.route.repeat is routes.Repeat.NEVER
         return not (is_once and self.may_have_run)
 
     def may_go_to(self, engine: str, clock: clocks.Clock) -> bool:
-        """Whether the instance that sends it may send it there."""
+        """Returns whether the sending instance has no backoff for an engine."""
         return self.backoff_until_ms.get(engine, 0.0) <= clock.now_ms()
 
     def left_ms(self, clock: clocks.Clock) -> float:
-        """Time until the final answer is due."""
+        """Returns the time until the deadline."""
         return self.deadline_at_ms - clock.now_ms()
 
     def passed_on(self, now_ms: float) -> None:
-        """Notes that an event goes to the caller."""
+        """Records that an event was forwarded to the caller."""
         if self.event_ms is not None:
             gap_ms = now_ms - self.event_ms
             self.longest_gap_ms = max(self.longest_gap_ms, gap_ms)
         self.event_ms = now_ms
 
     def sent(self, engine: str) -> bool:
-        """Notes a sending before it goes out.
+        """Records an attempt, before the request is sent.
 
         Returns:
-            What ``may_have_run`` was, for ``not_run``.
+            The former value of ``may_have_run``, for ``learn``.
         """
         before = self.may_have_run
         self.tried.add(engine)
@@ -121,11 +121,11 @@
         return before
 
     def learn(self, error: client.EngineError, *, before: bool) -> None:
-        """Takes back ``sent`` where the engine surely did nothing.
+        """Records a failed attempt, undoing ``sent`` if the engine did nothing.
 
         Args:
-            error: How the sending failed.
-            before: What ``sent`` returned.
+            error: Failure of the attempt.
+            before: Return value of ``sent``.
         """
         if error.fault is client.EngineFault.LOST:
             self.lost_by.add(error.engine)
@@ -133,13 +133,13 @@
             self.may_have_run = before
             self.refusals += 1
         if error.fault is client.EngineFault.UNREACHABLE:
-            # There was no connection, so nothing of it was sent.
+            # There was no connection, so nothing was sent.
             self.tried.discard(error.engine)
 
     def failure(
         self, detail: str = "", *, retry_after_ms: float = RETRY_AFTER_MS
     ) -> errors.WharfError:
-        """The error for a request that no engine answers."""
+        """Returns the error for a request that no engine answers."""
         if not self.may_have_run:
             return errors.WharfError(
                 errors.ErrorKind.NO_FITTING_ENGINE,
@@ -151,10 +151,10 @@
         return errors.WharfError(errors.ErrorKind.ENDPOINT_FAILED)
 
     def too_late(self) -> errors.WharfError:
-        """The error for a request whose time is over."""
+        """Returns the error for a request whose deadline has passed."""
         if not self.may_have_run:
-            # Not a gateway timeout: the caller may still try elsewhere, and
-            # is told the truth, that nothing ran.
+            # Not a gateway timeout, because the caller may safely retry: the
+            # request has not run.
             return errors.WharfError(
                 errors.ErrorKind.DEADLINE_UNREACHABLE,
                 retry_after_ms=RETRY_AFTER_MS,
--- a/src/jujubewharf/forwarding/settings.py
+++ b/src/jujubewharf/forwarding/settings.py
@@ -1,4 +1,4 @@
-"""The settings of an instance that forwards; unknown fields are errors."""
+"""Settings of a forwarding instance; unknown fields are errors."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     host, _, port = value.rpartition(":")
     models.check_ip_number(host)
     if not port.isdigit() or not 0 <= int(port) <= models.HIGHEST_PORT:
-        raise ValueError("give IP:PORT")
+        raise ValueError("address must have the form IP:PORT")
     return value
 
 
@@ -31,13 +31,14 @@
     """The platform's store.
 
     Attributes:
-        address: Where it is.
-        part_count: Parts that a group of instances is dealt.
-        group_ttl_ms: Silence after which a member's parts are dealt anew.
-        leaving_within_ms: No work may go to an endpoint later than this after
-            it said that it leaves.
-        in_force_within_ms: A change of the configuration must be in force
-            this long after it was acknowledged.
+        address: Address of the store.
+        part_count: Number of partitions that are distributed among a group.
+        group_ttl_ms: Time without a heartbeat after which a member's partitions
+            are reassigned.
+        leaving_within_ms: Time within which an endpoint must get no more work
+            after it has announced that it drains.
+        in_force_within_ms: Time within which an acknowledged change of the
+            configuration must be in force.
     """
 
     address: Address
@@ -48,12 +49,12 @@
 
 
 class RetrySettings(_Model):
-    """Retries that all instances together may make.
+    """Retry budget of all instances together.
 
     Attributes:
-        ratio: For each request.
-        slack: Besides, in one window.
-        window_s: The window.
+        ratio: Retries per request.
+        slack: Additional retries per window.
+        window_s: Length of the window in seconds.
     """
 
     ratio: Annotated[float, pydantic.Field(ge=0)]
@@ -62,22 +63,21 @@
 
 
 class QuotaSettings(_Model):
-    """What accounts may use beyond their quotas, by the operators' word.
+    """Tolerated use beyond account quotas.
 
     Attributes:
-        slack: Units that an account may use besides in some seconds, whatever
-            its quota is.
+        slack: Additional units that an account may use within a few seconds.
     """
 
     slack: Annotated[float, pydantic.Field(ge=0)] = 0.0
 
 
 class ProcessorSettings(_Model):
-    """What an instance has of a processor.
+    """Processor capacity of an instance.
 
     Attributes:
-        share: Part of a core.
-        speed: How many times as fast as a usual one that core is.
+        share: Share of a core.
+        speed: Speed of the core relative to a reference core.
     """
 
     share: Positive = 1.0
@@ -85,27 +85,27 @@
 
     @property
     def cores(self) -> float:
-        """Usual cores that it is worth."""
+        """Capacity in reference cores."""
         return self.share * self.speed
 
 
 class ForwardingSettings(_Model):
-    """Everything one forwarding instance is told before it starts.
+    """Settings of one forwarding instance.
 
     Attributes:
         instance: Name, unique in the deployment.
         domain: Failure domain of the instance.
-        callers: Where callers are listened to.
-        readiness: Where the balancer asks.
-        metrics: Where metrics are told.
-        peers: Where other instances are listened to; ``None`` for an instance
+        callers: Listening address for callers.
+        readiness: Listening address for the load balancer's probes.
+        metrics: Listening address for metrics.
+        peers: Listening address for other instances; ``None`` for an instance
             that neither leads nor follows.
-        processor: The processor of the instance.
+        processor: Processor capacity of the instance.
         store: The platform's store.
-        retries: Retries of the fleet.
-        quotas: What is tolerated beyond accounts' quotas.
-        stop_within_s: Time from SIGTERM until the process is ended.
-        log_level: Lowest level written.
+        retries: Retry budget of the fleet.
+        quotas: Tolerated use beyond account quotas.
+        stop_within_s: Time from SIGTERM to SIGKILL in seconds.
+        log_level: Minimum level of log lines.
     """
 
     instance: Annotated[str, pydantic.Field(min_length=1, max_length=64)]
@@ -122,7 +122,7 @@
     log_level: Literal["debug", "info", "warning", "error"] = "info"
 
     def telemetry(self) -> models.TelemetrySettings:
-        """The metrics address as the metrics' own settings name it."""
+        """Returns the settings of the metrics exporter."""
         if self.metrics is None:
             return models.TelemetrySettings(log_level=self.log_level)
         host, port = split_address(self.metrics)
@@ -132,7 +132,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """``IP:PORT`` as host and port."""
+    """Splits ``IP:PORT`` into host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
@@ -141,7 +141,7 @@
     """Reads a settings file.
 
     Raises:
-        ValueError: It is no JSON or doesn't fit; all errors are named.
-        OSError: It can't be read.
+        ValueError: The file is not valid; all errors are included.
+        OSError: The file cannot be read.
     """
     return ForwardingSettings.model_validate_json(path.read_bytes())
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -1,7 +1,7 @@
-"""Passes one streamed request on, and goes on elsewhere where it breaks.
+"""Forwards streamed requests and resumes broken streams on other engines.
 
-A stream that breaks goes on at another engine where its route allows that, as
-one stream for its caller.
+If the route allows it, a stream that breaks resumes on another engine. The
+caller sees a single stream.
 """
 
 from __future__ import annotations
@@ -23,24 +23,25 @@
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
 
-# A resumable stream whose engine is silent this long goes on elsewhere. Events
-# are some 50 ms apart and callers leave after 2 s or more; what an engine
-# needs to make room for others is below a second.
+# Time without an event after which a resumable stream is moved to another
+# engine. Longer than the pauses in which an engine frees memory for other
+# requests.
 SILENCE_MS = 1_000.0
-# The same for the first event, before which the prompt is fetched or read.
+# The same for the first event, which waits for the prefill result or for
+# prefill.
 FIRST_EVENT_MS = 1_500.0
-# Events after which an answer's pace is known.
+# Number of events from which the total time of an answer is extrapolated.
 _PACE_EVENTS = 8
 
 
 class StreamForwarder:
-    """Runs streamed requests.
+    """Forwards streamed requests.
 
     Args:
         sender: Sends requests to engines.
-        budget: Bounds retries over the fleet.
-        observations: Learns how soon answers begin, and how long they are.
-        clock: Time.
+        budget: Retry budget of the fleet.
+        observations: Records the latency and length of answers.
+        clock: Time source.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
     async def begin(
         self, stack: contextlib.AsyncExitStack, run: runs.Run
     ) -> calls.Reply:
-        """Gets an answer's head; its body is read while the stack is open.
+        """Returns an answer, whose body is read while the stack is open.
 
         Raises:
             WharfError: No engine answers.
@@ -72,7 +73,7 @@
         return dataclasses.replace(upstream.reply, body=body, length=None)
 
     async def _first(self, run: runs.Run) -> attempts.Upstream:
-        """Sends it until an engine answers or nothing more may be tried."""
+        """Sends the request until an engine answers or no retry is allowed."""
         while True:
             try:
                 return await self._attempts.attempt(
@@ -82,10 +83,10 @@
                 self._check_retry(run, error)
 
     def _check_retry(self, run: runs.Run, error: client.EngineError) -> None:
-        """Passes where the request may be sent once more.
+        """Checks that the request may be retried.
 
         Raises:
-            WharfError: It may not.
+            WharfError: No retry is allowed.
         """
         left = self._budget.left(run.service)
         reason = error.fault.value
@@ -100,7 +101,7 @@
     async def _relay(
         self, run: runs.Run, upstream: attempts.Upstream
     ) -> AsyncGenerator[bytes, None]:
-        """The whole stream, over as many engines as it takes."""
+        """Yields the whole stream, using further engines if it breaks."""
         last = run.call.last_event
         while True:
             failure: client.EngineError | None = None
@@ -121,12 +122,13 @@
     async def _go_on(
         self, run: runs.Run, error: client.EngineError, last: int | None
     ) -> attempts.Upstream:
-        """Takes a broken stream up at another engine.
+        """Resumes a broken stream on another engine.
 
-        The former engine's connection is closed by now, which ends its work.
+        The connection to the failed engine is already closed, which cancels its
+        work.
 
         Raises:
-            WharfError: The stream stays broken.
+            WharfError: The stream could not be resumed.
         """
         run.lost_by.add(error.engine)
         self._observations.failed(error)
@@ -141,7 +143,11 @@
     async def _elsewhere(
         self, run: runs.Run, error: client.EngineError, last: int | None
     ) -> attempts.Upstream:
-        """The answer of another engine, from after the last event on."""
+        """Returns another engine's answer, starting after the last event.
+
+        Raises:
+            WharfError: No further attempt is allowed.
+        """
         while True:
             left = self._budget.left(run.service)
             is_allowed = run.route.repeat is routes.Repeat.CONTINUE
@@ -194,13 +200,13 @@
 
 
 class _Pace:
-    """Learns from the pace of one engine's events how long it will take.
+    """Estimates the total time of an answer from the rate of its events.
 
     Args:
-        observations: Learns what requests cost.
+        observations: Records the estimate.
         run: The request.
         upstream: The engine's answer.
-        clock: Time.
+        clock: Time source.
     """
 
     def __init__(
@@ -218,7 +224,7 @@
         self._count = 0
 
     def event(self) -> None:
-        """Notes that an event arrived."""
+        """Records the arrival of an event."""
         self._count += 1
         if self._count == 1:
             self._first_ms = self._clock.now_ms()
@@ -241,7 +247,11 @@
 
 
 def _check_order(engine: str, last: int | None, event: events.Event) -> None:
-    """Raises where an event is missing or comes twice."""
+    """Checks that event numbers are consecutive.
+
+    Raises:
+        EngineError: An event is missing or repeated.
+    """
     if last is not None and event.number != last + 1:
         fault = client.EngineFault.LOST
         detail = f"event {event.number} after {last}"
--- a/src/jujubewharf/forwarding/watched_backends.py
+++ b/src/jujubewharf/forwarding/watched_backends.py
@@ -1,7 +1,4 @@
-"""Calls of engines and endpoints, watched for those that crash meanwhile.
-
-A request that crashes engines goes to no more of them.
-"""
+"""Detects engine crashes and blocks the requests that cause them."""
 
 from __future__ import annotations
 
@@ -18,14 +15,14 @@
 
 
 class WatchedBackends:
-    """Implements ``ports.Backends`` over another one.
+    """Wraps a ``ports.Backends`` to record crashes.
 
-    All sendings of callers' requests pass here, first and later ones alike, so
-    none is forgotten.
+    All requests of callers pass through this class, so that each crash is
+    attributed to the requests that the engine was processing.
 
     Args:
-        backends: Makes the calls.
-        history: Learns which engines crashed under which requests.
+        backends: Client that makes the calls.
+        history: Crash history of requests.
     """
 
     def __init__(
@@ -34,7 +31,7 @@
         self._backends = backends
         self._history = history
         self._looking: set[asyncio.Task[None]] = set()
-        # These carry no request of a caller.
+        # Calls without a caller's request are passed through.
         self.listen = backends.listen
         self.drop_source = backends.drop_source
         self.reserve = backends.reserve
@@ -50,7 +47,7 @@
         """Sends a request; see ``ports.Backends``.
 
         Raises:
-            WharfError: It has crashed engines.
+            WharfError: ``QUARANTINED``.
         """
         self._history.check(sending.call)
         async with contextlib.AsyncExitStack() as stack:
@@ -80,10 +77,10 @@
     async def prefill(
         self, endpoint: resources.Endpoint, sending: calls.Sending
     ) -> calls.Source:
-        """Reads a prompt; see ``ports.Backends``.
+        """Runs prefill; see ``ports.Backends``.
 
         Raises:
-            WharfError: It has crashed engines.
+            WharfError: ``QUARANTINED``.
         """
         self._history.check(sending.call)
         try:
@@ -100,13 +97,14 @@
         *,
         stage: str,
     ) -> None:
-        """Finds out whether an engine that lost a request has crashed."""
+        """Checks whether an engine that lost a request has crashed."""
         if error.fault is not client.EngineFault.LOST:
             return
         looking = asyncio.ensure_future(self._look(endpoint, call, stage))
         self._looking.add(looking)
         looking.add_done_callback(self._looking.discard)
-        # Goes on when the caller leaves: the next try would crash another one.
+        # Continues if the caller disconnects, because the crash must still be
+        # recorded before the caller tries again.
         await asyncio.shield(looking)
 
     async def _look(
--- a/src/jujubewharf/forwarding/watched_places.py
+++ b/src/jujubewharf/forwarding/watched_places.py
@@ -1,4 +1,4 @@
-"""Waiting for memory, ended at once for a request that crashes engines."""
+"""Ends the wait for memory as soon as a request is quarantined."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class WatchedPlaces:
-    """Implements ``places.Places`` over another one.
+    """Wraps a ``places.Places`` to end the wait of quarantined requests.
 
-    A try may wait in line for seconds, here or at the leader, while other tries
-    of the same request crash engines. It would be refused at the end all the
-    same, and until then stand before those that can be served.
+    A request may wait in the queue for seconds while other tries of it crash
+    engines. It would be refused after the wait anyway, and until then would
+    delay the requests behind it.
 
     Args:
-        finder: Finds memory for requests.
-        quarantine: Admits none that crash engines.
-        history: Tells which have begun to do so.
+        finder: Reserves memory on decode engines.
+        quarantine: Rejects requests that crash engines.
+        history: Crash history of requests.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
 
     @contextlib.asynccontextmanager
     async def place(self, run: runs.Run) -> AsyncIterator[places.Place]:
-        """Waits for memory and holds it; see ``places.Places``."""
+        """Waits for memory and reserves it; see ``places.Places``."""
         async with contextlib.AsyncExitStack() as stack:
             yield await self._wait(stack, run)
 
@@ -60,13 +60,13 @@
             except TimeoutError:
                 if not scope.expired():
                     raise
-                # It goes on where it has been cleared meanwhile.
+                # Continues waiting if the request was cleared meanwhile.
                 self._history.check(run.call)
             finally:
                 self._waiting.pop(scope, None)
 
     def _end(self, fingerprint: fingerprints.Fingerprint) -> None:
-        """Ends the waits of a request that is in quarantine now."""
+        """Ends the waits of a request that was quarantined."""
         for scope, call in list(self._waiting.items()):
             if fingerprints.Outline.from_call(call) != fingerprint.outline:
                 continue
