--- a/tests/forwarding/deployments.py
+++ b/tests/forwarding/deployments.py
@@ -1,4 +1,4 @@
-"""Instances that forward, on stand-ins and a virtual clock."""
+"""Forwarding instances with stand-in backends on a virtual clock."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
 
 
 def of_both_kinds(*, memory_tokens: int = 400_000):
-    """Two stand-ins each of plain endpoints, readers and writers."""
+    """Two stand-ins each of plain endpoints, prefill and decode engines."""
     behind = [shop("s1"), shop("s2"), reader("p1"), reader("p2")]
     behind += [writer("d1"), writer("d2")]
     for backend in behind:
@@ -107,7 +107,7 @@
 
 
 def configuration(version: int, *all_routes: routes.Route):
-    """A configuration of these routes, or of all above."""
+    """A configuration with the given routes, by default all of this module."""
     return routes.RoutingConfiguration(
         version, all_routes or (STREAM, ONE_STREAM, LOOKUP, SALE), SERVICES
     )
@@ -115,14 +115,14 @@
 
 @dataclasses.dataclass
 class Answer:
-    """What a caller saw.
+    """An answer as the caller received it.
 
     Attributes:
-        status: Status of the answer; ``None`` without one.
-        body: What arrived of it.
-        error: How it ended, if not well.
-        first_ms: Time until its head came.
-        took_ms: Time until it was over.
+        status: HTTP status; ``None`` if there was no answer.
+        body: Received bytes of the body.
+        error: The error, if the request failed.
+        first_ms: Time until the head arrived.
+        took_ms: Time until the answer ended.
     """
 
     status: int | None = None
@@ -133,7 +133,7 @@
 
     @property
     def numbers(self) -> list[int]:
-        """Numbers of the events that arrived."""
+        """Numbers of the received events."""
         return [
             int(line[4:])
             for line in self.body.split(b"\n")
@@ -142,18 +142,18 @@
 
 
 class Deployment:
-    """Instances, their store and what stands behind them.
+    """Instances, their store and their backends.
 
     Attributes:
-        backends: The engines and endpoints.
-        configurations: What operators wrote.
-        endpoints: What endpoints registered.
-        crashes: What instances keep of requests that crash engines.
-        groups: The group of the instances.
-        leaders: The group of those who may lead.
-        network: The streams between instances.
-        instances: The instances by name.
-        cores: Processor of each; half a core for those that aren't named.
+        backends: Stand-in engines and endpoints.
+        configurations: Table of routing configurations.
+        endpoints: Table of endpoint registrations.
+        crashes: Table of crash reports.
+        groups: Group of all instances.
+        leaders: Group of the instances that can lead.
+        network: Connections between instances.
+        instances: Instances by name.
+        cores: Processor share by instance name; half a core by default.
     """
 
     def __init__(self, *behind: backend_state.StandInBackend) -> None:
@@ -177,13 +177,13 @@
         declare: bool = True,
         is_led: bool = False,
     ) -> None:
-        """Registers everything and starts instances, until they are ready.
+        """Registers all backends and starts instances, until they are ready.
 
         Args:
-            *names: The instances.
-            domain: Their failure domain.
-            declare: Whether everything registers.
-            is_led: Whether they may lead and follow each other.
+            *names: Names of the instances.
+            domain: Failure domain of the instances.
+            declare: Whether to write the configuration and the registrations.
+            is_led: Whether the instances elect a leader.
         """
         if declare:
             self.configurations.put("config", configuration(1))
@@ -229,7 +229,7 @@
 
     @property
     def leader(self) -> str | None:
-        """The instance that leads."""
+        """Name of the leader, if there is one."""
         for name, instance in self.instances.items():
             if instance.fleet.is_leading:
                 return name
@@ -241,15 +241,15 @@
             await instance.stop()
 
     def register(self, backend: backend_state.StandInBackend, **changes: Any):
-        """Has an endpoint write its entry anew, with changes."""
+        """Rewrites an endpoint's registration with changes."""
         backend.endpoint = dataclasses.replace(backend.endpoint, **changes)
         self.endpoints.put(backend.name, backend.endpoint)
 
     def revive_crashed(self, *, after_ms: float = 3_000.0) -> None:
-        """Has engines that crash start again, under other names.
+        """Restarts engines that crash, under other names.
 
         Args:
-            after_ms: How long they are away.
+            after_ms: Delay of the restart.
         """
 
         def revive(backend: backend_state.StandInBackend) -> None:
@@ -272,7 +272,7 @@
         self.endpoints.put(name, endpoint)
 
     def call(self, path: str, **more: Any) -> calls.Call:
-        """A request as it arrives now."""
+        """Creates a request that arrives now."""
         self._ids += 1
         given = {
             "request_id": f"r{self._ids}",
@@ -297,9 +297,9 @@
         """Sends a request and reads its answer to the end.
 
         Args:
-            path: Path asked for.
-            instance: Who is asked.
-            leave_after_ms: When the caller closes its connection.
+            path: Path of the request.
+            instance: Name of the instance to send it to.
+            leave_after_ms: Time after which the caller disconnects.
             **more: Fields of the call.
         """
         call = self.call(path, **more)
@@ -315,7 +315,7 @@
     ) -> None:
         asked = self.instances.get(instance)
         if asked is None:
-            # It was stopped in this very moment, and refuses connections.
+            # The instance has just stopped and refuses connections.
             return
         try:
             async with asked.run(call) as reply:
@@ -340,14 +340,14 @@
         patience_ms: float = 8_000.0,
         are_alike: bool = True,
     ) -> list[Answer]:
-        """Sends requests to all instances in turn; returns the answers.
+        """Sends requests to all instances in turn and returns the answers.
 
         Args:
-            path: Path asked for.
-            for_ms: For how long.
+            path: Path of the requests.
+            for_ms: Duration.
             every_ms: Time between two requests.
-            patience_ms: How long each caller waits.
-            are_alike: Whether all have the same body.
+            patience_ms: Time that each caller waits.
+            are_alike: Whether all requests have the same body.
         """
         asked: list[asyncio.Task[Answer]] = []
         until_ms = self.clock.now_ms() + for_ms
@@ -363,11 +363,11 @@
         return list(await asyncio.gather(*asked))
 
     async def start_in(self, domains: str, *names: str) -> None:
-        """Starts instances that lead and follow, one domain after the other.
+        """Starts instances with a leader, alternating between domains.
 
         Args:
-            domains: The domains, a letter each.
-            *names: The instances.
+            domains: Failure domains, one letter each.
+            *names: Names of the instances.
         """
         for number, name in enumerate(names):
             domain = domains[number % len(domains)]
@@ -376,7 +376,7 @@
             )
 
     async def restart(self, name: str) -> None:
-        """Ends an instance and starts it anew, with nothing that it knew."""
+        """Restarts an instance without any of its state."""
         instance = self.instances.pop(name)
         await instance.stop()
         self.network.drop_instance(name)
--- a/tests/forwarding/test_accounts.py
+++ b/tests/forwarding/test_accounts.py
@@ -1,4 +1,4 @@
-"""Keys of client accounts: who may send, and what endpoints are told."""
+"""Authentication of callers, and what endpoints receive of it."""
 
 from __future__ import annotations
 
@@ -108,11 +108,9 @@
 
 
 def test_a_withdrawn_key_is_refused_and_its_running_answer_goes_on():
-    """A key is withdrawn while a stream of its caller runs.
+    """Removing a key rejects new requests but does not end running streams.
 
-    The stream was allowed when it began, and its caller gets it whole; the
-    next request is refused. An older version that the store shows late, and
-    one that a leader still tells, don't bring the key back.
+    An older configuration that arrives late must not restore the key.
     """
 
     async def main():
--- a/tests/forwarding/test_attempts.py
+++ b/tests/forwarding/test_attempts.py
@@ -1,4 +1,4 @@
-"""One sending: memory before the prompt, and no prompt read for nothing."""
+"""Attempts of streamed requests: reservation, prefill and decode."""
 
 from __future__ import annotations
 
@@ -39,12 +39,7 @@
 
 
 def test_no_prompt_is_read_while_no_engine_has_memory():
-    """The caller is told to come back; nothing was done for it.
-
-    The only decode engine is full. To read the prompt first and look for
-    memory then would throw the reading away, since its result lives for half
-    a second.
-    """
+    """Prefill without reserved memory is wasted, since its result expires."""
 
     async def main():
         full = writer("d1", memory_tokens=100)
@@ -54,8 +49,8 @@
             assert answer.error.kind is errors.ErrorKind.QUEUE_FULL
             assert answer.error.ran is errors.Ran.NO
             assert answer.error.retry_after_ms is not None
-            # Nothing of how long answers take to begin has been observed, so
-            # 0.35 of the target is kept for that.
+            # Without observed latencies, 0.35 of the target is reserved for the
+            # time to the first event.
             assert answer.took_ms <= deployments.STREAM.target_ms * 0.66
             assert world.backends.prefills == []
 
@@ -63,10 +58,9 @@
 
 
 def test_one_that_came_back_waits_longer_than_at_first():
-    """A second refusal would cost the caller its answer.
+    """A retried request waits longer than a new one.
 
-    Its patience is shorter than that of the route's first requests by what it
-    has waited, which is how it is told from a new one.
+    It is recognised by its shorter remaining time.
     """
 
     async def main():
@@ -75,17 +69,16 @@
             first = await world.ask("/verdicts/1", patience_ms=14_000.0)
             again = await world.ask("/verdicts/1", patience_ms=10_500.0)
             assert again.took_ms > 3 * first.took_ms
-            # Callers leave a stream that hasn't begun by then.
+            # Callers give up on streams that have not started by then.
             assert again.took_ms <= 3.61 * deployments.STREAM.target_ms
 
     deployments.run(main())
 
 
 def test_short_memory_goes_to_a_request_that_can_still_meet_its_target():
-    """A late caller and one in time wait while an answer fills the memory.
+    """A request that can meet its target precedes one that is already late.
 
-    The late one asked first. The other one gets what comes free, or it would
-    miss its target as well; the late one is served after it and not refused.
+    The late request arrived first and is served afterwards.
     """
 
     async def main():
@@ -121,11 +114,9 @@
 
 
 def test_a_refused_prefill_result_is_replaced_by_reading_there():
-    """The caller's answer comes late by a reading, and only once.
+    """A decode engine that cannot fetch the prefill result prefills itself.
 
-    The decode engine has reserved memory and then can't fetch what the prefill
-    engine read: it refuses, having run nothing. It can read by itself, and the
-    prefill engine is not used for a while.
+    The prefill engine is then not used for a while.
     """
 
     async def main():
@@ -141,11 +132,10 @@
 
 
 def test_no_prompts_are_read_for_an_engine_that_changes_its_role():
-    """Five callers in a row; one prompt at most is read for nothing.
+    """An engine that changes roles costs at most one wasted prefill.
 
-    An engine that carries out an order grants reservations and refuses runs.
-    Its registration shows the new role only seconds later. Each prompt that
-    is read for it meanwhile is lost.
+    It still grants reservations, refuses runs, and registers its new role only
+    seconds later.
     """
 
     async def main():
@@ -163,11 +153,7 @@
 
 
 def test_an_engine_whose_address_has_another_one_is_forgotten():
-    """Callers are served although the instance can't hear of the change.
-
-    The engine crashed and another has its address. This instance is cut off
-    from the store, so the old entry stays; the refusal itself must do.
-    """
+    """A replaced engine is dropped on its refusal, without the store."""
 
     async def main():
         replaced = writer("d1", is_replaced=True)
@@ -185,11 +171,7 @@
 
 
 def test_a_chosen_engine_that_began_to_leave_is_not_sent_to():
-    """The caller is served by another engine.
-
-    The notice arrives while the prompt is read. What was chosen before must
-    be checked again at the moment of sending.
-    """
+    """An engine that starts to drain during prefill gets no request."""
 
     async def main():
         slow_reader = reader("p1", prefill_token_ms=0.4)
@@ -213,7 +195,7 @@
         async with deployments.deployed(
             reader("p1"), other, writer("d2", "b")
         ) as world:
-            # What is registered lags behind what the engine does.
+            # The registration lags behind the engine's actual role.
             other.endpoint = other.endpoint.__class__(
                 "d1", deployments.ENGINES, "d1:1", "a", resources.Role.PREFILL
             )
@@ -239,10 +221,9 @@
 
 
 def test_a_prompt_that_one_engine_refuses_is_read_by_another():
-    """Other callers' answers go on without a pause.
+    """A refused prefill moves to another prefill engine.
 
-    The first prefill engine is changing its role and refuses. A decode engine
-    that read the prompt instead would stop the answers it writes meanwhile.
+    Prefill on the decode engine would stall its other answers.
     """
 
     async def main():
@@ -261,7 +242,7 @@
 
 
 def test_an_unreachable_decode_engine_is_not_asked_all_the_time():
-    """A dead engine costs a caller one try, not one in each round."""
+    """An unreachable engine is not retried in every round of the wait."""
 
     async def main():
         dead = writer("d1", is_unreachable=True)
@@ -283,10 +264,9 @@
 
 
 def test_an_engine_that_changes_is_left_out_also_without_a_prefill_engine():
-    """One refusal for each change, not one for each caller.
+    """A role change costs one refusal in total, not one per request.
 
-    With no prefill engine left the request is sent without a result to fetch,
-    so the refusal can't be for want of that.
+    The refused request has no prefill result that could be the cause.
     """
 
     async def main():
@@ -301,12 +281,7 @@
 
 
 def test_an_engine_that_changes_is_left_alone_until_it_has_its_new_role():
-    """A change takes up to thirteen seconds, and reservations are still given.
-
-    Asked again after four, the engine refuses the run after a prompt was read
-    for it, at each instance and over and over. Once it has registered its new
-    role it is used at once.
-    """
+    """An engine that changes roles is unused until it registers the new one."""
 
     async def main():
         changing = writer("d1", is_changing=True)
@@ -335,12 +310,7 @@
 
 
 def test_a_refused_reading_is_no_way_around_the_budget():
-    """The caller is told to come back; nothing ran.
-
-    The fleet's retries are used up and the prefill engine refuses. Its refusal
-    counts as a call, so a run at the decode engine would be a retry: in an
-    overload each caller would add one over the bound.
-    """
+    """A run after a refused prefill counts against the retry budget."""
 
     async def main():
         busy = reader("p1", refuses_readings=True)
@@ -358,12 +328,9 @@
 
 
 def test_a_reading_without_answer_is_no_way_around_the_budget():
-    """The caller is told to come back; nothing ran.
+    """A run after an unanswered prefill counts against the retry budget.
 
-    The fleet's retries are used up and the prefill engine has gone dark. It may
-    never have taken the prompt, so a run at the decode engine may be a retry;
-    with two of three prefill engines dark each caller would add one over the
-    bound.
+    The prefill engine may not have accepted the first call.
     """
 
     async def main():
@@ -382,11 +349,7 @@
 
 
 def test_a_reading_without_answer_makes_the_next_one_a_retry():
-    """Readings that are given up stay within the fleet's bound.
-
-    The only prefill engine reads and its results are lost, and the decode
-    engine then refuses. The second sending reads again, which counts.
-    """
+    """A second prefill counts against the retry budget."""
 
     async def main():
         lossy = reader("p1", loses_readings=True)
@@ -399,8 +362,8 @@
             answer = await world.ask("/verdicts/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
             taken = before - budget.left(deployments.ENGINES)
-            # Two readings, a refused run and the run; the first reading and
-            # the first run are free.
+            # Two prefills, a refused run and a run; the first prefill and the
+            # first run are not retries.
             assert len(world.backends.prefills) == 2
             assert taken >= 2 - 0.2
 
@@ -408,11 +371,7 @@
 
 
 def test_an_engine_that_answers_no_reservation_is_not_asked_again():
-    """A silent engine costs the line one call, not one for each request.
-
-    It accepts connections and answers nothing. The first caller loses the time
-    of one call; those after it are placed elsewhere at once.
-    """
+    """An unresponsive engine delays one request, not the whole queue."""
 
     async def main():
         dark, well = writer("d1"), writer("d2")
--- a/tests/forwarding/test_budget.py
+++ b/tests/forwarding/test_budget.py
@@ -1,4 +1,4 @@
-"""The fleet's retries are shared, not had by each instance."""
+"""The retry budget is shared by all instances."""
 
 from __future__ import annotations
 
--- a/tests/forwarding/test_crash_records.py
+++ b/tests/forwarding/test_crash_records.py
@@ -1,4 +1,4 @@
-"""Crash reports outlive the processes that wrote them."""
+"""Encoding of stored crash reports."""
 
 from __future__ import annotations
 
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -1,4 +1,4 @@
-"""Which requests go to no further engine, and what is remembered of them."""
+"""Quarantine of requests that crash engines, and the crash history."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 
 def test_a_whole_answer_ends_a_quarantine():
-    """A popular request ran on each of three engines that were lost."""
+    """A complete answer shows that the request does not cause crashes."""
 
     async def test(world):
         history = world.history()
@@ -104,7 +104,7 @@
 
 
 def test_a_caller_that_makes_up_thousands_pushes_out_no_other_one():
-    """Memory stays bounded, and only its own least sure ones give way."""
+    """An account with many records evicts only its own."""
 
     async def test(world):
         history = world.history()
@@ -132,7 +132,7 @@
 
 
 def test_bodies_are_read_only_for_requests_that_look_alike(monkeypatch):
-    """Each request would else pay for a few, megabytes of them."""
+    """Hashing the body of every request would be too expensive."""
 
     async def test(world):
         history = world.history()
@@ -168,7 +168,7 @@
 
 
 def test_an_old_word_does_not_undo_a_whole_answer():
-    """An instance that was cut off tells what it knew as its link begins."""
+    """An outdated report after a partition does not undo a clearance."""
 
     async def test(world):
         cut, others = world.history(), world.history()
@@ -189,7 +189,7 @@
 
 
 def test_a_round_of_telling_keeps_nothing_alive():
-    """Two instances that remind each other would never forget."""
+    """Two instances that exchange reports still forget old crashes."""
 
     async def test(world):
         first, second = world.history(), world.history()
@@ -235,10 +235,7 @@
 
 
 def test_tries_that_tell_nothing_are_two_at_most():
-    """Their callers leave, or they find no memory, and more of them insist.
-
-    Each may reach an engine, and users allow three tries after the third crash.
-    """
+    """The number of trials is bounded even if none gives a result."""
 
     async def test(world):
         history = world.history()
@@ -269,7 +266,7 @@
 
 
 def test_that_a_try_was_let_through_is_told_and_kept():
-    """A new leader or a restart of all would else let through another one."""
+    """A stored trial is not granted again after a restart or an election."""
 
     async def test(world):
         teller, hearer = world.history(), world.history()
--- a/tests/forwarding/test_events.py
+++ b/tests/forwarding/test_events.py
@@ -1,4 +1,4 @@
-"""Streams are cut at whole events, wherever the bytes are split."""
+"""Event streams are split at event boundaries, however the bytes arrive."""
 
 from __future__ import annotations
 
--- a/tests/forwarding/test_fingerprints.py
+++ b/tests/forwarding/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Which tries are the same request."""
+"""Which tries count as the same request."""
 
 from __future__ import annotations
 
--- a/tests/forwarding/test_follower.py
+++ b/tests/forwarding/test_follower.py
@@ -1,4 +1,4 @@
-"""Following a table over outages and forgotten history."""
+"""Following a table through outages and truncated history."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 def test_forgotten_changes_are_read_from_the_whole_table():
-    """Nothing is skipped where the store has dropped the changes."""
+    """A truncated history is replaced by a full read."""
 
     async def test(clock, table, known, lost):
         table.put("a", 1)
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Routes, versions and the bounds of a request's life."""
+"""Routing, configuration versions and deadlines."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 def test_before_any_configuration_callers_are_told_to_come_back():
-    """A path that this instance doesn't know yet is not one that isn't there.
+    """An instance without a configuration answers "not ready", not "not found".
 
-    "Not found" would end the caller's tries; it is served a moment later.
+    Callers do not retry after "not found".
     """
 
     async def main():
@@ -56,7 +56,7 @@
             )
             await world.clock.sleep_ms(100.0)
             assert (await world.ask("/moved/1")).status == 200
-            # A stale read shows an older version after the newer one.
+            # A stale read returns an older version after the newer one.
             world.configurations.put(
                 "config", deployments.configuration(5, deployments.SALE)
             )
@@ -104,17 +104,16 @@
 
 
 def test_a_change_that_a_waiting_read_misses_is_in_force_in_time():
-    """Callers get the new route within two seconds of its acknowledgement.
+    """A change is in force in time even if a long poll misses it.
 
-    The store doesn't wake a read that arrives in the same instant as the
-    change; its answer comes when the wait is over.
+    The store does not wake a read that arrives at the same time as the change.
     """
 
     async def main():
         async with deployments.deployed(shop("s1")) as world:
             world.configurations.is_late = True
             for number in range(2, 12):
-                # At other places of the waiting read each time.
+                # At a different point of the long poll each time.
                 await world.clock.sleep_ms(330.0)
                 moved = dataclasses.replace(
                     deployments.SALE, path_prefix=f"/moved-{number}/"
--- a/tests/forwarding/test_golden_session.py
+++ b/tests/forwarding/test_golden_session.py
@@ -1,9 +1,7 @@
-"""One whole session, held against a golden file.
+"""The log of a whole session matches a golden file.
 
-A stream is handed over, another breaks and goes on elsewhere, a sale's answer
-is lost, a caller finds no memory and is told when to come back, an engine
-leaves, and the configuration changes. What the instance logs of it, in order
-and with the time, is the file: who decided what, and on what grounds.
+Covers a served stream, a resumed stream, a lost answer, a refusal for lack of
+memory, a draining engine and a configuration change.
 """
 
 from __future__ import annotations
--- a/tests/forwarding/test_limits.py
+++ b/tests/forwarding/test_limits.py
@@ -1,4 +1,4 @@
-"""Permits of a limited endpoint: how many in a window, and who comes when."""
+"""Rate limits of endpoints: permits per window and retry-after times."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def _granted(
     ledger, rate_per_s: float, *, every_ms: float, part: float = 1.0
 ) -> list[float]:
-    """When requests that come all the time get a permit."""
+    """Times at which requests at a fixed interval get a permit."""
     times = []
     now_ms = 0.0
     while now_ms < 60_000.0:
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("rate_per_s", [0.5, 1.8, 7.0, 60.0])
 def test_no_window_has_more_than_the_limit_and_what_was_saved(rate_per_s):
-    """Most of the limit is given out, and one or a quarter second's at once."""
+    """Most of the limit is used, and bursts are bounded."""
     ledger = limits.LimitLedger(lambda: 0.0)
     times = _granted(ledger, rate_per_s, every_ms=7.0)
     allowed = rate_per_s * WINDOW_MS / 1_000.0
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("instances", [6, 60, 380])
 def test_instances_that_count_alone_together_stay_within_the_limit(instances):
-    """Each gives out its part; none of them begins with a whole permit."""
+    """Independent buckets must not all start with a whole permit."""
     rng = random.Random(instances)
     rate_per_s = 1.5
     times = []
@@ -62,7 +62,7 @@
 
 
 def test_a_limit_of_nothing_is_tried_now_and_then():
-    """Nobody would else ever hear that it has ended."""
+    """Without any request nobody would learn that the limit has ended."""
     ledger = limits.LimitLedger(lambda: 0.0)
     times = _granted(ledger, 0.0, every_ms=100.0)
     assert 4 <= len(times) <= 6
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -1,4 +1,4 @@
-"""Plain requests: once where asked, again where allowed, told truly."""
+"""Plain requests: repeats, errors and deadlines."""
 
 from __future__ import annotations
 
@@ -33,10 +33,9 @@
 
 
 def test_a_lost_answer_to_a_sale_is_unknown():
-    """The till learns that the sale may have been logged.
+    """A lost answer is not reported as "did not run".
 
-    The endpoint ran it and its answer was lost. "Did not run" would have the
-    till send it again, and the stock would be logged twice.
+    The caller would repeat a sale that may have been recorded.
     """
 
     async def main():
@@ -78,7 +77,7 @@
 
 
 def test_a_failure_is_tried_elsewhere_and_else_passed_on():
-    """The caller gets the endpoint's own failure, not one made up here."""
+    """The caller gets the endpoint's own error response."""
 
     async def main():
         async with deployments.deployed(
@@ -104,10 +103,9 @@
 
 
 def test_a_slow_endpoint_is_given_up_before_the_target():
-    """The caller is served in time though its endpoint hangs.
+    """A hanging endpoint is given up in time to meet the target elsewhere.
 
-    Health checks see nothing of such an endpoint. The request may be repeated
-    and so goes elsewhere while its target can still be met.
+    Health checks do not detect such an endpoint.
     """
 
     async def main():
@@ -135,10 +133,10 @@
 
 
 def test_retries_stop_with_the_fleets_budget():
-    """A sick service isn't asked twice for everything.
+    """Retries of a failing service are bounded.
 
-    The instance holds the fleet's whole share: 40 in a window and a fifth of
-    its requests.
+    This single instance has the whole budget: 40 per window and a fifth of its
+    requests.
     """
 
     async def main():
@@ -219,11 +217,7 @@
 
 
 def test_an_endpoints_failure_is_passed_on_when_the_next_one_is_silent():
-    """The caller gets the first endpoint's own answer at the deadline.
-
-    It failed, the request went to another, and that one never answered. "No
-    answer in time" would hide what is known.
-    """
+    """The first endpoint's error is forwarded if the second one times out."""
 
     async def main():
         async with deployments.deployed(
--- a/tests/forwarding/test_quotas.py
+++ b/tests/forwarding/test_quotas.py
@@ -1,4 +1,4 @@
-"""Buckets of what accounts may use, and requests counted for a block."""
+"""Token buckets of account quotas, and charges for the time of a placement."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     ledger = _full()
     ledger.charge(NAME, QUOTA, 2_600.0, 0.0)
     told = [ledger.take(NAME, QUOTA, 400.0, 0.0) for _ in range(5)]
-    # Told one after the other, by what each needs.
+    # Successive callers get increasing times, by the units that each needs.
     assert told == sorted(told)
     assert len(set(told)) == len(told)
     for wait_ms in told:
@@ -53,11 +53,7 @@
 
 
 def test_a_small_request_is_admitted_in_a_debt_that_is_tolerated():
-    """A large request has left a debt; a small one of the account comes.
-
-    It hardly counts, so it is admitted up to the debt that is tolerated, and
-    what it takes is paid back like the rest.
-    """
+    """A small request is admitted up to the tolerated debt of a large one."""
     ledger = _full()
     ledger.charge(NAME, QUOTA, 2_300.0, 0.0)
     assert ledger.take(NAME, QUOTA, 20.0, 0.0) > 0.0
@@ -77,7 +73,7 @@
 def test_a_count_begun_anew_grants_no_second_burst():
     ledger = quotas.QuotaLedger(5_000.0)
     assert ledger.left(NAME, QUOTA, 5_000.0) < QUOTA.burst / 2
-    # Seen for the first time long after the count began: all of it is there.
+    # First seen long after counting started: the whole burst is available.
     assert ledger.left("other", QUOTA, 9_000.0) == QUOTA.burst
     ledger.put(NAME, QUOTA.burst, 5_000.0)
     ledger.resume(9_000.0)
@@ -86,7 +82,7 @@
 
 
 def test_a_count_that_goes_on_keeps_its_debts():
-    """Two instances that take turns in counting grant no burst each time."""
+    """Two instances that alternate in counting grant no additional burst."""
     ledger = _full()
     ledger.charge(NAME, QUOTA, 5_000.0, 0.0)
     ledger.resume(1_000.0)
@@ -102,7 +98,7 @@
     )
 )
 def test_no_window_holds_more_than_rate_burst_and_one_request(asked):
-    """Whatever comes and whenever, over any window that slides."""
+    """The bound holds for any arrivals and any sliding window."""
     ledger = _full()
     admitted: list[tuple[float, float]] = []
     now_ms = 0.0
@@ -122,7 +118,7 @@
 
 
 class _Counted:
-    """Stands in for quotas: notes what is taken and given back."""
+    """Records charges and refunds instead of counting them."""
 
     def __init__(self) -> None:
         self.notes: list[str] = []
@@ -151,10 +147,7 @@
 
 
 def test_a_second_try_that_fails_keeps_the_first_ones_count():
-    """A stream that broke ran, so its tokens stay counted.
-
-    Only the place for going on elsewhere wasn't found.
-    """
+    """A failed attempt to resume refunds nothing, since the stream ran."""
     counts, run = _Counted(), _Run()
     run.is_counted = True
     with (
--- a/tests/forwarding/test_random_faults.py
+++ b/tests/forwarding/test_random_faults.py
@@ -1,9 +1,8 @@
-"""Random faults and random callers; what must hold holds in every run.
+"""Random faults and callers: checks invariants in every run.
 
-Callers see whole answers, broken connections, or errors; behind them engines
-die, fall silent, refuse, lose answers, change roles and leave, the store goes
-away, and instances lose it one by one. Each seed is one run on the virtual
-clock, so a seed that failed fails again.
+Engines crash, hang, refuse, lose answers, change roles and drain; the store and
+single instances are cut off. Each seed is one reproducible run on the virtual
+clock.
 """
 
 from __future__ import annotations
@@ -22,7 +21,7 @@
 DOMAINS = "abc"
 PATHS = ("/verdicts/", "/once/", "/lookup/", "/sale/")
 ONCE = ("/once/", "/sale/")
-# Part of the faults that strike whoever leads.
+# Share of the faults that affect the leader.
 LEADER_PART = 0.35
 
 
@@ -36,14 +35,14 @@
 
 
 class _Chaos:
-    """Switches faults on and off."""
+    """Switches random faults on and off."""
 
     def __init__(self, world: deployments.Deployment, seed: int) -> None:
         self._world = world
         self._rng = random.Random(seed)
 
     async def run_led(self) -> None:
-        """As ``run``, and leaders fare no better than engines."""
+        """Like ``run``, with additional faults of the leader."""
         clock = self._world.clock
         until_ms = clock.now_ms() + RUN_MS
         while clock.now_ms() < until_ms:
@@ -59,7 +58,7 @@
         leader = world.leader or rng.choice(sorted(world.instances))
         match rng.randrange(4):
             case 0:
-                # All its connections are reset.
+                # Resets all connections of the leader.
                 world.network.drop_streams(leader)
             case 1:
                 world.network.cut("a", "b", one_way=rng.random() < 0.5)
@@ -107,7 +106,7 @@
 async def _callers(
     world: deployments.Deployment, seed: int, names=("e1", "e2")
 ):
-    """Sends requests all the while; returns path, id and answer of each."""
+    """Sends random requests; returns path, id and answer of each."""
     rng = random.Random(seed + 1)
     asked = []
     began_ms = world.clock.now_ms()
@@ -146,7 +145,7 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_what_must_hold_holds_with_a_leader(seed):
-    """The same while leaders are cut off, reset and lose their lease."""
+    """The invariants hold while leaders are cut off and lose their lease."""
 
     async def main():
         world = deployments.Deployment(*_behind())
@@ -177,7 +176,7 @@
     assert served > len(asked) / 10
     world.backends.lapse()
     for backend in world.backends.by_name.values():
-        # Nothing is worked on or held for callers that are gone.
+        # No work or reservation remains for callers that are gone.
         assert not backend.at_work, backend.name
         assert not backend.held, backend.name
 
--- a/tests/forwarding/test_refusals.py
+++ b/tests/forwarding/test_refusals.py
@@ -1,4 +1,4 @@
-"""A status that promises that nothing ran is given only where it is true."""
+"""Statuses that mean "did not run" are used only if that is certain."""
 
 from __future__ import annotations
 
--- a/tests/forwarding/test_registry.py
+++ b/tests/forwarding/test_registry.py
@@ -1,4 +1,4 @@
-"""What the store shows of endpoints, over stale reads and outages."""
+"""Registered endpoints, with stale reads and outages of the store."""
 
 from __future__ import annotations
 
@@ -55,10 +55,10 @@
 
 
 def test_entries_that_lapse_over_an_outage_are_kept_for_a_while():
-    """Callers are served on although the store lost the entries.
+    """Endpoints whose entries expired during an outage still get requests.
 
-    Endpoints can't renew their entries while the store is away, so it drops
-    them; those that live are back within two seconds of its return.
+    They cannot renew their entries during the outage, and need some time after
+    it.
     """
 
     async def test(registry, clock):
@@ -136,12 +136,7 @@
 
 
 def test_an_entry_that_became_unreadable_names_no_endpoint_until_it_is_good():
-    """Callers are sent elsewhere while another writer's entry stands there.
-
-    A good entry is overwritten by one that can't be understood, right after
-    an outage, when entries that are merely gone are still believed. Then the
-    endpoint writes its own entry again.
-    """
+    """An unreadable entry removes the endpoint, even right after an outage."""
 
     async def test(registry, clock):
         registry.take([_record(3)])
@@ -169,7 +164,7 @@
 
 
 def test_an_endpoint_that_starts_again_under_its_key_is_another_one():
-    """Nothing that was sent to the earlier start counts for the later one."""
+    """State of an earlier start does not apply to the later one."""
 
     async def test(registry, clock):
         registry.take([_record(3, FIRST)])
@@ -177,7 +172,7 @@
         assert not registry.takes_work("s1@1")
         assert registry.takes_work("s1@2")
         assert registry.of_service("shop") == [SECOND]
-        # A refusal that the earlier start gave says nothing of the later one.
+        # A refusal of the earlier start does not affect the later one.
         registry.replaced("s1@1")
         assert registry.takes_work("s1@2")
 
@@ -185,10 +180,7 @@
 
 
 def test_a_late_word_of_an_earlier_start_is_left_out():
-    """The later start is served on while the store shows the older word last.
-
-    The write of the earlier start was held up and carried out after it.
-    """
+    """A delayed write of an earlier start does not replace the later one."""
 
     async def test(registry, clock):
         registry.take([_record(3, SECOND)])
--- a/tests/forwarding/test_reloading.py
+++ b/tests/forwarding/test_reloading.py
@@ -1,4 +1,4 @@
-"""A changed settings file takes effect, a bad one does nothing."""
+"""Valid changes of the settings file take effect, invalid ones do not."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _Watched:
-    """A settings file, who follows it and what came of it."""
+    """A settings file, its reloader and the settings that were applied."""
 
     def __init__(self, tmp_path):
         self.path = tmp_path / "settings.json"
@@ -34,7 +34,7 @@
 
 
 def _play(tmp_path, story):
-    """Runs a story; returns the events that were logged."""
+    """Runs a test and returns the events that were logged."""
 
     async def main():
         watched = _Watched(tmp_path)
@@ -53,11 +53,7 @@
 
 
 def test_a_signal_puts_a_change_in_force_at_once(tmp_path):
-    """An operator lowers the retries of the fleet and sends SIGHUP.
-
-    The instance must not need a restart, which would cut off its callers for
-    a setting that is only read when a retry is wanted.
-    """
+    """Live settings take effect without a restart."""
 
     async def story(watched):
         watched.write(_RETRIES)
@@ -95,10 +91,9 @@
 
 
 def test_a_file_that_is_half_written_changes_nothing(tmp_path):
-    """The file is read while it is replaced: first a half, then the whole.
+    """An incomplete file is ignored, and the complete one is read later.
 
-    The instance keeps what it has and says so, and takes the whole file at
-    its next look although no second signal comes.
+    The second read needs no signal.
     """
 
     async def story(watched):
--- a/tests/forwarding/test_restraints.py
+++ b/tests/forwarding/test_restraints.py
@@ -1,4 +1,4 @@
-"""What is believed of an endpoint's word, and for how long."""
+"""Rate limits, drain notices and backoffs that endpoints send."""
 
 from __future__ import annotations
 
@@ -25,11 +25,7 @@
 
 
 def test_an_answer_from_before_the_limit_does_not_end_it():
-    """An endpoint in need isn't let loose on by an answer that was slow.
-
-    It began to name a limit while an earlier request ran, whose answer comes
-    last and names none.
-    """
+    """An answer to a request sent before the limit must not end the limit."""
 
     async def test(known, clock):
         known.heard(ENDPOINT, _notice(clock, rate_limit_per_s=1.5))
@@ -44,7 +40,7 @@
 
 
 def test_an_answer_from_before_does_not_raise_the_limit():
-    """Two answers cross; the one that was asked for first arrives last."""
+    """Answers can arrive out of order."""
 
     async def test(known, clock):
         known.heard(ENDPOINT, _notice(clock, rate_limit_per_s=1.5))
@@ -75,7 +71,7 @@
 
 
 def test_of_what_two_instances_know_the_stricter_holds():
-    """A link begins after a cut, and either side may have the newer word."""
+    """After a partition either instance may have the newer terms."""
 
     async def test(known, clock):
         known.heard(ENDPOINT, _notice(clock, rate_limit_per_s=3.0))
--- a/tests/forwarding/test_routes.py
+++ b/tests/forwarding/test_routes.py
@@ -1,4 +1,4 @@
-"""The longest prefix of the named host wins."""
+"""Route matching by host and longest path prefix."""
 
 from __future__ import annotations
 
--- a/tests/forwarding/test_settings.py
+++ b/tests/forwarding/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked whole, and errors are named."""
+"""Validation of the settings file."""
 
 from __future__ import annotations
 
--- a/tests/forwarding/test_shutdown.py
+++ b/tests/forwarding/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A shutdown cuts no request and sends nobody away while it can serve."""
+"""Graceful shutdown: running requests complete, new ones move elsewhere."""
 
 from __future__ import annotations
 
@@ -9,11 +9,7 @@
 
 
 def test_streams_end_and_new_requests_are_served_for_the_balancers_time():
-    """Callers see whole answers; later ones are told to go elsewhere.
-
-    The balancer notices within two questions that the instance is not ready.
-    Until then its callers are still sent here.
-    """
+    """New requests are served until the load balancer reacts."""
 
     async def main():
         async with deployments.deployed(
--- a/tests/forwarding/test_stream.py
+++ b/tests/forwarding/test_stream.py
@@ -1,4 +1,4 @@
-"""Streams: once where asked, and on elsewhere where that is allowed."""
+"""Streams: resumption, lost answers and deadlines."""
 
 from __future__ import annotations
 
@@ -15,12 +15,7 @@
 
 
 def test_a_broken_stream_goes_on_after_the_last_whole_event():
-    """The caller sees one stream without a gap.
-
-    The engine dies inside its third event. Where the route allows it the
-    request goes to another engine with the last whole event's number, and
-    only after the first connection was closed.
-    """
+    """A stream that breaks inside an event resumes without gap or repeat."""
 
     async def main():
         dying = writer("d1", breaks_after=2)
@@ -38,9 +33,9 @@
 
 
 def test_a_silent_stream_goes_on_elsewhere():
-    """The caller waits a second, not until it gives up.
+    """A stream without events resumes elsewhere after a second.
 
-    A machine behind a partition sends nothing, not even a reset.
+    A host behind a network partition does not even reset its connections.
     """
 
     async def main():
@@ -57,11 +52,7 @@
 
 
 def test_a_broken_stream_is_not_put_behind_where_memory_is_short():
-    """A stream breaks while the only other engine has little memory left.
-
-    A request that merely came back late would leave that memory to others.
-    This caller has a part of its answer already: it gets the rest of it.
-    """
+    """A stream that resumes is not deprioritised like a late request."""
 
     async def main():
         tight = writer("d2")
@@ -77,7 +68,7 @@
 
 
 def test_a_stream_that_may_run_once_stays_broken():
-    """The caller sees a broken connection, never a second run's events."""
+    """The caller never gets events of a second run."""
 
     async def main():
         dying = writer("d1", breaks_after=2)
@@ -94,11 +85,7 @@
 
 
 def test_a_lost_answer_to_one_that_may_run_once_is_unknown():
-    """The caller must not be told that nothing ran.
-
-    The engine ran it and the answer was lost: "unknown", without a time to
-    come back.
-    """
+    """A lost answer is not reported as "did not run" and has no retry-after."""
 
     async def main():
         async with deployments.deployed(
@@ -150,11 +137,7 @@
 
 
 def test_a_resumed_stream_has_its_prompt_read_apart():
-    """Other callers' answers go on without a pause.
-
-    The engine that takes a broken stream up would read the whole prompt
-    again, between the tokens of the answers that it writes.
-    """
+    """Prefill on the resuming decode engine would stall its other answers."""
 
     async def main():
         dying = writer("d1", breaks_after=2)
@@ -169,11 +152,7 @@
 
 
 def test_a_broken_stream_passes_an_unreachable_engine_over():
-    """The caller's stream goes on at the third engine.
-
-    The first breaks off, the second died with it and can't be reached, which
-    is no attempt.
-    """
+    """An unreachable engine does not count as an attempt."""
 
     async def main():
         dying = writer("d1", breaks_after=2)
@@ -190,7 +169,7 @@
 
 
 def test_an_event_that_is_missing_breaks_the_stream():
-    """The caller gets the missing event from another engine, not a gap."""
+    """A gap in the event numbers resumes the stream elsewhere."""
 
     async def main():
         async with deployments.deployed(
@@ -204,11 +183,7 @@
 
 
 def test_one_that_may_run_once_is_not_sent_again_whatever_attempts_are_left():
-    """The caller is told "unknown"; no second engine begins.
-
-    The route allows three engines, which is for those that refuse. A lost
-    answer may mean that the first one ran it.
-    """
+    """A lost answer may mean that the request ran, so it is not repeated."""
 
     async def main():
         async with deployments.deployed(
--- a/tests/forwarding/test_watched_backends.py
+++ b/tests/forwarding/test_watched_backends.py
@@ -1,4 +1,4 @@
-"""What is seen of engines that crash under requests."""
+"""Detection of engine crashes, and their log lines."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_a_line_names_the_request_the_engine_and_how_often():
-    """Without it no line says that two tries are the same request."""
+    """Log lines link the tries of one request by its label."""
 
     async def main():
         async with deployments.deployed(
@@ -59,7 +59,7 @@
 
 
 def test_a_connection_that_broke_is_no_crash():
-    """Endpoints reset connections and spoil answers, and live on."""
+    """A reset connection or a lost answer is not counted as a crash."""
 
     async def main():
         shop = deployments.shop("s1", loses_answers=True)
@@ -73,7 +73,7 @@
 
 
 def test_a_caller_that_leaves_at_once_hides_no_crash():
-    """It comes back with the same request; the next engine would crash."""
+    """A crash is recorded even if the caller disconnects."""
 
     async def main():
         async with deployments.deployed(deployments.shop("s1")) as world:
