--- a/src/jujubewharf/requests/answer.py
+++ b/src/jujubewharf/requests/answer.py
@@ -96,42 +96,42 @@
             until_ms: Clock reading at which to stop waiting, in ms. The last
                 event is then a ``DEADLINE_EXCEEDED`` failure.
         """
-        is_over = False
+        is_timed_out = False
 
-        def strike() -> None:
-            nonlocal is_over
-            is_over = True
+        def on_timeout() -> None:
+            nonlocal is_timed_out
+            is_timed_out = True
             self._wake()
 
         # One timer per reader, because a timer for each token is too expensive.
-        alarm = self._clock.call_at_ms(until_ms, strike)
+        timer = self._clock.call_at_ms(until_ms, on_timeout)
         sent = 0
         digest = xxhash.xxh3_128()
         try:
             while True:
                 while len(self.texts) <= sent and self.end is None:
-                    if is_over:
+                    if is_timed_out:
                         kind = errors.ErrorKind.DEADLINE_EXCEEDED
                         yield model_request.Failed(kind, errors.Ran.UNKNOWN)
                         return
                     await self._changed.wait()
-                fresh = tuple(self.texts[sent:])
-                if not fresh:
+                new_texts = tuple(self.texts[sent:])
+                if not new_texts:
                     break
-                digest.update("".join(fresh).encode())
-                yield model_request.Tokens(sent, fresh)
-                sent += len(fresh)
+                digest.update("".join(new_texts).encode())
+                yield model_request.Tokens(sent, new_texts)
+                sent += len(new_texts)
         finally:
-            alarm.cancel()
+            timer.cancel()
         assert self.end is not None
-        yield _checked(self.end, sent, digest.hexdigest())
+        yield _verified(self.end, sent, digest.hexdigest())
 
     def _wake(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
 
-def _checked(end: End, count: int, digest: str) -> End:
+def _verified(end: End, count: int, digest: str) -> End:
     match end:
         case model_request.Finished() if (end.count, end.digest) != (
             count,
--- a/src/jujubewharf/requests/answers.py
+++ b/src/jujubewharf/requests/answers.py
@@ -25,11 +25,11 @@
 from jujubewharf.requests import rehoming
 from jujubewharf.requests import relay as relays
 
-_FLUSH_MS = 2_000.0
-_HAND_OVER_MS = 3_000.0
-_SLACK_MS = 2_000.0
-_EXPIRE_EVERY_MS = 5_000.0
-_MAX_PULLED = 2_000
+_FLUSH_TIMEOUT_MS = 2_000.0
+_HANDOVER_TIMEOUT_MS = 3_000.0
+_DEADLINE_SLACK_MS = 2_000.0
+_EXPIRE_INTERVAL_MS = 5_000.0
+_MAX_PULLED_TOKENS = 2_000
 
 
 class Answers(mode.Service):
@@ -71,7 +71,7 @@
         self._handover = handover.Handover(
             instance, self._kept, homes, peers, clock
         )
-        relay = relays.Relay(peers, membership, clock, self._pulled_here)
+        relay = relays.Relay(peers, membership, clock, self._serve_pull)
         self._ownership = ownership.Ownership(
             instance, homes, claims, relay, runner.releaser, runner.counters
         )
@@ -110,14 +110,14 @@
         if held.request is request:
             # The run enforces this deadline itself and reports whether an
             # engine ran, so it gets some extra time to do so.
-            until_ms += _SLACK_MS
+            until_ms += _DEADLINE_SLACK_MS
         held.followers += 1
         try:
             async for event in held.answer.follow(until_ms):
                 yield event
         finally:
             held.followers -= 1
-            self._reader_left(held)
+            self._on_reader_left(held)
 
     async def on_start(self) -> None:
         """Starts the rehoming service."""
@@ -125,19 +125,19 @@
 
     async def on_stop(self) -> None:
         """Hands over answers, cancels running requests, flushes releases."""
-        await self._handover.give_all(_HAND_OVER_MS)
+        await self._handover.give_all(_HANDOVER_TIMEOUT_MS)
         tasks = [held.task for held in self._by_id.values() if held.task]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        await self._runner.releaser.flush(_FLUSH_MS)
+        await self._runner.releaser.flush(_FLUSH_TIMEOUT_MS)
 
     def _join_or_start(
         self, request: model_request.ModelRequest
     ) -> holding.Held:
         """Returns the key's answer on this instance, or starts a new one."""
         key = keys.key_of(request.account, request.key)
-        held = self._by_key.get(key) or self._from_kept(key)
+        held = self._by_key.get(key) or self._find_kept(key)
         replaces = ""
         if held is not None:
             if held.request.body_digest != request.body_digest:
@@ -152,10 +152,10 @@
         self._by_key[key] = held
         self._by_id[request.request_id] = held
         self._runner.counters.accepted()
-        held.task = asyncio.create_task(self._live(held))
+        held.task = asyncio.create_task(self._run_to_end(held))
         return held
 
-    def _from_kept(self, key: bytes) -> holding.Held | None:
+    def _find_kept(self, key: bytes) -> holding.Held | None:
         kept = self._kept.by_key(key)
         if kept is None:
             return None
@@ -164,18 +164,18 @@
         answer.finish(kept.end)
         return holding.Held(kept.request, key, answer)
 
-    async def _live(self, held: holding.Held) -> None:
+    async def _run_to_end(self, held: holding.Held) -> None:
         """Runs a request from key registration to the end of its answer."""
         request = held.request
         try:
             async with self._until_deadline(request):
-                is_mine = await self._ownership.acquire(held)
-            while is_mine:
+                runs_here = await self._ownership.acquire(held)
+            while runs_here:
                 taken_over = await self._run(held)
                 if taken_over is None:
                     break
                 async with self._until_deadline(request):
-                    is_mine = await self._ownership.join(held, taken_over)
+                    runs_here = await self._ownership.join(held, taken_over)
         except TimeoutError:
             kind = errors.ErrorKind.DEADLINE_EXCEEDED
             self._fail(held, errors.WharfError(kind, ran=held.ran_so_far))
@@ -189,7 +189,7 @@
             self._logger.exception("answer_crashed", id=request.request_id)
             self._fail(held, errors.WharfError(errors.ErrorKind.INTERNAL))
         finally:
-            self._ended(held)
+            self._on_ended(held)
 
     async def _run(self, held: holding.Held) -> relays.Source | None:
         """Runs a request.
@@ -215,7 +215,7 @@
             return None
         return taken_over
 
-    def _reader_left(self, held: holding.Held) -> None:
+    def _on_reader_left(self, held: holding.Held) -> None:
         if held.has_readers or held.answer.end is not None:
             return
         held.left_ms = self._clock.now_ms()
@@ -247,7 +247,7 @@
             self._runner.counters.refused(error.kind.value)
             held.answer.finish(holding.failed(error))
 
-    def _ended(self, held: holding.Held) -> None:
+    def _on_ended(self, held: holding.Held) -> None:
         request = held.request
         if self._by_id.get(request.request_id) is held:
             del self._by_id[request.request_id]
@@ -266,15 +266,15 @@
     async def _on_pull(
         self, sender: str, message: key_messages.Pull
     ) -> key_messages.Pulled:
-        return await self._pulled_here(message)
+        return await self._serve_pull(message)
 
-    async def _pulled_here(
+    async def _serve_pull(
         self, message: key_messages.Pull
     ) -> key_messages.Pulled:
         held = self._by_id.get(message.request_id)
         if held is None:
             kept = self._kept.by_id(message.request_id)
-            found = self._from_kept(message.key) if kept else None
+            found = self._find_kept(message.key) if kept else None
             if found is None or found.request.request_id != message.request_id:
                 return _not_here()
             held = found
@@ -295,7 +295,7 @@
             await held.answer.wait_beyond(message.first_index, until_ms)
         finally:
             held.pulls -= 1
-            self._reader_left(held)
+            self._on_reader_left(held)
         return _pulled(held.answer, message.first_index)
 
     async def _on_taken_over(
@@ -322,7 +322,7 @@
     @mode.Service.task
     async def _expire(self) -> None:
         while not self.should_stop:
-            await self._clock.sleep_ms(_EXPIRE_EVERY_MS)
+            await self._clock.sleep_ms(_EXPIRE_INTERVAL_MS)
             self._kept.expire()
             kept = {key for key, _ in self._kept.items()}
             homes_of = self._ownership.homes_of
@@ -362,10 +362,10 @@
 
 
 def _pulled(answer: answers.Answer, first_index: int) -> key_messages.Pulled:
-    texts = tuple(answer.texts[first_index : first_index + _MAX_PULLED])
-    is_all = first_index + len(texts) >= len(answer.texts)
+    texts = tuple(answer.texts[first_index : first_index + _MAX_PULLED_TOKENS])
+    is_last = first_index + len(texts) >= len(answer.texts)
     match answer.end:
-        case model_request.Finished(count, digest, attempt_id) if is_all:
+        case model_request.Finished(count, digest, attempt_id) if is_last:
             return key_messages.Pulled(
                 key_messages.PullState.FINISHED,
                 first_index,
--- a/src/jujubewharf/requests/attempt.py
+++ b/src/jujubewharf/requests/attempt.py
@@ -21,8 +21,8 @@
 from jujubewharf.routing import jobs
 from jujubewharf.routing import placer as placers
 
-_SHORTEST_TRANSFER_TIMEOUT_MS = 1_000.0
-_TRANSFER_SLACK = 8.0
+_MIN_TRANSFER_TIMEOUT_MS = 1_000.0
+_TRANSFER_TIMEOUT_FACTOR = 8.0
 _MAX_TRANSFERS = 3
 
 
@@ -105,9 +105,9 @@
         self._attempt = client.Attempt(
             f"{request.request_id}.{progress.attempts}", tools.instance
         )
-        self._touched: list[resources.Endpoint] = []
-        self._unused_tokens = 0
-        self._cause: request_counters.WasteCause | None = None
+        self._used_endpoints: list[resources.Endpoint] = []
+        self._unused_prompt_tokens = 0
+        self._waste_cause: request_counters.WasteCause | None = None
 
     @property
     def attempt_id(self) -> str:
@@ -123,20 +123,20 @@
         """
         self._tools.releaser.begin(self.attempt_id)
         try:
-            async with contextlib.AsyncExitStack() as places:
-                decode = await self._until_kv(choice, places)
-                await self._write(decode)
+            async with contextlib.AsyncExitStack() as placements:
+                decode = await self._prepare_decode(choice, placements)
+                await self._decode(decode)
         except asyncio.CancelledError:
-            self._cause = self._cause_of_cancel()
+            self._waste_cause = self._cause_of_cancel()
             raise
         finally:
             self._tools.releaser.end(self.attempt_id)
-            for endpoint in self._touched:
+            for endpoint in self._used_endpoints:
                 self._tools.releaser.release(self.attempt_id, endpoint)
             self._count_waste()
 
-    async def _until_kv(
-        self, choice: jobs.Choice, places: contextlib.AsyncExitStack
+    async def _prepare_decode(
+        self, choice: jobs.Choice, placements: contextlib.AsyncExitStack
     ) -> resources.Endpoint:
         """Prepares a decode engine: reservation, and prefill and transfer.
 
@@ -148,21 +148,25 @@
             await self._reserve(choice.decode, choice.reserve_at_ms)
             return choice.decode
         if choice.decode is None:
-            done = await self._read(choice.prefill, choice.prefill_at_ms)
-            decode = await self._find_slot(places, self._dies_ms(done))
+            done = await self._prefill(choice.prefill, choice.prefill_at_ms)
+            decode = await self._find_slot(
+                placements, self._kv_expires_ms(done)
+            )
         elif choice.reserve_at_ms <= choice.prefill_at_ms:
             decode = choice.decode
             await self._reserve(decode, choice.reserve_at_ms)
-            done = await self._read(choice.prefill, choice.prefill_at_ms)
+            done = await self._prefill(choice.prefill, choice.prefill_at_ms)
         else:
-            done, decode = await self._read_while_waiting(choice, places)
-        dies_ms = self._dies_ms(done)
+            done, decode = await self._prefill_while_reserving(
+                choice, placements
+            )
+        expires_ms = self._kv_expires_ms(done)
         return await self._transfer(
-            choice.prefill, decode, done, places, dies_ms
+            choice.prefill, decode, done, placements, expires_ms
         )
 
-    async def _read_while_waiting(
-        self, choice: jobs.Choice, places: contextlib.AsyncExitStack
+    async def _prefill_while_reserving(
+        self, choice: jobs.Choice, placements: contextlib.AsyncExitStack
     ) -> tuple[client.PrefillDone, resources.Endpoint]:
         """Runs the prefill while the reservation waits for a free slot."""
         assert choice.prefill is not None
@@ -171,10 +175,10 @@
             self._reserve(choice.decode, choice.reserve_at_ms)
         )
         try:
-            done = await self._read(choice.prefill, choice.prefill_at_ms)
-            dies_ms = self._dies_ms(done)
+            done = await self._prefill(choice.prefill, choice.prefill_at_ms)
+            expires_ms = self._kv_expires_ms(done)
             try:
-                left_ms = dies_ms - self._clock.now_ms()
+                left_ms = expires_ms - self._clock.now_ms()
                 async with self._clock.timeout_ms(left_ms):
                     await asyncio.shield(reserving)
                 return done, choice.decode
@@ -184,9 +188,9 @@
                 )
             except client.EngineError as failure:
                 error = failure
-            self._learn(error)
+            self._record_failure(error)
             self._tools.counters.moved(error.fault.value)
-            return done, await self._find_slot(places, dies_ms)
+            return done, await self._find_slot(placements, expires_ms)
         finally:
             reserving.cancel()
             await asyncio.gather(reserving, return_exceptions=True)
@@ -196,52 +200,54 @@
     ) -> None:
         await self._clock.sleep_until_ms(at_ms)
         view = self._view(endpoint)
-        self._touched.append(endpoint)
+        self._used_endpoints.append(endpoint)
         await view.client.reserve(self._attempt)
 
-    async def _read(
+    async def _prefill(
         self, prefill: resources.Endpoint, at_ms: float
     ) -> client.PrefillDone:
         await self._clock.sleep_until_ms(at_ms)
         view = self._view(prefill)
-        self._touched.append(prefill)
+        self._used_endpoints.append(prefill)
         request = self._request
         job = client.PrefillJob(
             request.service.model, request.prompt, request.priority
         )
-        was_read = self._progress.is_read
+        was_prefilled = self._progress.is_read
         self._progress.is_read = True
         try:
             done = await view.client.prefill(self._attempt, job)
         except client.EngineError as error:
             if error.fault in retries.DID_NOTHING:
-                self._progress.is_read = was_read
+                self._progress.is_read = was_prefilled
             raise
-        self._unused_tokens = done.prompt_tokens
-        self._cause = request_counters.WasteCause.ENGINE_FAILED
+        self._unused_prompt_tokens = done.prompt_tokens
+        self._waste_cause = request_counters.WasteCause.ENGINE_FAILED
         return done
 
-    def _dies_ms(self, done: client.PrefillDone) -> float:
+    def _kv_expires_ms(self, done: client.PrefillDone) -> float:
         return self._clock.now_ms() + done.survives_ms
 
     async def _find_slot(
-        self, places: contextlib.AsyncExitStack, dies_ms: float
+        self, placements: contextlib.AsyncExitStack, expires_ms: float
     ) -> resources.Endpoint:
         """Reserves another decode engine before the prefill result expires."""
-        self._cause = request_counters.WasteCause.NO_DECODE_SLOT
+        self._waste_cause = request_counters.WasteCause.NO_DECODE_SLOT
         backoff_ms = 5.0
         try:
-            async with self._clock.timeout_ms(dies_ms - self._clock.now_ms()):
+            async with self._clock.timeout_ms(
+                expires_ms - self._clock.now_ms()
+            ):
                 while True:
-                    place = self._tools.placer.moved(self._make_job())
+                    placement = self._tools.placer.moved(self._make_job())
                     try:
-                        choice = await places.enter_async_context(place)
+                        choice = await placements.enter_async_context(placement)
                         if choice.decode is None:
                             raise self._kv_gone()
                         await self._reserve(choice.decode, 0.0)
                         return choice.decode
                     except client.EngineError as error:
-                        self._learn(error)
+                        self._record_failure(error)
                     except errors.WharfError as error:
                         if not errors.TABLE[error.kind].retryable:
                             raise
@@ -255,34 +261,36 @@
         prefill: resources.Endpoint,
         decode: resources.Endpoint,
         done: client.PrefillDone,
-        places: contextlib.AsyncExitStack,
-        dies_ms: float,
+        placements: contextlib.AsyncExitStack,
+        expires_ms: float,
     ) -> resources.Endpoint:
         """Transfers the KV cache; on failure, tries other decode engines."""
-        for left in reversed(range(_MAX_TRANSFERS)):
+        for transfers_left in reversed(range(_MAX_TRANSFERS)):
             try:
-                await self._import(prefill, decode, done)
+                await self._import_kv(prefill, decode, done)
                 return decode
             except client.EngineError as error:
-                self._learn(error)
+                self._record_failure(error)
                 self._tools.releaser.release(self.attempt_id, decode)
-                is_over = self._clock.now_ms() >= dies_ms
-                if not left or is_over or _is_gone(error):
+                is_over = self._clock.now_ms() >= expires_ms
+                if not transfers_left or is_over or _is_kv_gone(error):
                     raise
                 self._tools.counters.moved(error.fault.value)
-            decode = await self._find_slot(places, dies_ms)
+            decode = await self._find_slot(placements, expires_ms)
         raise AssertionError
 
-    async def _import(
+    async def _import_kv(
         self,
         prefill: resources.Endpoint,
         decode: resources.Endpoint,
         done: client.PrefillDone,
     ) -> None:
-        self._cause = request_counters.WasteCause.TRANSFER_FAILED
+        self._waste_cause = request_counters.WasteCause.TRANSFER_FAILED
         rate = min(prefill.link_bytes_per_s, decode.link_bytes_per_s)
         ideal_ms = done.kv_bytes / rate * clocks.MS_PER_S
-        limit_ms = _SHORTEST_TRANSFER_TIMEOUT_MS + _TRANSFER_SLACK * ideal_ms
+        limit_ms = (
+            _MIN_TRANSFER_TIMEOUT_MS + _TRANSFER_TIMEOUT_FACTOR * ideal_ms
+        )
         view = self._view(decode)
         try:
             async with self._clock.timeout_ms(limit_ms):
@@ -290,14 +298,14 @@
         except TimeoutError:
             # A stalled transfer would hold the slot and the prefill result
             # indefinitely. Either end may be the cause, so both are excluded.
-            self._cause = request_counters.WasteCause.TRANSFER_STALLED
+            self._waste_cause = request_counters.WasteCause.TRANSFER_STALLED
             fault = client.EngineFault.LOST
             source = client.EngineError(fault, prefill.name)
             self._progress.exclusions.add(source, self._clock.now_ms())
             raise client.EngineError(fault, decode.name) from None
-        self._cause = request_counters.WasteCause.ENGINE_FAILED
+        self._waste_cause = request_counters.WasteCause.ENGINE_FAILED
 
-    async def _write(self, decode: resources.Endpoint) -> None:
+    async def _decode(self, decode: resources.Endpoint) -> None:
         view = self._view(decode)
         can_resume = decode.capabilities.resume
         answer = self._progress.answer
@@ -310,34 +318,36 @@
             delivered=delivered,
             priority=self._request.priority,
         )
-        self._on_dispatch(self.attempt_id, tuple(e.name for e in self._touched))
+        self._on_dispatch(
+            self.attempt_id, tuple(e.name for e in self._used_endpoints)
+        )
         before = self._progress.dispatch
         if before is Dispatch.NO:
             self._progress.dispatch = Dispatch.MAYBE
         try:
-            await self._take_chunks(view, job)
+            await self._read_chunks(view, job)
         except client.EngineError as error:
             did_nothing = error.fault in retries.DID_NOTHING
             if did_nothing and self._progress.dispatch is Dispatch.MAYBE:
                 self._progress.dispatch = before
             raise
 
-    async def _take_chunks(
+    async def _read_chunks(
         self, view: fleets.EngineView, job: client.DecodeJob
     ) -> None:
-        place = job.first_index
+        index = job.first_index
         stream = view.client.decode(self._attempt, job)
         async with contextlib.aclosing(stream) as chunks:  # type: ignore[type-var]
             async for chunk in chunks:
                 self._progress.dispatch = Dispatch.YES
-                self._unused_tokens = 0
-                place = self._take(view, chunk, place)
+                self._unused_prompt_tokens = 0
+                index = self._add_chunk(view, chunk, index)
                 if chunk.is_last:
                     return
         raise client.EngineError(client.EngineFault.LOST, view.endpoint.name)
 
-    def _take(
-        self, view: fleets.EngineView, chunk: client.TokenChunk, place: int
+    def _add_chunk(
+        self, view: fleets.EngineView, chunk: client.TokenChunk, index: int
     ) -> int:
         """Adds new tokens to the answer and verifies replayed ones.
 
@@ -345,20 +355,20 @@
         Tokens that the caller already has must be identical, or the caller
         would get parts of two different answers.
         """
-        if chunk.first_index != place:
+        if chunk.first_index != index:
             fault = client.EngineFault.LOST
             raise client.EngineError(fault, view.endpoint.name)
         answer = self._progress.answer
-        known = answer.texts[place : place + len(chunk.tokens)]
-        if list(chunk.tokens[: len(known)]) != known:
+        existing = answer.texts[index : index + len(chunk.tokens)]
+        if list(chunk.tokens[: len(existing)]) != existing:
             raise errors.WharfError(errors.ErrorKind.ANSWER_BROKEN)
-        place += len(chunk.tokens)
-        if chunk.is_last and place < len(answer.texts):
+        index += len(chunk.tokens)
+        if chunk.is_last and index < len(answer.texts):
             raise errors.WharfError(errors.ErrorKind.ANSWER_BROKEN)
-        fresh = chunk.tokens[len(known) :]
-        if fresh:
-            answer.add(fresh)
-        return place
+        new_tokens = chunk.tokens[len(existing) :]
+        if new_tokens:
+            answer.add(new_tokens)
+        return index
 
     def _view(self, endpoint: resources.Endpoint) -> fleets.EngineView:
         view = self._tools.fleet.view(endpoint.name)
@@ -367,7 +377,7 @@
             raise client.EngineError(fault, endpoint.name)
         return view
 
-    def _learn(self, error: client.EngineError) -> None:
+    def _record_failure(self, error: client.EngineError) -> None:
         self._tools.placer.failed(error.engine, error.fault)
         self._progress.exclusions.add(error, self._clock.now_ms())
 
@@ -382,9 +392,11 @@
         return request_counters.WasteCause.CALLER_GONE
 
     def _count_waste(self) -> None:
-        if self._unused_tokens and self._cause is not None:
-            self._tools.counters.wasted(self._cause, self._unused_tokens)
+        if self._unused_prompt_tokens and self._waste_cause is not None:
+            self._tools.counters.wasted(
+                self._waste_cause, self._unused_prompt_tokens
+            )
 
 
-def _is_gone(error: client.EngineError) -> bool:
+def _is_kv_gone(error: client.EngineError) -> bool:
     return error.fault is client.EngineFault.KV_GONE
--- a/src/jujubewharf/requests/claim_shard.py
+++ b/src/jujubewharf/requests/claim_shard.py
@@ -24,8 +24,8 @@
 MIN_INTERVAL_MS = SHARDS / APPENDS_PER_S * clocks.MS_PER_S
 MAX_BATCH = 400
 MAX_UNDATED = 10_000
-_PAGE = 500
-_FORGET_EVERY_MS = 10_000.0
+_PAGE_RECORDS = 500
+_EXPIRE_INTERVAL_MS = 10_000.0
 
 
 def stream_of(shard: int) -> str:
@@ -76,7 +76,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Wanted:
+class _PendingClaim:
     claim: claim_records.ClaimRecord
     done: asyncio.Future[claim_records.ClaimRecord]
 
@@ -110,10 +110,10 @@
         self._windows = windows
         self._next_offset: int | None = None
         self._appended_wall_ms: dict[bytes, float] = {}
-        self._waiting: list[_Wanted] = []
+        self._waiting: list[_PendingClaim] = []
         self._task: asyncio.Task[None] | None = None
-        self._appended_ms = float("-inf")
-        self._forgot_wall_ms = float("-inf")
+        self._last_append_ms = float("-inf")
+        self._last_expiry_wall_ms = float("-inf")
         self._logger = structlog.get_logger()
 
     async def claim(
@@ -131,11 +131,11 @@
                 with a slow clock would not notice.
         """
         loop = asyncio.get_running_loop()
-        wanted = _Wanted(claim, loop.create_future())
-        self._waiting.append(wanted)
+        pending = _PendingClaim(claim, loop.create_future())
+        self._waiting.append(pending)
         if self._task is None or self._task.done():
-            self._task = asyncio.create_task(self._drain())
-        return await wanted.done
+            self._task = asyncio.create_task(self._process_waiting())
+        return await pending.done
 
     async def load(self) -> None:
         """Reads the stream to its end.
@@ -146,14 +146,16 @@
         offset = self._next_offset or 0
         while True:
             try:
-                page = await self._log.read(self._stream, offset, limit=_PAGE)
+                page = await self._log.read(
+                    self._stream, offset, limit=_PAGE_RECORDS
+                )
             except log.LogTruncatedError as error:
                 # Truncated claims have expired or were appended again at a
                 # later offset.
                 offset = error.first_offset
                 continue
             for record in page.records:
-                self._fold(record)
+                self._apply(record)
             offset += len(page.records)
             self._next_offset = offset
             if offset >= page.next_offset:
@@ -167,7 +169,7 @@
             AppendUnknownError: The append may or may not have taken effect.
         """
         await self.load()
-        self._forget_over_age()
+        self._remove_expired()
         wall_ms = self._clock.wall_ms()
         due = [
             claim
@@ -182,26 +184,26 @@
             await self._append(due[start : start + MAX_BATCH])
             await self._clock.sleep_ms(MIN_INTERVAL_MS)
 
-    async def _drain(self) -> None:
+    async def _process_waiting(self) -> None:
         while self._waiting:
             await self._clock.sleep_until_ms(
-                self._appended_ms + MIN_INTERVAL_MS
+                self._last_append_ms + MIN_INTERVAL_MS
             )
             batch = self._waiting[:MAX_BATCH]
             del self._waiting[:MAX_BATCH]
-            is_read = False
+            is_new = False
             try:
-                is_read = await self._claim_batch(batch)
+                is_new = await self._claim_batch(batch)
             except (log.LogUnavailableError, log.AppendUnknownError) as error:
                 self._logger.warning(
                     "claims_unavailable", stream=self._stream, why=str(error)
                 )
-            for wanted in batch:
-                if not wanted.done.done():
-                    failure = ClaimUnavailableError(is_new=is_read)
-                    wanted.done.set_exception(failure)
+            for pending in batch:
+                if not pending.done.done():
+                    failure = ClaimUnavailableError(is_new=is_new)
+                    pending.done.set_exception(failure)
 
-    async def _claim_batch(self, batch: list[_Wanted]) -> bool:
+    async def _claim_batch(self, batch: list[_PendingClaim]) -> bool:
         """Claims the keys of a batch.
 
         Returns:
@@ -213,79 +215,79 @@
         """
         if self._next_offset is None:
             await self.load()
-        self._forget_over_age()
-        self._answer_held(batch)
+        self._remove_expired()
+        self._resolve_held(batch)
         self._refuse_old(batch)
-        left = [wanted for wanted in batch if not wanted.done.done()]
-        left = self._without_excess(left)
-        if not left:
+        unresolved = [pending for pending in batch if not pending.done.done()]
+        unresolved = self._within_limit(unresolved)
+        if not unresolved:
             return False
         try:
-            await self._append([wanted.claim for wanted in left])
+            await self._append([pending.claim for pending in unresolved])
         except (log.LogUnavailableError, log.AppendUnknownError):
             # Claims that are on the log now are certain. A claim that isn't may
             # still be appended later, so it remains unanswered.
             await self.load()
-        self._answer_held(left)
+        self._resolve_held(unresolved)
         return True
 
-    def _answer_held(self, batch: list[_Wanted]) -> None:
-        for wanted in batch:
-            held = self.holders.get(wanted.claim.key)
-            if held is None or held.request_id == wanted.claim.replaces:
+    def _resolve_held(self, batch: list[_PendingClaim]) -> None:
+        for pending in batch:
+            held = self.holders.get(pending.claim.key)
+            if held is None or held.request_id == pending.claim.replaces:
                 continue
-            if not wanted.done.done():
-                wanted.done.set_result(held)
+            if not pending.done.done():
+                pending.done.set_result(held)
 
-    def _refuse_old(self, batch: list[_Wanted]) -> None:
+    def _refuse_old(self, batch: list[_PendingClaim]) -> None:
         """Refuses keys well before their claims may be removed."""
         oldest_ms = self._clock.wall_ms() - self._windows.dated_ms / 2
-        for wanted in batch:
-            claim = wanted.claim
+        for pending in batch:
+            claim = pending.claim
             if claim.is_dated and claim.wall_ms < oldest_ms:
-                if not wanted.done.done():
-                    wanted.done.set_exception(KeyTooOldError())
+                if not pending.done.done():
+                    pending.done.set_exception(KeyTooOldError())
 
-    def _without_excess(self, batch: list[_Wanted]) -> list[_Wanted]:
+    def _within_limit(self, batch: list[_PendingClaim]) -> list[_PendingClaim]:
         """Drops entries beyond the limit of keys without a creation time.
 
         Removing an old claim to make room would allow its request to run again.
         """
         room = MAX_UNDATED - self.holders.undated
-        kept = []
-        for wanted in batch:
-            if not wanted.claim.is_dated:
+        accepted = []
+        for pending in batch:
+            if not pending.claim.is_dated:
                 room -= 1
-            if wanted.claim.is_dated or room >= 0:
-                kept.append(wanted)
-        return kept
+            if pending.claim.is_dated or room >= 0:
+                accepted.append(pending)
+        return accepted
 
     async def _append(
         self, claims: Sequence[claim_records.ClaimRecord]
     ) -> None:
         batch = claim_records.Batch(self._clock.wall_ms(), tuple(claims))
         payload = claim_records.encode(batch)
-        self._appended_ms = self._clock.now_ms()
+        self._last_append_ms = self._clock.now_ms()
         (offset,) = await self._log.append(self._stream, [payload])
         self.appends += 1
         if offset != self._next_offset:
             await self.load()
             return
-        self._fold(log.LogRecord(offset, payload))
+        self._apply(log.LogRecord(offset, payload))
         self._next_offset = offset + 1
 
-    def _fold(self, record: log.LogRecord) -> None:
+    def _apply(self, record: log.LogRecord) -> None:
         batch = claim_records.decode(record.payload)
         for claim in batch.claims:
             self.holders.fold(claim)
             if not claim.is_dated:
                 self._appended_wall_ms[claim.key] = batch.appended_wall_ms
 
-    def _forget_over_age(self) -> None:
+    def _remove_expired(self) -> None:
         wall_ms = self._clock.wall_ms()
-        if wall_ms - self._forgot_wall_ms < _FORGET_EVERY_MS:
+        if wall_ms - self._last_expiry_wall_ms < _EXPIRE_INTERVAL_MS:
             return
-        self._forgot_wall_ms = wall_ms
+        self._last_expiry_wall_ms = wall_ms
         dated_ms = wall_ms - self._windows.dated_ms
         undated_ms = wall_ms - self._windows.undated_ms
         due = [
--- a/src/jujubewharf/requests/claims.py
+++ b/src/jujubewharf/requests/claims.py
@@ -27,15 +27,17 @@
 from jujubewharf.requests import keys
 from jujubewharf.requests import retries
 
-_ASK_MS = 1_500.0
-_ASK_ABANDONED_MS = 1_000.0
-_THIS_DID_NOT = "This sending did not run; an earlier one of its key may have."
-_FIRST_CARRY_MS = 1_000.0
+_CLAIM_TIMEOUT_MS = 1_500.0
+_ABANDONED_TIMEOUT_MS = 1_000.0
+_DID_NOT_RUN_DETAIL = (
+    "This sending did not run; an earlier one of its key may have."
+)
+_FIRST_CARRY_DELAY_MS = 1_000.0
 _MAX_TRIES = 3
 _MAX_ABANDONED = 20_000
-_FUTURE_MS = 60_000.0
+_MAX_CLOCK_SKEW_MS = 60_000.0
 _UUID7_MS_SHIFT = 80
-_WINDOWS = claim_shard.Windows()
+_DEFAULT_WINDOWS = claim_shard.Windows()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -86,7 +88,7 @@
         platform_log: log.Log,
         clock: clocks.Clock,
         *,
-        windows: claim_shard.Windows = _WINDOWS,
+        windows: claim_shard.Windows = _DEFAULT_WINDOWS,
     ) -> None:
         super().__init__()
         self._instance = instance
@@ -100,7 +102,7 @@
             collections.OrderedDict()
         )
         self._logger = structlog.get_logger()
-        peers.handle(key_messages.ClaimWanted, self._on_wanted)
+        peers.handle(key_messages.ClaimWanted, self._on_claim_wanted)
         peers.handle(key_messages.AskAbandoned, self._on_ask_abandoned)
 
     @property
@@ -131,7 +133,7 @@
         age_ms = self._clock.wall_ms() - created_ms
         if age_ms > self._windows.dated_ms / 2:
             raise errors.WharfError(errors.ErrorKind.KEY_EXPIRED)
-        if age_ms < -_FUTURE_MS:
+        if age_ms < -_MAX_CLOCK_SKEW_MS:
             detail = "The key's time lies in the future."
             raise errors.WharfError(errors.ErrorKind.BAD_REQUEST, detail)
         return created_ms
@@ -219,8 +221,10 @@
         self, owner: str, wanted: key_messages.ClaimWanted
     ) -> key_messages.ClaimHeld:
         if owner == self._instance:
-            return await self._on_wanted(owner, wanted)
-        held = await self._peers.ask(owner, wanted, timeout_ms=_ASK_MS)
+            return await self._on_claim_wanted(owner, wanted)
+        held = await self._peers.ask(
+            owner, wanted, timeout_ms=_CLAIM_TIMEOUT_MS
+        )
         if not isinstance(held, key_messages.ClaimHeld):
             raise network.PeerError(network.PeerFault.REFUSED, owner)
         return held
@@ -231,7 +235,7 @@
         message = key_messages.AskAbandoned(held.request_id)
         try:
             answer = await self._peers.ask(
-                held.owner, message, timeout_ms=_ASK_ABANDONED_MS
+                held.owner, message, timeout_ms=_ABANDONED_TIMEOUT_MS
             )
         except network.PeerError:
             return False
@@ -240,7 +244,7 @@
                 return is_abandoned
         return False
 
-    async def _on_wanted(
+    async def _on_claim_wanted(
         self, sender: str, message: key_messages.ClaimWanted
     ) -> key_messages.ClaimHeld:
         record = claim_records.ClaimRecord(
@@ -285,7 +289,7 @@
 
         Claims in memory can be looked up while the log is unavailable.
         """
-        await self._clock.sleep_ms(_FIRST_CARRY_MS)
+        await self._clock.sleep_ms(_FIRST_CARRY_DELAY_MS)
         while not self.should_stop:
             try:
                 await self._carry_owned()
@@ -369,7 +373,7 @@
     """
     return errors.WharfError(
         errors.ErrorKind.CLAIM_UNAVAILABLE,
-        "" if is_new else _THIS_DID_NOT,
+        "" if is_new else _DID_NOT_RUN_DETAIL,
         retry_after_ms=retries.COME_BACK_MS,
         ran=errors.Ran.NO if is_new else errors.Ran.UNKNOWN,
     )
--- a/src/jujubewharf/requests/handover.py
+++ b/src/jujubewharf/requests/handover.py
@@ -12,8 +12,8 @@
 from jujubewharf.requests import keys
 from jujubewharf.requests import model_request
 
-_GIVE_MS = 1_000.0
-_AT_ONCE = 8
+_HANDOVER_TIMEOUT_MS = 1_000.0
+_MAX_CONCURRENT = 8
 
 
 class Handover:
@@ -54,32 +54,36 @@
         Returns:
             Number of answers that other instances accepted in time.
         """
-        turns = asyncio.Semaphore(_AT_ONCE)
-        taken: list[bytes] = []
+        semaphore = asyncio.Semaphore(_MAX_CONCURRENT)
+        accepted: list[bytes] = []
 
-        async def give(key: bytes, message: key_messages.HandOver) -> None:
-            async with turns:
-                if await self._give(key, message):
-                    taken.append(key)
+        async def hand_over(key: bytes, message: key_messages.HandOver) -> None:
+            async with semaphore:
+                if await self._hand_over(key, message):
+                    accepted.append(key)
 
         tasks = [
-            asyncio.create_task(give(key, message))
+            asyncio.create_task(hand_over(key, message))
             for key, kept in self._kept.items()
-            if (message := _message(kept)) is not None
+            if (message := _handover_message(kept)) is not None
         ]
         if tasks:
             seconds = timeout_ms / clocks.MS_PER_S
-            _, late = await asyncio.wait(tasks, timeout=seconds)
-            for task in late:
+            _, pending = await asyncio.wait(tasks, timeout=seconds)
+            for task in pending:
                 task.cancel()
-        return len(taken)
+        return len(accepted)
 
-    async def _give(self, key: bytes, message: key_messages.HandOver) -> bool:
+    async def _hand_over(
+        self, key: bytes, message: key_messages.HandOver
+    ) -> bool:
         for home in self._homes.homes(key):
             if home == self._instance:
                 continue
             try:
-                await self._peers.ask(home, message, timeout_ms=_GIVE_MS)
+                await self._peers.ask(
+                    home, message, timeout_ms=_HANDOVER_TIMEOUT_MS
+                )
             except network.PeerError:
                 continue
             return True
@@ -89,7 +93,7 @@
         self, sender: str, message: key_messages.HandOver
     ) -> key_messages.TookOver:
         key = keys.key_of(message.account, message.callers_key)
-        request = _request(message, self._clock.now_ms())
+        request = _rebuild_request(message, self._clock.now_ms())
         end = model_request.Finished(
             message.count, message.digest, message.attempt_id
         )
@@ -110,7 +114,9 @@
         return key_messages.TookOver()
 
 
-def _message(kept: kept_answers.KeptAnswer) -> key_messages.HandOver | None:
+def _handover_message(
+    kept: kept_answers.KeptAnswer,
+) -> key_messages.HandOver | None:
     """Builds the message, or ``None`` if the answer isn't handed over.
 
     Only complete answers to requests with a caller's key are handed over.
@@ -134,7 +140,7 @@
     return None
 
 
-def _request(
+def _rebuild_request(
     message: key_messages.HandOver, now_ms: float
 ) -> model_request.ModelRequest:
     """Rebuilds the parts of the request that a kept answer needs."""
--- a/src/jujubewharf/requests/kept.py
+++ b/src/jujubewharf/requests/kept.py
@@ -88,7 +88,7 @@
         keep_ms = KEEP_MS if request.is_repeatable else KEEP_CLAIMED_MS
         kept = KeptAnswer(
             dataclasses.replace(request, prompt=""),
-            _told_later(end),
+            _end_for_retries(end),
             packed,
             self._clock.now_ms() + keep_ms,
         )
@@ -96,7 +96,7 @@
         self._by_id[request.request_id] = kept
         self._id_of_key[key] = request.request_id
         self._bytes += kept.size_bytes
-        self._trim()
+        self._evict()
 
     def by_id(self, request_id: str) -> KeptAnswer | None:
         """Returns the answer of a run, unless it has expired."""
@@ -134,7 +134,7 @@
         for key in stale:
             del self._id_of_key[key]
 
-    def _trim(self) -> None:
+    def _evict(self) -> None:
         while self._bytes > self._max_bytes:
             self._drop(next(iter(self._by_id)))
 
@@ -144,7 +144,7 @@
             self._bytes -= kept.size_bytes
 
 
-def _told_later(end: answers.End) -> answers.End:
+def _end_for_retries(end: answers.End) -> answers.End:
     """Returns the end to report to callers that ask again.
 
     A run that was cancelled because its caller left has an unknown outcome for
--- a/src/jujubewharf/requests/keys.py
+++ b/src/jujubewharf/requests/keys.py
@@ -26,9 +26,9 @@
 
 MAX_RECORDS = 20_000
 _KEY_BYTES = 16
-_ASK_MS = 400.0
-_COPY_MS = 150.0
-_EXPIRE_EVERY_MS = 5_000.0
+_HOME_TIMEOUT_MS = 400.0
+_COPY_TIMEOUT_MS = 150.0
+_EXPIRE_INTERVAL_MS = 5_000.0
 
 
 class HomesUnreachableError(Exception):
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Kept:
+class _StoredRecord:
     record: KeyRecord
     expires_ms: float
 
@@ -135,7 +135,7 @@
         self._clock = clock
         self._incarnation_of = incarnation_of
         self._max_records = max_records
-        self._kept: collections.OrderedDict[bytes, _Kept] = (
+        self._records: collections.OrderedDict[bytes, _StoredRecord] = (
             collections.OrderedDict()
         )
         peers.handle(key_messages.Register, self._on_register)
@@ -143,7 +143,7 @@
         peers.handle(key_messages.Dispatched, self._on_dispatched)
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._records)
 
     def homes(self, key: bytes) -> list[str]:
         """Returns the homes of a key by this instance's current membership."""
@@ -175,13 +175,13 @@
         Raises:
             HomesUnreachableError: No home answered.
         """
-        message = _register(record, replaces, keep_ms)
+        message = _register_message(record, replaces, keep_ms)
         for home in self.homes(record.key):
             try:
                 answer = await self._ask(home, message)
             except network.PeerError:
                 continue
-            return _record(record.key, answer)
+            return _record_of(record.key, answer)
         raise HomesUnreachableError
 
     async def look_up(self, key: bytes) -> KeyRecord | None:
@@ -195,7 +195,7 @@
                 answer = await self._ask(home, key_messages.Lookup(key))
             except network.PeerError:
                 continue
-            found = _record(key, answer)
+            found = _record_of(key, answer)
             return found if found.request_id else None
         raise HomesUnreachableError
 
@@ -206,7 +206,7 @@
         message = key_messages.Dispatched(key, attempt_id, engines)
         for home in self.homes(key):
             if home == self._peers.instance:
-                self._note(message)
+                self._set_dispatch(message)
             else:
                 self._peers.tell(home, message)
 
@@ -214,7 +214,7 @@
         self, home: str, record: KeyRecord, *, keep_ms: float
     ) -> None:
         """Copies a record to a new home of its key; failures are ignored."""
-        message = _register(record, "", keep_ms, is_copy=True)
+        message = _register_message(record, "", keep_ms, is_copy=True)
         try:
             await self._ask(home, message)
         except network.PeerError:
@@ -225,7 +225,7 @@
         home: str,
         message: key_messages.Register | key_messages.Lookup,
         *,
-        timeout_ms: float = _ASK_MS,
+        timeout_ms: float = _HOME_TIMEOUT_MS,
     ) -> key_messages.Registered:
         if home == self._peers.instance:
             match message:
@@ -244,13 +244,15 @@
         known = self._get(message.key)
         expected = (message.request_id, message.replaces)
         if known is not None and known.request_id not in expected:
-            return _registered(known)
+            return _registered_message(known)
         if known is not None and known.request_id == message.replaces:
-            self._tell_replaced(known, message)
-        self._put(_record(message.key, message), message.keep_ms)
+            self._notify_replaced_owner(known, message)
+        self._put(_record_of(message.key, message), message.keep_ms)
         if not message.is_copy:
             await self._ask_other_home(message)
-        return _registered(self._get(message.key) or _record(b"", message))
+        return _registered_message(
+            self._get(message.key) or _record_of(b"", message)
+        )
 
     async def _ask_other_home(self, message: key_messages.Register) -> None:
         """Copies a record to the other home, or adopts the one stored there."""
@@ -266,11 +268,13 @@
             # Must be well below the requester's timeout, so that an
             # unresponsive second home doesn't make the first one appear
             # unresponsive.
-            answer = await self._ask(others[0], copy, timeout_ms=_COPY_MS)
+            answer = await self._ask(
+                others[0], copy, timeout_ms=_COPY_TIMEOUT_MS
+            )
         except network.PeerError:
             return
         if answer.request_id != message.request_id:
-            self._put(_record(message.key, answer), message.keep_ms)
+            self._put(_record_of(message.key, answer), message.keep_ms)
 
     async def _on_lookup(
         self, sender: str, message: key_messages.Lookup
@@ -278,59 +282,61 @@
         known = self._get(message.key)
         if known is None:
             return key_messages.Registered(b"", "", "")
-        return _registered(known)
+        return _registered_message(known)
 
     async def _on_dispatched(
         self, sender: str, message: key_messages.Dispatched
     ) -> None:
-        self._note(message)
+        self._set_dispatch(message)
 
-    def _note(self, message: key_messages.Dispatched) -> None:
-        kept = self._kept.get(message.key)
+    def _set_dispatch(self, message: key_messages.Dispatched) -> None:
+        stored = self._records.get(message.key)
         request_id, _, _ = message.attempt_id.rpartition(".")
-        if kept is not None and kept.record.request_id == request_id:
-            kept.record = dataclasses.replace(
-                kept.record,
+        if stored is not None and stored.record.request_id == request_id:
+            stored.record = dataclasses.replace(
+                stored.record,
                 attempt_id=message.attempt_id,
                 engines=tuple(message.engines),
             )
 
-    def _tell_replaced(
+    def _notify_replaced_owner(
         self, known: KeyRecord, message: key_messages.Register
     ) -> None:
         """Informs an owner that may only be paused that it lost the key."""
         if known.owner not in (self._peers.instance, message.owner):
-            told = key_messages.TakenOver(
+            notice = key_messages.TakenOver(
                 known.request_id, message.owner, message.request_id
             )
-            self._peers.tell(known.owner, told)
+            self._peers.tell(known.owner, notice)
 
     def _get(self, key: bytes) -> KeyRecord | None:
-        kept = self._kept.get(key)
-        if kept is None or kept.expires_ms <= self._clock.now_ms():
+        stored = self._records.get(key)
+        if stored is None or stored.expires_ms <= self._clock.now_ms():
             return None
-        return kept.record
+        return stored.record
 
     def _put(self, record: KeyRecord, keep_ms: float) -> None:
         expires_ms = self._clock.now_ms() + keep_ms
-        self._kept[record.key] = _Kept(record, expires_ms)
-        self._kept.move_to_end(record.key)
-        while len(self._kept) > self._max_records:
-            self._kept.popitem(last=False)
+        self._records[record.key] = _StoredRecord(record, expires_ms)
+        self._records.move_to_end(record.key)
+        while len(self._records) > self._max_records:
+            self._records.popitem(last=False)
             self.evicted += 1
 
     @mode.Service.task
     async def _expire(self) -> None:
         while not self.should_stop:
-            await self._clock.sleep_ms(_EXPIRE_EVERY_MS)
+            await self._clock.sleep_ms(_EXPIRE_INTERVAL_MS)
             now_ms = self._clock.now_ms()
-            due = [k for k, v in self._kept.items() if v.expires_ms <= now_ms]
+            due = [
+                k for k, v in self._records.items() if v.expires_ms <= now_ms
+            ]
             for key in due:
-                del self._kept[key]
+                del self._records[key]
             await asyncio.sleep(0)
 
 
-def _register(
+def _register_message(
     record: KeyRecord, replaces: str, keep_ms: float, *, is_copy: bool = False
 ) -> key_messages.Register:
     return key_messages.Register(
@@ -346,7 +352,7 @@
     )
 
 
-def _record(
+def _record_of(
     key: bytes, message: key_messages.Register | key_messages.Registered
 ) -> KeyRecord:
     return KeyRecord(
@@ -359,7 +365,7 @@
     )
 
 
-def _registered(record: KeyRecord) -> key_messages.Registered:
+def _registered_message(record: KeyRecord) -> key_messages.Registered:
     return key_messages.Registered(
         record.body,
         record.owner,
--- a/src/jujubewharf/requests/life.py
+++ b/src/jujubewharf/requests/life.py
@@ -44,15 +44,15 @@
         self.request_id = request_id
 
 
-async def _nothing() -> None:
+async def _noop() -> None:
     return None
 
 
-def _never() -> bool:
+def _return_false() -> bool:
     return False
 
 
-def _ignore(attempt_id: str, engines: tuple[str, ...]) -> None:
+def _ignore_dispatch(attempt_id: str, engines: tuple[str, ...]) -> None:
     return None
 
 
@@ -71,9 +71,9 @@
             dispatched.
     """
 
-    on_dispatch: attempts.OnDispatch = _ignore
-    confirm: Callable[[], Awaitable[None]] = _nothing
-    is_taken_over: Callable[[], bool] = _never
+    on_dispatch: attempts.OnDispatch = _ignore_dispatch
+    confirm: Callable[[], Awaitable[None]] = _noop
+    is_taken_over: Callable[[], bool] = _return_false
     may_have_run: bool = False
 
 
@@ -136,7 +136,7 @@
         left_ms = deadline_at_ms - self._clock.now_ms()
         try:
             async with self._clock.timeout_ms(left_ms):
-                attempt_id = await self._attempts(request, progress, hooks)
+                attempt_id = await self._run_attempts(request, progress, hooks)
             self._finish(request, answer, attempt_id)
         except TimeoutError:
             kind = errors.ErrorKind.DEADLINE_EXCEEDED
@@ -156,7 +156,7 @@
             kind = errors.ErrorKind.INTERNAL
             self._fail(errors.WharfError(kind), request, progress)
 
-    async def _attempts(
+    async def _run_attempts(
         self,
         request: model_request.ModelRequest,
         progress: attempts.Progress,
@@ -182,13 +182,13 @@
                     await attempt.run(choice)
                 return attempt.attempt_id
             except client.EngineError as error:
-                self._after_failure(request, progress, error)
+                self._on_attempt_failed(request, progress, error)
                 await self._clock.sleep_ms(backoff.next_ms())
                 await hooks.confirm()
             except errors.WharfError as error:
                 await self._wait_for_excluded(error, progress)
 
-    def _after_failure(
+    def _on_attempt_failed(
         self,
         request: model_request.ModelRequest,
         progress: attempts.Progress,
@@ -211,15 +211,15 @@
         if len(progress.lost_engines) >= retries.MAX_LOST_ENGINES:
             raise errors.WharfError(errors.ErrorKind.QUARANTINED)
         if progress.attempts >= retries.MAX_ATTEMPTS:
-            raise self._given_up(error)
+            raise self._engine_failed(error)
         # A refusal costs the engine nothing, so it doesn't use the retry
         # budget.
         was_refused = error.fault in retries.DID_NOTHING
         if not was_refused and not self._budget.take(request.service):
-            raise self._given_up(error)
+            raise self._engine_failed(error)
         self.counters.retried(error.fault.value)
 
-    def _given_up(self, error: client.EngineError) -> errors.WharfError:
+    def _engine_failed(self, error: client.EngineError) -> errors.WharfError:
         return errors.WharfError(
             errors.ErrorKind.ENGINE_FAILED,
             error.fault.value,
@@ -235,12 +235,12 @@
             WharfError: Waiting does not help.
         """
         now_ms = self._clock.now_ms()
-        lapse_ms = progress.exclusions.next_lapse_ms(now_ms)
-        is_none_fitting = error.kind is errors.ErrorKind.NO_FITTING_ENGINE
-        is_spent = progress.attempts >= retries.MAX_ATTEMPTS
-        if not is_none_fitting or lapse_ms is None or is_spent:
+        expires_ms = progress.exclusions.next_lapse_ms(now_ms)
+        is_no_engine_fitting = error.kind is errors.ErrorKind.NO_FITTING_ENGINE
+        is_out_of_attempts = progress.attempts >= retries.MAX_ATTEMPTS
+        if not is_no_engine_fitting or expires_ms is None or is_out_of_attempts:
             raise error
-        await self._clock.sleep_until_ms(lapse_ms)
+        await self._clock.sleep_until_ms(expires_ms)
 
     def _finish(
         self,
@@ -251,10 +251,14 @@
         service = request.service
         arrived_ms = request.arrived_ms
         first_ms = answer.first_token_ms or self._clock.now_ms()
-        is_first_good = first_ms - arrived_ms <= service.first_answer_target_ms
-        took_ms = self._clock.now_ms() - arrived_ms
-        is_whole_good = took_ms <= service.completion_target_ms
-        self.counters.finished(within_targets=is_first_good and is_whole_good)
+        met_first_answer_target = (
+            first_ms - arrived_ms <= service.first_answer_target_ms
+        )
+        duration_ms = self._clock.now_ms() - arrived_ms
+        met_completion_target = duration_ms <= service.completion_target_ms
+        self.counters.finished(
+            within_targets=met_first_answer_target and met_completion_target
+        )
         count = len(answer.texts)
         answer.finish(model_request.Finished(count, answer.digest, attempt_id))
 
@@ -265,8 +269,8 @@
         progress: attempts.Progress,
     ) -> None:
         is_dispatched = progress.dispatch is not attempts.Dispatch.NO
-        is_asked_again = errors.TABLE[error.kind].retryable
-        if is_dispatched and is_asked_again and not request.is_repeatable:
+        is_retryable = errors.TABLE[error.kind].retryable
+        if is_dispatched and is_retryable and not request.is_repeatable:
             # A retryable error would make a client without a key send the
             # request again, and a request that is not repeatable would run
             # twice.
--- a/src/jujubewharf/requests/limits.py
+++ b/src/jujubewharf/requests/limits.py
@@ -26,10 +26,10 @@
 BURST_MS = 10_000.0
 MIN_BURST = 8.0
 MIN_IN_FLIGHT = 8
-_RETRY_IN_FLIGHT_MS = 1_000.0
-_FIRST_HOLD_MS = 1_000.0
-_HOLD_WEIGHT = 0.1
-_SWEEP_AT = 1_024
+_IN_FLIGHT_RETRY_AFTER_MS = 1_000.0
+_INITIAL_HOLD_MS = 1_000.0
+_HOLD_SMOOTHING = 0.1
+_CLEANUP_THRESHOLD = 1_024
 
 AccountOf = Callable[[str], resources.Account | None]
 MemberCount = Callable[[], int]
@@ -53,51 +53,51 @@
         self.bucket = buckets.TokenBucket(burst, now_ms)
 
 
-class _ServiceGate:
+class _ServiceQueue:
     """Running and queued requests of one service."""
 
     def __init__(self) -> None:
         self.in_flight = 0
         self.waiting: list[tuple[int, int, asyncio.Future[None]]] = []
         self.queued = 0
-        self.hold_ms = _FIRST_HOLD_MS
-        self._turn = 0
+        self.mean_hold_ms = _INITIAL_HOLD_MS
+        self._sequence = 0
 
     def expected_wait_ms(self, service: resources.Service) -> float:
         """Estimated time in the queue for a new request, in ms."""
         rounds = math.ceil((self.queued + 1) / service.max_in_flight)
-        return rounds * self.hold_ms
+        return rounds * self.mean_hold_ms
 
-    async def wait(self, priority: int, max_in_flight: int) -> None:
+    async def wait_for_slot(self, priority: int, max_in_flight: int) -> None:
         """Waits for a slot, by priority and then in order of arrival."""
-        self._turn += 1
-        place: asyncio.Future[None] = asyncio.Future()
-        heapq.heappush(self.waiting, (-priority, self._turn, place))
+        self._sequence += 1
+        slot: asyncio.Future[None] = asyncio.Future()
+        heapq.heappush(self.waiting, (-priority, self._sequence, slot))
         self.queued += 1
         try:
-            await place
+            await slot
         except asyncio.CancelledError:
-            if place.done() and not place.cancelled():
+            if slot.done() and not slot.cancelled():
                 # The slot was assigned in the same event loop iteration in
                 # which the caller was cancelled. It must be passed on or it is
                 # lost.
-                self.leave(max_in_flight)
+                self.release_slot(max_in_flight)
             raise
         finally:
             self.queued -= 1
 
-    def leave(self, max_in_flight: int) -> None:
+    def release_slot(self, max_in_flight: int) -> None:
         """Frees a slot and assigns free slots to queued requests."""
         self.in_flight -= 1
         while self.waiting and self.in_flight < max_in_flight:
-            _, _, place = heapq.heappop(self.waiting)
-            if not place.done():
+            _, _, slot = heapq.heappop(self.waiting)
+            if not slot.done():
                 self.in_flight += 1
-                place.set_result(None)
+                slot.set_result(None)
 
-    def note_hold(self, held_ms: float) -> None:
+    def record_hold(self, held_ms: float) -> None:
         """Updates the moving average of how long requests hold a slot."""
-        self.hold_ms += _HOLD_WEIGHT * (held_ms - self.hold_ms)
+        self.mean_hold_ms += _HOLD_SMOOTHING * (held_ms - self.mean_hold_ms)
 
 
 class Limits:
@@ -124,8 +124,8 @@
         self._account_of = account_of
         self._member_count = member_count
         self._shares: dict[str, _AccountShare] = {}
-        self._gates: dict[str, _ServiceGate] = {}
-        self._sweep_at = _SWEEP_AT
+        self._queues: dict[str, _ServiceQueue] = {}
+        self._cleanup_threshold = _CLEANUP_THRESHOLD
 
     @property
     def accounts_held(self) -> int:
@@ -134,13 +134,13 @@
 
     def in_flight(self, service: str) -> int:
         """Number of running requests of a service."""
-        gate = self._gates.get(service)
-        return gate.in_flight if gate else 0
+        queue = self._queues.get(service)
+        return queue.in_flight if queue else 0
 
     def queued(self, service: str) -> int:
         """Number of queued requests of a service."""
-        gate = self._gates.get(service)
-        return gate.queued if gate else 0
+        queue = self._queues.get(service)
+        return queue.queued if queue else 0
 
     def check(self, account_name: str) -> None:
         """Refuses an account that exceeds its limits, without using them.
@@ -178,8 +178,8 @@
         """
         share = self._take_share(account_name)
         try:
-            gate = self._gates.setdefault(service.name, _ServiceGate())
-            await self._enter(gate, service, deadline_at_ms, priority)
+            queue = self._queues.setdefault(service.name, _ServiceQueue())
+            await self._acquire_slot(queue, service, deadline_at_ms, priority)
             entered_ms = self._clock.now_ms()
             attributes = {"service": service.name}
             _in_flight.add(1, attributes)
@@ -187,30 +187,30 @@
                 yield
             finally:
                 _in_flight.add(-1, attributes)
-                gate.note_hold(self._clock.now_ms() - entered_ms)
-                gate.leave(service.max_in_flight)
+                queue.record_hold(self._clock.now_ms() - entered_ms)
+                queue.release_slot(service.max_in_flight)
         finally:
             if share is not None:
                 share.in_flight -= 1
 
-    async def _enter(
+    async def _acquire_slot(
         self,
-        gate: _ServiceGate,
+        queue: _ServiceQueue,
         service: resources.Service,
         deadline_at_ms: float,
         priority: int,
     ) -> None:
-        if gate.in_flight < service.max_in_flight and not gate.queued:
-            gate.in_flight += 1
+        if queue.in_flight < service.max_in_flight and not queue.queued:
+            queue.in_flight += 1
             return
-        wait_ms = gate.expected_wait_ms(service)
-        if gate.queued >= service.max_queued:
+        wait_ms = queue.expected_wait_ms(service)
+        if queue.queued >= service.max_queued:
             kind = errors.ErrorKind.QUEUE_FULL
             raise errors.WharfError(kind, retry_after_ms=wait_ms)
         left_ms = deadline_at_ms - self._clock.now_ms()
         try:
             async with self._clock.timeout_ms(left_ms):
-                await gate.wait(priority, service.max_in_flight)
+                await queue.wait_for_slot(priority, service.max_in_flight)
         except TimeoutError:
             kind = errors.ErrorKind.DEADLINE_UNREACHABLE
             raise errors.WharfError(kind, retry_after_ms=wait_ms) from None
@@ -232,7 +232,9 @@
         share.bucket.fill(now_ms, rate_per_s, _burst(account, members))
         if share.in_flight >= _in_flight_share(account, members):
             kind = errors.ErrorKind.TOO_MANY_IN_FLIGHT
-            raise errors.WharfError(kind, retry_after_ms=_RETRY_IN_FLIGHT_MS)
+            raise errors.WharfError(
+                kind, retry_after_ms=_IN_FLIGHT_RETRY_AFTER_MS
+            )
         if share.bucket.tokens < 1.0:
             kind = errors.ErrorKind.RATE_LIMITED
             wait_ms = share.bucket.wait_ms(rate_per_s)
@@ -242,20 +244,20 @@
     def _share(self, account: resources.Account, members: int) -> _AccountShare:
         share = self._shares.get(account.name)
         if share is None:
-            self._forget_idle()
+            self._remove_idle()
             burst = _burst(account, members)
             share = _AccountShare(burst, self._clock.now_ms())
             self._shares[account.name] = share
         return share
 
-    def _forget_idle(self) -> None:
+    def _remove_idle(self) -> None:
         """Drops shares whose token bucket is full again."""
-        if len(self._shares) < self._sweep_at:
+        if len(self._shares) < self._cleanup_threshold:
             return
         for name in list(self._shares):
             if self._is_idle(name):
                 del self._shares[name]
-        self._sweep_at = max(_SWEEP_AT, 2 * len(self._shares))
+        self._cleanup_threshold = max(_CLEANUP_THRESHOLD, 2 * len(self._shares))
 
     def _is_idle(self, name: str) -> bool:
         share = self._shares[name]
--- a/src/jujubewharf/requests/model_request.py
+++ b/src/jujubewharf/requests/model_request.py
@@ -9,7 +9,7 @@
 from jujubewharf import errors
 from jujubewharf.configuration import resources
 
-_MINTED = re.compile(r"(?P<instance>.+)~[0-9a-f]{32}")
+_MINTED_KEY = re.compile(r"(?P<instance>.+)~[0-9a-f]{32}")
 
 
 def mint_id(instance: str) -> str:
@@ -23,7 +23,7 @@
     A minted key is not known to others before its answer begins, and only the
     instance that minted it runs it. It therefore needs no record or claim.
     """
-    match = _MINTED.fullmatch(key)
+    match = _MINTED_KEY.fullmatch(key)
     return match["instance"] if match else None
 
 
--- a/src/jujubewharf/requests/plain.py
+++ b/src/jujubewharf/requests/plain.py
@@ -146,30 +146,30 @@
             WharfError: The call failed before the reply or during its body.
         """
         progress = _Progress()
-        watch = goodput.Stopwatch(
+        stopwatch = goodput.Stopwatch(
             request.service, request.arrived_ms, self._clock
         )
         left_ms = request.deadline_at_ms - self._clock.now_ms()
         try:
             async with self._clock.timeout_ms(left_ms):
                 async with contextlib.AsyncExitStack() as stack:
-                    reply = await self._begin(stack, request, progress)
-                    watch.first()
+                    reply = await self._start(stack, request, progress)
+                    stopwatch.first()
                     yield reply
         except errors.WharfError as error:
-            watch.ended(error.kind.value)
+            stopwatch.ended(error.kind.value)
             raise
         except client.EngineError as error:
-            failure = _failure(request, error, progress)
-            watch.ended(failure.kind.value)
+            failure = _failure_error(request, error, progress)
+            stopwatch.ended(failure.kind.value)
             raise failure from error
         except TimeoutError as error:
-            failure = _too_late(request, progress)
-            watch.ended(failure.kind.value)
+            failure = _deadline_error(request, progress)
+            stopwatch.ended(failure.kind.value)
             raise failure from error
         except BaseException:
             # The caller disconnected.
-            watch.ended(errors.ErrorKind.CANCELLED.value)
+            stopwatch.ended(errors.ErrorKind.CANCELLED.value)
             raise
         finally:
             if progress.is_claimed and not progress.may_have_run:
@@ -177,9 +177,9 @@
                 # be usable again.
                 assert self.claims is not None
                 self.claims.abandon(request.request_id)
-        watch.finished()
+        stopwatch.finished()
 
-    async def _begin(
+    async def _start(
         self,
         stack: contextlib.AsyncExitStack,
         request: PlainRequest,
@@ -189,12 +189,12 @@
         self._budget.accepted(request.service)
         await self._claim(request, progress, body)
         try:
-            return await self._attempts(stack, request, progress, body)
+            return await self._run_attempts(stack, request, progress, body)
         finally:
             if self.claims is not None and not progress.may_have_run:
                 self.claims.abandon(request.request_id)
 
-    async def _attempts(
+    async def _run_attempts(
         self,
         stack: contextlib.AsyncExitStack,
         request: PlainRequest,
@@ -205,7 +205,7 @@
             try:
                 return await self._attempt(stack, request, progress, body)
             except client.EngineError as error:
-                self._after_failure(request, progress, body, error)
+                self._on_attempt_failed(request, progress, body, error)
 
     async def _claim(
         self,
@@ -266,7 +266,7 @@
             stack.push_async_exit(attempt.pop_all())
         return reply
 
-    def _after_failure(
+    def _on_attempt_failed(
         self,
         request: PlainRequest,
         progress: _Progress,
@@ -286,15 +286,15 @@
         self._chooser.failed(error.engine)
         progress.excluded |= {error.engine}
         service = request.service.name
-        is_safe = request.is_repeatable or not progress.may_have_run
+        may_repeat = request.is_repeatable or not progress.may_have_run
         if (
-            not is_safe
+            not may_repeat
             or not body.is_whole
             or progress.attempts >= _MAX_ATTEMPTS
             or not self._chooser.has_any(service, excluded=progress.excluded)
             or not self._budget.take(request.service)
         ):
-            raise _failure(request, error, progress)
+            raise _failure_error(request, error, progress)
         _retries.add(1, {"reason": error.fault.value})
 
 
@@ -302,7 +302,7 @@
     return errors.Ran.UNKNOWN if progress.may_have_run else errors.Ran.NO
 
 
-def _failure(
+def _failure_error(
     request: PlainRequest, error: client.EngineError, progress: _Progress
 ) -> errors.WharfError:
     if not progress.may_have_run:
@@ -315,7 +315,9 @@
     )
 
 
-def _too_late(request: PlainRequest, progress: _Progress) -> errors.WharfError:
+def _deadline_error(
+    request: PlainRequest, progress: _Progress
+) -> errors.WharfError:
     if progress.may_have_run and not request.is_repeatable:
         return errors.WharfError(errors.ErrorKind.OUTCOME_UNKNOWN)
     kind = errors.ErrorKind.DEADLINE_EXCEEDED
--- a/src/jujubewharf/requests/plain_body.py
+++ b/src/jujubewharf/requests/plain_body.py
@@ -30,28 +30,28 @@
     ) -> None:
         self.failure: errors.WharfError | None = None
         self._source = source
-        self._max_kept_bytes = max_kept_bytes
-        self._kept: list[bytes] = []
-        self._kept_bytes = 0
-        self._is_spilled = False
+        self._max_buffered_bytes = max_kept_bytes
+        self._buffer: list[bytes] = []
+        self._read_bytes = 0
+        self._is_truncated = False
 
     @property
     def is_whole(self) -> bool:
         """Whether ``read`` can still return the body from its start."""
-        return not self._is_spilled
+        return not self._is_truncated
 
     async def peek(self) -> bytes:
         """Returns the start of the body, or all of it if it is small."""
         if self._source is None:
             return b""
-        while self._kept_bytes < self._max_kept_bytes:
+        while self._read_bytes < self._max_buffered_bytes:
             chunk = await anext(self._source, None)
             if chunk is None:
                 break
             # Buffered even beyond the limit, since it has not been sent yet.
-            self._kept.append(chunk)
-            self._kept_bytes += len(chunk)
-        return b"".join(self._kept)
+            self._buffer.append(chunk)
+            self._read_bytes += len(chunk)
+        return b"".join(self._buffer)
 
     def read(self) -> AsyncIterator[bytes] | None:
         """Returns the body from its start; called once per attempt."""
@@ -59,7 +59,7 @@
 
     async def _read(self) -> AsyncIterator[bytes]:
         assert self._source is not None
-        for chunk in list(self._kept):
+        for chunk in list(self._buffer):
             yield chunk
         try:
             async for chunk in self._source:
@@ -70,11 +70,11 @@
             raise
 
     def _keep(self, chunk: bytes) -> None:
-        self._kept_bytes += len(chunk)
-        if self._is_spilled:
+        self._read_bytes += len(chunk)
+        if self._is_truncated:
             return
-        if self._kept_bytes <= self._max_kept_bytes:
-            self._kept.append(chunk)
+        if self._read_bytes <= self._max_buffered_bytes:
+            self._buffer.append(chunk)
             return
-        self._is_spilled = True
-        self._kept.clear()
+        self._is_truncated = True
+        self._buffer.clear()
--- a/src/jujubewharf/requests/plain_endpoints.py
+++ b/src/jujubewharf/requests/plain_endpoints.py
@@ -55,8 +55,8 @@
         self._by_service: dict[str, list[resources.Endpoint]] = {}
         self._outstanding: collections.Counter[str] = collections.Counter()
         self._suspect_until_ms: dict[str, float] = {}
-        self._last_turn: dict[str, int] = {}
-        self._turn = 0
+        self._last_choice: dict[str, int] = {}
+        self._choice_count = 0
 
     def on_configuration(self, state: states.State) -> None:
         """Replaces the endpoints by those of a configuration."""
@@ -75,7 +75,7 @@
                 names.add(endpoint.name)
                 of_service = self._by_service.setdefault(endpoint.service, [])
                 of_service.append(endpoint)
-        for table in (self._suspect_until_ms, self._last_turn):
+        for table in (self._suspect_until_ms, self._last_choice):
             for name in [name for name in table if name not in names]:
                 del table[name]
 
@@ -88,13 +88,13 @@
         """
         usable = self._usable(service, excluded)
         trusted = [e for e in usable if not self._is_suspect(e.name)]
-        near = [e for e in trusted if e.domain == self._domain]
-        pool = near or trusted or usable
-        if not pool:
+        same_domain = [e for e in trusted if e.domain == self._domain]
+        candidates = same_domain or trusted or usable
+        if not candidates:
             return None
-        best = min(pool, key=self._rank)
-        self._turn += 1
-        self._last_turn[best.name] = self._turn
+        best = min(candidates, key=self._rank)
+        self._choice_count += 1
+        self._last_choice[best.name] = self._choice_count
         return best
 
     def has_any(self, service: str, *, excluded: frozenset[str]) -> bool:
@@ -146,6 +146,6 @@
         return (
             self._outstanding[name],
             self._is_limited(name),
-            self._last_turn.get(name, 0),
+            self._last_choice.get(name, 0),
             name,
         )
--- a/src/jujubewharf/requests/plain_replies.py
+++ b/src/jujubewharf/requests/plain_replies.py
@@ -27,9 +27,9 @@
 MAX_KEPT_BYTES = 8_000_000
 KEEP_MS = 900_000.0
 _OVERHEAD_BYTES = 1_000
-_WAIT_MS = 1_000.0
-_ANSWER_MS = 1_500.0
-_RETRY_MS = 300.0
+_PULL_WAIT_MS = 1_000.0
+_PULL_SLACK_MS = 1_500.0
+_RETRY_DELAY_MS = 300.0
 _MAX_FAILURES = 3
 
 
@@ -49,7 +49,7 @@
         self._changed = asyncio.Event()
 
     @property
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         return self.is_whole or self.failure is not None
 
     @property
@@ -60,12 +60,12 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def changed(self) -> None:
+    async def wait_for_change(self) -> None:
         await self._changed.wait()
 
-    async def until_begun(self) -> None:
+    async def wait_for_start(self) -> None:
         while not self.status and self.failure is None:
-            await self.changed()
+            await self.wait_for_change()
         if self.failure is not None and not self.status:
             raise self.failure
 
@@ -81,25 +81,25 @@
         while self.size_bytes - self.dropped_bytes > MAX_REPLY_BYTES:
             if not self.readers:
                 raise errors.WharfError(errors.ErrorKind.OUTCOME_UNKNOWN)
-            await self.changed()
+            await self.wait_for_change()
 
     async def body(self) -> AsyncIterator[bytes]:
         """Yields the body; raises the failure if the reply ends early."""
-        place = 0
+        index = 0
         while True:
-            while place < len(self.chunks):
-                chunk = self.chunks[place]
+            while index < len(self.chunks):
+                chunk = self.chunks[index]
                 yield chunk
                 if self.size_bytes > MAX_REPLY_BYTES:
-                    self.chunks[place] = b""
+                    self.chunks[index] = b""
                     self.dropped_bytes += len(chunk)
                     self.wake()
-                place += 1
+                index += 1
             if self.failure is not None:
                 raise self.failure
             if self.is_whole:
                 return
-            await self.changed()
+            await self.wait_for_change()
 
     def reply(self) -> endpoint_client.PlainReply:
         return endpoint_client.PlainReply(
@@ -148,9 +148,9 @@
         recording.readers += 1
         try:
             try:
-                await recording.until_begun()
+                await recording.wait_for_start()
             except claims.ClaimLostError as lost:
-                yield await self._find(request, lost)
+                yield await self._find_reply(request, lost)
                 return
             yield recording.reply()
         finally:
@@ -158,7 +158,7 @@
             recording.wake()
 
     def _start(self, request: plain.PlainRequest) -> _Recording:
-        self._forget_old()
+        self._evict()
         recording = _Recording()
         self._recordings[request.request_id] = recording
         task = asyncio.create_task(self._record(request, recording))
@@ -193,7 +193,7 @@
                 self._recordings.pop(request.request_id, None)
             recording.wake()
 
-    async def _find(
+    async def _find_reply(
         self, request: plain.PlainRequest, lost: claims.ClaimLostError
     ) -> endpoint_client.PlainReply:
         """Returns the reply of the call that holds the key.
@@ -201,7 +201,7 @@
         Raises:
             ClaimLostError: The reply is not available.
         """
-        message = key_messages.PullReply(lost.request_id, _WAIT_MS)
+        message = key_messages.PullReply(lost.request_id, _PULL_WAIT_MS)
         failures = 0
         while self._clock.now_ms() < request.deadline_at_ms:
             try:
@@ -210,13 +210,13 @@
                 failures += 1
                 if failures >= _MAX_FAILURES:
                     break
-                await self._clock.sleep_ms(_RETRY_MS * failures)
+                await self._clock.sleep_ms(_RETRY_DELAY_MS * failures)
                 continue
             if pulled.is_whole:
                 return endpoint_client.PlainReply(
                     pulled.status,
                     tuple((name, value) for name, value in pulled.headers),
-                    _once(pulled.body),
+                    _single_chunk(pulled.body),
                 )
             if not pulled.is_running:
                 break
@@ -228,7 +228,7 @@
         if owner == self._instance:
             return await self._on_pull(owner, message)
         answer = await self._peers.ask(
-            owner, message, timeout_ms=_WAIT_MS + _ANSWER_MS
+            owner, message, timeout_ms=_PULL_WAIT_MS + _PULL_SLACK_MS
         )
         if not isinstance(answer, key_messages.PulledReply):
             raise network.PeerError(network.PeerFault.REFUSED, owner)
@@ -242,8 +242,8 @@
             return key_messages.PulledReply()
         try:
             async with self._clock.timeout_ms(message.wait_ms):
-                while not recording.is_over:
-                    await recording.changed()
+                while not recording.has_ended:
+                    await recording.wait_for_change()
         except TimeoutError:
             return key_messages.PulledReply(is_running=True)
         if not recording.can_be_replayed:
@@ -255,22 +255,22 @@
             body=b"".join(recording.chunks),
         )
 
-    def _forget_old(self) -> None:
+    def _evict(self) -> None:
         """Evicts expired replies, and the oldest beyond the memory limit."""
         now_ms = self._clock.now_ms()
         ended = [
             (request_id, recording)
             for request_id, recording in self._recordings.items()
-            if recording.is_over
+            if recording.has_ended
         ]
         total = sum(r.size_bytes + _OVERHEAD_BYTES for _, r in ended)
         for request_id, recording in ended:
-            is_due = recording.expires_ms <= now_ms
-            if not is_due and total <= MAX_KEPT_BYTES:
+            is_expired = recording.expires_ms <= now_ms
+            if not is_expired and total <= MAX_KEPT_BYTES:
                 return
             total -= recording.size_bytes + _OVERHEAD_BYTES
             del self._recordings[request_id]
 
 
-async def _once(body: bytes) -> AsyncIterator[bytes]:
+async def _single_chunk(body: bytes) -> AsyncIterator[bytes]:
     yield body
--- a/src/jujubewharf/requests/rehoming.py
+++ b/src/jujubewharf/requests/rehoming.py
@@ -14,7 +14,7 @@
 from jujubewharf.requests import keys
 
 _DELAY_MS = 500.0
-_RUN = 50
+_RECORDS_PER_TURN = 50
 
 
 class Rehoming(mode.Service):
@@ -52,24 +52,24 @@
         self._changed.set()
 
     @mode.Service.task
-    async def _act(self) -> None:
+    async def _copy_records(self) -> None:
         while not self.should_stop:
             await self._changed.wait()
             await self._clock.sleep_ms(_DELAY_MS)
             self._changed.clear()
             for number, record in enumerate(list(self._own_records())):
-                await self._give(record)
-                if number % _RUN == 0:
+                await self._copy_record(record)
+                if number % _RECORDS_PER_TURN == 0:
                     await asyncio.sleep(0)
 
-    async def _give(self, record: keys.KeyRecord) -> None:
-        before = self._homes_of.get(record.key, [])
+    async def _copy_record(self, record: keys.KeyRecord) -> None:
+        known_homes = self._homes_of.get(record.key, [])
         homes = self._homes.places(record.key)
-        if homes == before:
+        if homes == known_homes:
             return
         self._homes_of[record.key] = homes
         for home in homes:
-            if home not in before:
+            if home not in known_homes:
                 await self._homes.copy_to(
                     home.instance, record, keep_ms=kept_answers.KEEP_MS
                 )
--- a/src/jujubewharf/requests/relay.py
+++ b/src/jujubewharf/requests/relay.py
@@ -15,13 +15,13 @@
 from jujubewharf.requests import answer as answers
 from jujubewharf.requests import model_request
 
-_WAIT_MS = 1_000.0
-_ANSWER_MS = 1_500.0
-_RETRY_MS = 300.0
+_PULL_WAIT_MS = 1_000.0
+_PULL_SLACK_MS = 1_500.0
+_RETRY_DELAY_MS = 300.0
 _MAX_FAILURES = 3
 
 # Failures after which a request that still has a caller may run again.
-_CUT_SHORT = frozenset(
+_INTERRUPTED_KINDS = frozenset(
     {errors.ErrorKind.CANCELLED, errors.ErrorKind.SHUTTING_DOWN}
 )
 
@@ -123,15 +123,15 @@
                     source = Source(pulled.owner, pulled.request_id)
                     if source == own:
                         return Result(Ending.NOT_THERE)
-                    await self._clock.sleep_ms(_RETRY_MS)
+                    await self._clock.sleep_ms(_RETRY_DELAY_MS)
                     continue
                 case key_messages.PullState.FAILED:
                     failure = _failure(pulled)
-                    if is_first or failure.kind in _CUT_SHORT:
+                    if is_first or failure.kind in _INTERRUPTED_KINDS:
                         return Result(Ending.FAILED, failure)
                     answer.finish(failure)
                     return Result(Ending.DONE)
-            index = _take(answer, index, pulled)
+            index = _add_pulled(answer, index, pulled)
             is_first = False
             if pulled.state == key_messages.PullState.FINISHED:
                 if index >= pulled.count:
@@ -142,26 +142,28 @@
         self, source: Source, key: bytes, body: bytes, index: int
     ) -> key_messages.Pulled | None:
         message = key_messages.Pull(
-            source.request_id, key, body, index, _WAIT_MS
+            source.request_id, key, body, index, _PULL_WAIT_MS
         )
         if source.owner == self._peers.instance:
             return await self._ask_self(message)
         for failures in range(1, _MAX_FAILURES + 1):
             try:
                 answer = await self._peers.ask(
-                    source.owner, message, timeout_ms=_WAIT_MS + _ANSWER_MS
+                    source.owner,
+                    message,
+                    timeout_ms=_PULL_WAIT_MS + _PULL_SLACK_MS,
                 )
             except network.PeerError:
                 if self._membership.is_suspected(source.owner):
                     return None
-                await self._clock.sleep_ms(_RETRY_MS * failures)
+                await self._clock.sleep_ms(_RETRY_DELAY_MS * failures)
                 continue
             assert isinstance(answer, key_messages.Pulled)
             return answer
         return None
 
 
-def _take(
+def _add_pulled(
     answer: answers.Answer, index: int, pulled: key_messages.Pulled
 ) -> int:
     """Appends new tokens; raises on a gap or on tokens that differ."""
@@ -176,8 +178,8 @@
 
 
 def _finish(answer: answers.Answer, pulled: key_messages.Pulled) -> None:
-    whole = (len(answer.texts), answer.digest)
-    if whole != (pulled.count, pulled.digest):
+    actual = (len(answer.texts), answer.digest)
+    if actual != (pulled.count, pulled.digest):
         raise errors.WharfError(errors.ErrorKind.ANSWER_BROKEN)
     answer.finish(
         model_request.Finished(pulled.count, pulled.digest, pulled.attempt_id)
--- a/src/jujubewharf/requests/retries.py
+++ b/src/jujubewharf/requests/retries.py
@@ -17,8 +17,8 @@
 _FIRST_DELAY_MS = 20.0
 _LONGEST_DELAY_MS = 1_000.0
 _BURST_RETRIES = 10.0
-_EXCLUDED_MS = 1_000.0
-_FULL_EXCLUDED_MS = 100.0
+_EXCLUSION_MS = 1_000.0
+_FULL_EXCLUSION_MS = 100.0
 
 # Faults after which the engine did no work: it refused, or it could not be
 # reached.
@@ -107,8 +107,8 @@
         if not error.engine:
             return
         is_full = error.fault is client.EngineFault.REFUSED_FULL
-        for_ms = _FULL_EXCLUDED_MS if is_full else _EXCLUDED_MS
-        self._until_ms[error.engine] = now_ms + for_ms
+        duration_ms = _FULL_EXCLUSION_MS if is_full else _EXCLUSION_MS
+        self._until_ms[error.engine] = now_ms + duration_ms
 
     def at(self, now_ms: float) -> frozenset[str]:
         """Returns the engines that are excluded at a time."""
--- a/src/jujubewharf/requests/sweep.py
+++ b/src/jujubewharf/requests/sweep.py
@@ -35,14 +35,14 @@
 SWEEP_EVERY_MS = 2_000.0
 GRACE_MS = 1_000.0
 SILENT_OWNER_MS = 8_000.0
-_ASK_MS = 1_000.0
-_MAX_RELAYS = 2
+_ASK_TIMEOUT_MS = 1_000.0
+_MAX_INTERMEDIARIES = 2
 
 Current = Callable[[], states.State]
 
 
 @dataclasses.dataclass(slots=True)
-class _Unclaimed:
+class _Unconfirmed:
     """An attempt whose owner doesn't respond.
 
     Attributes:
@@ -51,7 +51,7 @@
     """
 
     since_ms: float
-    sightings: int = 0
+    checks: int = 0
 
 
 class Sweep(mode.Service):
@@ -88,7 +88,7 @@
         self._membership = membership
         self._clock = clock
         self._counters = counters
-        self._unclaimed: dict[tuple[str, str], _Unclaimed] = {}
+        self._unconfirmed: dict[tuple[str, str], _Unconfirmed] = {}
         self._logger = structlog.get_logger()
         peers.handle(key_messages.AskNeeded, self._on_ask_needed)
 
@@ -96,8 +96,8 @@
     async def _sweep(self) -> None:
         while not self.should_stop:
             await self._clock.sleep_ms(SWEEP_EVERY_MS)
-            mine = [e for e in self._engines() if self._is_mine(e)]
-            await asyncio.gather(*(self._sweep_one(e) for e in mine))
+            assigned = [e for e in self._engines() if self._is_assigned(e)]
+            await asyncio.gather(*(self._sweep_engine(e) for e in assigned))
 
     def _engines(self) -> list[resources.Endpoint]:
         endpoints = [
@@ -111,18 +111,20 @@
             and endpoint.role is not resources.Role.PLAIN
         ]
 
-    def _is_mine(self, endpoint: resources.Endpoint) -> bool:
+    def _is_assigned(self, endpoint: resources.Endpoint) -> bool:
         """Whether this instance sweeps the engine.
 
         An engine whose failure domain has no instance is assigned to any other.
         """
         present = self._membership.present()
-        near = [m.instance for m in present if m.domain == endpoint.domain]
-        candidates = near or [m.instance for m in present]
+        same_domain = [
+            m.instance for m in present if m.domain == endpoint.domain
+        ]
+        candidates = same_domain or [m.instance for m in present]
         ranked = hashing.rank(f"sweep-{endpoint.name}", candidates)
         return bool(ranked) and ranked[0] == self._instance
 
-    async def _sweep_one(self, endpoint: resources.Endpoint) -> None:
+    async def _sweep_engine(self, endpoint: resources.Endpoint) -> None:
         view = self._fleet.view(endpoint.name)
         if view is None:
             return
@@ -135,7 +137,7 @@
             if item.age_ms >= GRACE_MS:
                 attempt = item.attempt
                 by_owner[attempt.owner].append(attempt.attempt_id)
-        self._forget_others(endpoint.name, by_owner)
+        self._remove_released(endpoint.name, by_owner)
         for owner, attempt_ids in sorted(by_owner.items()):
             await self._reconcile(endpoint, owner, tuple(attempt_ids))
 
@@ -149,10 +151,10 @@
         not_needed = await self._not_needed(owner, b"".join(marks))
         for mark, attempt_id in marks.items():
             if not_needed is None:
-                if self._is_given_up(endpoint.name, attempt_id):
+                if self._is_timed_out(endpoint.name, attempt_id):
                     self._free(endpoint, attempt_id, "owner_silent")
                 continue
-            self._unclaimed.pop((endpoint.name, attempt_id), None)
+            self._unconfirmed.pop((endpoint.name, attempt_id), None)
             if mark in not_needed:
                 self._free(endpoint, attempt_id, "not_needed")
 
@@ -164,43 +166,45 @@
             found = self._releaser.not_needed(marks)
             return frozenset(releases.marks_in(found))
         message = key_messages.AskNeeded(owner, marks)
-        for peer in [owner, *self._relays(owner)]:
+        for peer in [owner, *self._intermediaries(owner)]:
             answer = await self._ask(peer, message)
             if answer is not None and answer.is_owners_word:
                 return frozenset(releases.marks_in(answer.marks))
         return None
 
-    def _relays(self, owner: str) -> list[str]:
+    def _intermediaries(self, owner: str) -> list[str]:
         """Returns instances that may reach an owner that this one can't."""
         others = [
             m.instance
             for m in self._membership.present()
             if m.instance not in (owner, self._instance)
         ]
-        return hashing.rank(owner, others)[:_MAX_RELAYS]
+        return hashing.rank(owner, others)[:_MAX_INTERMEDIARIES]
 
     async def _ask(
         self, peer: str, message: key_messages.AskNeeded
     ) -> key_messages.NotNeeded | None:
         try:
-            answer = await self._peers.ask(peer, message, timeout_ms=_ASK_MS)
+            answer = await self._peers.ask(
+                peer, message, timeout_ms=_ASK_TIMEOUT_MS
+            )
         except network.PeerError:
             return None
         return answer if isinstance(answer, key_messages.NotNeeded) else None
 
-    def _is_given_up(self, engine: str, attempt_id: str) -> bool:
+    def _is_timed_out(self, engine: str, attempt_id: str) -> bool:
         now_ms = self._clock.now_ms()
-        unclaimed = self._unclaimed.setdefault(
-            (engine, attempt_id), _Unclaimed(now_ms)
+        unconfirmed = self._unconfirmed.setdefault(
+            (engine, attempt_id), _Unconfirmed(now_ms)
         )
-        unclaimed.sightings += 1
-        is_old = now_ms - unclaimed.since_ms >= SILENT_OWNER_MS
-        return is_old and unclaimed.sightings > 1
+        unconfirmed.checks += 1
+        is_old = now_ms - unconfirmed.since_ms >= SILENT_OWNER_MS
+        return is_old and unconfirmed.checks > 1
 
     def _free(
         self, endpoint: resources.Endpoint, attempt_id: str, reason: str
     ) -> None:
-        self._unclaimed.pop((endpoint.name, attempt_id), None)
+        self._unconfirmed.pop((endpoint.name, attempt_id), None)
         self._counters.swept(reason)
         self._logger.info(
             "attempt_swept",
@@ -210,17 +214,17 @@
         )
         self._releaser.release(attempt_id, endpoint)
 
-    def _forget_others(
+    def _remove_released(
         self, engine: str, by_owner: dict[str, list[str]]
     ) -> None:
         held = {i for ids in by_owner.values() for i in ids}
         gone = [
             key
-            for key in self._unclaimed
+            for key in self._unconfirmed
             if key[0] == engine and key[1] not in held
         ]
         for key in gone:
-            del self._unclaimed[key]
+            del self._unconfirmed[key]
 
     async def _on_ask_needed(
         self, sender: str, message: key_messages.AskNeeded
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -133,7 +133,7 @@
     Off(
         "the sweep",
         sweep.Sweep,
-        "_sweep_one",
+        "_sweep_engine",
         _nothing,
         test_sweep.test_a_reservation_that_lands_after_its_release_is_freed,
     ),
@@ -147,7 +147,7 @@
     Off(
         "a silent owner is asked by way of others",
         sweep.Sweep,
-        "_relays",
+        "_intermediaries",
         lambda *args: [],
         test_sweep.test_an_owner_that_others_can_reach_keeps_its_memory,
     ),
@@ -258,7 +258,7 @@
     Off(
         "tokens are numbered",
         attempt.AttemptRun,
-        "_take",
+        "_add_chunk",
         _take_unchecked,
         lambda: test_life.test_an_engines_death_leaves_no_gap_and_no_repeat(
             {"d2": test_life.NO_RESUME}
@@ -267,7 +267,7 @@
     Off(
         "relayed tokens are numbered",
         relay,
-        "_take",
+        "_add_pulled",
         _take_anything,
         test_answers.test_a_paused_owner_finds_its_run_taken_over,
     ),
