--- a/src/jujubewharf/routing/__init__.py
+++ b/src/jujubewharf/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Views of the engines' load and the decisions made from them."""
+"""Engine load tracking and request placement."""
--- a/src/jujubewharf/routing/baselines.py
+++ b/src/jujubewharf/routing/baselines.py
@@ -1,4 +1,4 @@
-"""Simple policies that the product's own is measured against."""
+"""Simple routing policies, used as baselines in experiments."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class _ByReports:
-    """Places on engines that lagging reports show as free.
+    """Places requests on engines whose latest load report shows a free slot.
 
     Args:
-        pick_decode: Picks among engines that seem to have a free slot.
-        pick_prefill: Picks among engines that can read the prompt.
+        pick_decode: Chooses among the engines with a free slot.
+        pick_prefill: Chooses among the engines that can prefill.
     """
 
     def __init__(self, pick_decode: Pick, pick_prefill: Pick) -> None:
@@ -29,7 +29,7 @@
         self._pick_prefill = pick_prefill
 
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
-        """Decides for a request that holds nothing yet."""
+        """Decides for a request that holds no resources yet."""
         views = fitting.usable(job, fleet)
         decode = self._decode(fitting.decoders(views))
         if not isinstance(decode, fleets.EngineView):
@@ -43,7 +43,7 @@
         return jobs.Choice(decode.endpoint, prefill.endpoint)
 
     def place_decode(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
-        """Decides for a request whose prompt was read already."""
+        """Decides for a request whose prefill is complete."""
         views = fitting.usable(job, fleet)
         decode = self._decode(fitting.importers(views))
         if not isinstance(decode, fleets.EngineView):
@@ -62,10 +62,10 @@
 
 
 class RandomChoice(_ByReports):
-    """Any engine with a free slot, any engine to read.
+    """Chooses a random engine with a free slot and a random prefill engine.
 
     Args:
-        rng: Random numbers of its own.
+        rng: Random number generator of this policy.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -76,10 +76,11 @@
 
 
 class RoundRobin(_ByReports):
-    """Engines in turn, each instance with turns of its own.
+    """Cycles through the engines; each instance has its own position.
 
     Args:
-        rng: Says where the turns start, so that instances differ.
+        rng: Chooses the initial positions, so that instances start at different
+            engines.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -92,7 +93,7 @@
 
 
 class LeastLoad(_ByReports):
-    """The emptiest decode memory and the shortest prefill queue."""
+    """Chooses the least used decode engine and the shortest prefill queue."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -102,10 +103,10 @@
 
 
 class PrefillThenLook(LeastLoad):
-    """Reads at once and looks for a decode slot afterwards."""
+    """Prefills immediately and chooses the decode engine afterwards."""
 
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
-        """Decides for a request that holds nothing yet."""
+        """Decides for a request that holds no resources yet."""
         views = fitting.usable(job, fleet)
         prefillers = fitting.exporters(views)
         if not prefillers or not fitting.importers(views):
@@ -115,12 +116,12 @@
 
 
 def used_slots(view: fleets.EngineView) -> int:
-    """Slots in use by the lagging report or by this instance's own count."""
+    """Returns the used slots: the larger of report and local count."""
     reported = view.report.slots_used if view.report is not None else 0
     return max(reported, view.own_slots)
 
 
 def queued_tokens(view: fleets.EngineView) -> int:
-    """Prompt tokens ahead of a new one, by report and own count."""
+    """Returns the queued prompt tokens: the report plus the local count."""
     reported = view.report.prefill_queued_tokens if view.report else 0
     return reported + view.own_prefill_tokens
--- a/src/jujubewharf/routing/breaker.py
+++ b/src/jujubewharf/routing/breaker.py
@@ -1,4 +1,4 @@
-"""Keeps work from an engine whose calls fail, and lets it be tried again."""
+"""Circuit breaker for engines whose calls fail."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 
 
 class Breaker:
-    """Opens after failures, for a time that doubles while they go on.
+    """Opens after failures, for a period that doubles while they continue.
 
-    A dead engine is otherwise chosen again and again, because it is the
-    emptiest. One call that found nobody opens the breaker. Lost answers only
-    cast doubt, and only several together, for a stalled link loses some as
-    well; a doubtful engine is used when there is no other. Once the time is
-    over, work goes there again and the next failure shows.
+    Without it a dead engine would be chosen repeatedly, because it appears
+    idle. A single connection failure opens the breaker. Lost responses only
+    mark the engine as degraded, and only after several of them, because a
+    stalled network link also loses responses. A degraded engine is used only
+    when no other engine is available. When the open period ends, the next
+    request acts as the probe.
 
     Args:
-        clock: Time.
+        clock: Time source.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -34,16 +35,16 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether work is kept away now."""
+        """Whether the engine must not receive work."""
         return self._clock.now_ms() < self._open_until_ms
 
     @property
     def is_doubtful(self) -> bool:
-        """Whether work goes there only when nothing else is left."""
+        """Whether the engine is to be used only when no other is available."""
         return self._clock.now_ms() < self._doubt_until_ms
 
     def failed(self, fault: client.EngineFault) -> None:
-        """Learns that a call failed."""
+        """Records a failed call."""
         now_ms = self._clock.now_ms()
         if now_ms - self._failed_ms > _FORGOTTEN_AFTER_MS:
             self._times = self._losses = 0
@@ -59,7 +60,7 @@
                     self._doubt_until_ms = self._next_until_ms()
 
     def answered(self) -> None:
-        """Learns that it answers a call, so it is there."""
+        """Records a successful call, which closes the breaker."""
         self._open_until_ms = 0.0
 
     def _next_until_ms(self) -> float:
--- a/src/jujubewharf/routing/cache_events.py
+++ b/src/jujubewharf/routing/cache_events.py
@@ -1,4 +1,4 @@
-"""Follows what engines keep in their caches, within a budget of bytes."""
+"""Follows the prefix caches of engines within a bandwidth budget."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from jujubewharf.engines import client
 from jujubewharf.routing import fleet as fleets
 
-# Size of one event on the wire, about.
+# Approximate size of one event on the wire.
 _EVENT_BYTES = 64.0
-# Bytes that an instance spends on events; the whole fleet's bound for control
-# traffic is 3 KB/s an instance.
+# Bandwidth of an instance for cache events. All control traffic of an instance
+# is limited to 3 KB/s.
 _EVENT_BYTES_PER_S = 400.0
 _EVENTS_EVERY_MS = 2_000.0
 _EVENTS_TIMEOUT_MS = 1_000.0
 
 
 class CacheFollower(mode.Service):
-    """Reads the cache events of engines into the fleet's hints.
+    """Polls the cache events of engines and updates the prefix hints.
 
     Args:
-        fleet: Views of the engines, and the hints.
-        kept: Tells the engines to follow.
-        clock: Time.
+        fleet: Engine views and prefix hints.
+        kept: Returns the engines to poll.
+        clock: Time source.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
                     hints.last_sequence(name)
                 )
         except (client.EngineError, TimeoutError) as error:
-            # The hints stay as they are; a stale one costs a longer read.
+            # Existing hints are kept; a stale hint only costs a longer prefill.
             self._logger.debug(
                 "cache_events_unread",
                 engine=name,
--- a/src/jujubewharf/routing/catalog.py
+++ b/src/jujubewharf/routing/catalog.py
@@ -1,4 +1,4 @@
-"""All policies by name, for the experiment tool."""
+"""Routing policies by name, for the experiment tool."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
     rng: random.Random,
     truth: oracle.Truth | None = None,
 ) -> policies.Policy:
-    """Makes a policy for one instance.
+    """Creates the policy of one instance.
 
     Args:
         name: One of ``NAMES``.
-        clock: Time.
-        rng: Random numbers of this instance's policy.
-        truth: One object for all instances of a run; the oracle needs it.
+        clock: Time source.
+        rng: Random number generator of this instance's policy.
+        truth: Shared by all instances of a run; required by the oracle.
 
     Raises:
-        ValueError: The name is unknown, or the oracle got no truth.
+        ValueError: The name is unknown, or ``truth`` is missing for the oracle.
     """
     match name:
         case "product":
@@ -52,7 +52,7 @@
             return baselines.PrefillThenLook()
         case "oracle":
             if truth is None:
-                raise ValueError("the oracle needs the run's truth")
+                raise ValueError("the oracle policy requires truth")
             return oracle.Oracle(truth, clock)
         case _:
             raise ValueError(f"unknown policy {name!r}; one of {NAMES}")
--- a/src/jujubewharf/routing/counters.py
+++ b/src/jujubewharf/routing/counters.py
@@ -20,7 +20,7 @@
 
 
 def asked(*, is_granted: bool, is_hopeless: bool) -> None:
-    """Counts the answer to an ask for a slot."""
+    """Counts the response to a slot request."""
     outcome = "not_yet"
     if is_granted:
         outcome = "granted"
@@ -30,10 +30,10 @@
 
 
 def refused(kind: errors.ErrorKind) -> None:
-    """Counts a request that got no place."""
+    """Counts a request that was not placed."""
     _REFUSALS.add(1, {"reason": kind.value})
 
 
 def fell_back() -> None:
-    """Counts an ask whose keeper gave no answer."""
+    """Counts a slot request that the engine's coordinator did not answer."""
     _FALLBACKS.add(1)
--- a/src/jujubewharf/routing/fitting.py
+++ b/src/jujubewharf/routing/fitting.py
@@ -1,4 +1,4 @@
-"""Which engines can do a job at all, before any weighing of load."""
+"""Selects the engines that can run a job, regardless of their load."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 def usable(job: jobs.Job, fleet: fleets.Fleet) -> list[fleets.EngineView]:
-    """Engines of the job's service that take work and have its model."""
+    """Returns the engines of the job's service that can run the job."""
     return among(job, fleet.views_of(job.service.name))
 
 
 def among(
     job: jobs.Job, views: list[fleets.EngineView]
 ) -> list[fleets.EngineView]:
-    """Those of some engines that take work and have the job's model.
+    """Returns those of ``views`` that accept work and have the job's model.
 
-    Engines that lately lost several answers are left out while others can
-    do the job; a pool that is doubtful as a whole is still used.
+    Degraded engines are left out if the remaining ones can run the job. If all
+    engines are degraded, they are still used.
     """
     found = [
         view
@@ -34,10 +34,10 @@
 
 
 def has_model(view: fleets.EngineView, service: resources.Service) -> bool:
-    """Whether an engine says it has the service's model and version.
+    """Whether an engine reports the service's model and version.
 
-    An engine that says nothing of its model is believed to have it; its own
-    refusal is the authority.
+    An engine that reports no model is assumed to have it; the engine refuses
+    the request otherwise.
     """
     report = view.report
     if report is None or not report.model:
@@ -50,19 +50,19 @@
 
 
 def decoders(views: list[fleets.EngineView]) -> list[fleets.EngineView]:
-    """Engines that may write an answer."""
+    """Returns the engines that may decode."""
     return [view for view in views if view.endpoint.can_decode]
 
 
 def importers(views: list[fleets.EngineView]) -> list[fleets.EngineView]:
-    """Engines that may write from another engine's prefill result."""
+    """Returns the engines that can decode from another engine's KV cache."""
     return [
         view for view in decoders(views) if view.endpoint.capabilities.kv_import
     ]
 
 
 def exporters(views: list[fleets.EngineView]) -> list[fleets.EngineView]:
-    """Engines whose prefill result another engine can pull."""
+    """Returns the engines whose KV cache another engine can import."""
     return [
         view
         for view in views
@@ -71,7 +71,7 @@
 
 
 def loners(views: list[fleets.EngineView]) -> list[fleets.EngineView]:
-    """Engines that read and write by themselves."""
+    """Returns the engines that run both prefill and decode of a request."""
     return [
         view
         for view in decoders(views)
--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -1,4 +1,4 @@
-"""What this instance knows of the engines: reports and its own work there."""
+"""Engine views: the latest reports and the local use of each engine."""
 
 from __future__ import annotations
 
@@ -28,22 +28,25 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineView:
-    """One engine as this instance sees it.
+    """The state of one engine as known to this instance.
 
     Attributes:
-        endpoint: Its configuration.
-        client: How to speak to it.
-        clock: Time.
-        report: Its latest load report.
-        heard_ms: When that came; ``None`` before the first.
-        own_slots: Slots that this instance's requests hold there.
-        own_prefill_tokens: Prompt tokens this instance has sent there.
-        leaving_until_ms: Until when somebody's word that it leaves counts.
-        digest: What its keeper said last.
-        digest_ms: When that came; ``None`` before the first.
-        asked_since_digest: Slots asked for here since then.
-        breaker: Keeps work away while calls fail.
-        withheld: Tells whether new work is kept from an engine for now.
+        endpoint: Configuration of the engine.
+        client: Client of the engine.
+        clock: Time source.
+        report: Latest load report.
+        heard_ms: Clock reading at which ``report`` arrived; ``None`` before the
+            first.
+        own_slots: Slots held there by requests of this instance.
+        own_prefill_tokens: Prompt tokens sent there by this instance.
+        leaving_until_ms: Clock reading until which the engine counts as
+            leaving.
+        digest: Latest digest from the engine's coordinator.
+        digest_ms: Clock reading at which ``digest`` arrived; ``None`` before
+            the first.
+        asked_since_digest: Slots requested by this instance since then.
+        breaker: Circuit breaker of the engine.
+        withheld: Tells by engine name whether new work is withheld.
     """
 
     endpoint: resources.Endpoint
@@ -65,17 +68,17 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether recent calls failed."""
+        """Whether the circuit breaker is open."""
         return self.breaker.is_open
 
     @property
     def says_leaving(self) -> bool:
-        """Whether the engine itself lately said that it leaves."""
+        """Whether the engine's latest report says that it is leaving."""
         return self.report is not None and self.report.is_leaving
 
     @property
     def takes_work(self) -> bool:
-        """Whether new work may be sent there."""
+        """Whether the engine accepts new work."""
         if self.endpoint.drained or self.is_suspect:
             return False
         if self.withheld(self.endpoint.name):
@@ -88,27 +91,27 @@
 
     @property
     def has_digest(self) -> bool:
-        """Whether its keeper was heard from lately."""
+        """Whether a recent digest from the coordinator is available."""
         if self.digest_ms is None:
             return False
         return self.clock.now_ms() - self.digest_ms < _DIGEST_LASTS_MS
 
     @property
     def step_ms(self) -> float:
-        """Time between tokens, by report or digest."""
+        """Time between tokens, from the report or else the digest."""
         if self.report is not None:
             return self.report.step_ms
         return float(self.digest.step_ms) if self.digest is not None else 0.0
 
     @property
     def slots(self) -> int:
-        """Slots it has, by its own word before the configuration's."""
+        """Number of slots, from the report or else the configuration."""
         if self.report is not None and self.report.slots_total > 0:
             return self.report.slots_total
         return self.endpoint.slots
 
     def failed(self, fault: engine_client.EngineFault) -> None:
-        """Learns that a call failed."""
+        """Records a failed call."""
         self.breaker.failed(fault)
         if fault is engine_client.EngineFault.REFUSED_LEAVING:
             now_ms = self.clock.now_ms()
@@ -119,7 +122,7 @@
     def take_digest(
         self, digest: slot_messages.EngineDigest, now_ms: float
     ) -> None:
-        """Takes over what its keeper says."""
+        """Stores a digest from the engine's coordinator."""
         self.digest = digest
         self.digest_ms = now_ms
         self.asked_since_digest = 0
@@ -128,18 +131,18 @@
 class Fleet(mode.Service):
     """Views of all engines in the configuration.
 
-    Engines that this instance keeps are polled, no more than a few a second
-    in all, for an instance has few bytes a second for control. Of the others
-    it hears from their keepers.
+    Polls the engines that this instance coordinates. The polling rate is
+    limited in total, because the bandwidth for control traffic is small. The
+    state of other engines arrives as digests from their coordinators.
 
     Args:
-        make_client: Makes the client of an endpoint.
-        clock: Time.
+        make_client: Creates the client of an endpoint.
+        clock: Time source.
 
     Attributes:
-        withheld: Tells whether new work is kept from an engine for now.
-        polls: Tells whether an engine is to be polled from here.
-        hints: What engines may have cached.
+        withheld: Tells by engine name whether new work is withheld.
+        polls: Tells whether this instance polls an engine.
+        hints: Hints of the prefixes that engines have cached.
     """
 
     def __init__(self, make_client: ClientFactory, clock: clocks.Clock) -> None:
@@ -157,7 +160,7 @@
         self._services: dict[str, resources.Service] = {}
 
     def on_configuration(self, state: states.State) -> None:
-        """Takes over the engines of a configuration."""
+        """Updates the views to a new configuration."""
         wanted: dict[str, resources.Endpoint] = {}
         for entry in state.of_kind(resources.Kind.ENDPOINT):
             endpoint = entry.resource
@@ -179,15 +182,15 @@
         self._index()
 
     def views_of(self, service: str) -> list[EngineView]:
-        """Views of a service's engines, by name."""
+        """Returns the views of a service's engines, sorted by name."""
         return self._of_service.get(service, [])
 
     def views_near(self, service: str, domain: str) -> list[EngineView]:
-        """Views of a service's engines in a failure domain, by name."""
+        """Returns the views of a service's engines in one failure domain."""
         return self._near.get((service, domain), [])
 
     def all_views(self) -> list[EngineView]:
-        """Views of all engines, by name."""
+        """Returns the views of all engines, sorted by name."""
         return self._all
 
     def mark_leaving(
@@ -197,27 +200,27 @@
         *,
         until_ms: float = math.inf,
     ) -> None:
-        """Stops new work to an engine that anybody says is leaving.
+        """Marks an engine as leaving, so that it gets no new work.
 
         Args:
-            engine: Its name.
-            is_leaving: False takes the word back.
-            until_ms: Clock reading until which the word counts.
+            engine: Name of the engine.
+            is_leaving: False removes the mark.
+            until_ms: Clock reading at which the mark expires.
         """
         view = self._views.get(engine)
         if view is not None:
             view.leaving_until_ms = until_ms if is_leaving else -math.inf
 
     def service(self, name: str) -> resources.Service | None:
-        """A service, as configured."""
+        """Returns a service of the configuration."""
         return self._services.get(name)
 
     def kv_bytes_per_token(self, model: str) -> int:
-        """KV cache that a prompt token takes, as configured."""
+        """Returns a model's configured KV cache bytes per prompt token."""
         return self._kv_bytes.get(model, _DEFAULT_KV_BYTES_PER_TOKEN)
 
     def say_leaving(self) -> list[str]:
-        """Engines that lately said themselves that they leave, by name."""
+        """Returns the engines whose latest report says they are leaving."""
         return [
             name
             for name, view in sorted(self._views.items())
@@ -225,11 +228,11 @@
         ]
 
     def view(self, name: str) -> EngineView | None:
-        """The view of one engine."""
+        """Returns the view of one engine."""
         return self._views.get(name)
 
     def _index(self) -> None:
-        """Sorts the views once, so that a decision need not."""
+        """Rebuilds the indexes, so that decisions need not search all views."""
         self._all = [view for _, view in sorted(self._views.items())]
         self._of_service, self._near = {}, {}
         for view in self._all:
@@ -258,7 +261,7 @@
             await self._clock.sleep_ms(_POLL_MS * max(1, len(polled)))
 
     def _polled(self) -> list[EngineView]:
-        """Engines to poll; what was known of the others is forgotten."""
+        """Returns the engines to poll; discards the reports of the others."""
         polled = []
         for view in self.all_views():
             if self.polls(view) or not view.has_digest:
--- a/src/jujubewharf/routing/hold_times.py
+++ b/src/jujubewharf/routing/hold_times.py
@@ -1,4 +1,4 @@
-"""How long requests hold a decode slot, learned from those that ended."""
+"""Estimates how long requests hold a decode slot, from completed requests."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class HoldTimes:
-    """A decaying histogram with buckets that grow by a tenth.
+    """A decaying histogram of hold times with exponentially growing buckets.
 
-    Answer lengths are unknown before they end, but their distribution is
-    not: a request that has held its slot for long is likelier to end soon
-    or late as the histogram says.
+    The length of a response is not known in advance, but the distribution of
+    lengths is. It gives the probability that a request of a certain age ends
+    within a certain time.
 
     Args:
-        prior_ms: Mean that is believed until enough requests have ended.
+        prior_ms: Mean that is used until enough requests have completed.
     """
 
     def __init__(self, prior_ms: float) -> None:
@@ -33,7 +33,7 @@
         self._prior_ms = prior_ms
 
     def add(self, held_ms: float) -> None:
-        """Learns from a request that held its slot this long."""
+        """Adds the hold time of a completed request."""
         self._counts = [count * _FORGET for count in self._counts]
         self._counts[bisect.bisect_left(self._edges_ms, held_ms)] += 1.0
         self._sum_ms = self._sum_ms * _FORGET + held_ms
@@ -42,14 +42,14 @@
 
     @property
     def mean_ms(self) -> float:
-        """Mean time a slot is held."""
+        """Mean time for which a slot is held."""
         total = self._beyond[0]
         if total < _ENOUGH:
             return self._prior_ms
         return self._sum_ms / total
 
     def chance_of_end(self, age_ms: float, within_ms: float) -> float:
-        """Chance that one held for a while ends within a further while."""
+        """Returns the probability that a holder of ``age_ms`` ends in time."""
         if within_ms <= 0:
             return 0.0
         left = self._longer_than(age_ms)
@@ -59,7 +59,7 @@
         return 1.0 - self._longer_than(age_ms + within_ms) / left
 
     def _longer_than(self, held_ms: float) -> float:
-        """Weight of holds longer than this, linear within a bucket."""
+        """Returns the weight of longer holds, interpolated within a bucket."""
         place = bisect.bisect_left(self._edges_ms, held_ms)
         if place >= _BUCKETS:
             return self._counts[_BUCKETS]
--- a/src/jujubewharf/routing/jobs.py
+++ b/src/jujubewharf/routing/jobs.py
@@ -1,4 +1,4 @@
-"""What a routing decision is given and what it gives back."""
+"""Input and output types of routing decisions."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """One request, as far as routing needs to know it.
+    """The properties of a request that routing depends on.
 
     All times are readings of the instance's clock.
 
     Attributes:
-        service: Service asked for.
+        service: Requested service.
         prompt_tokens: Length of the prompt.
-        max_tokens: Longest answer.
+        max_tokens: Maximum length of the response.
         prefix_hashes: See ``engines.prefixes``.
-        arrived_ms: When the request came.
-        first_answer_by_ms: Arrival plus the service's first target.
+        arrived_ms: Arrival time of the request.
+        first_answer_by_ms: Arrival plus the service's target for the first
+            token.
         complete_by_ms: Arrival plus the service's completion target.
-        deadline_at_ms: When it is given up on.
-        priority: Higher goes first.
-        first_index: Tokens the caller has already.
-        excluded: Engines that failed this request before.
-        number: Tells requests of one instance apart; a copy made for a
-            further attempt keeps it.
+        deadline_at_ms: Time at which the request is aborted.
+        priority: Higher values are served first.
+        first_index: Number of tokens that the caller has already received.
+        excluded: Engines that have already failed this request.
+        number: Identifies the request within its instance; a copy made for
+            another attempt keeps it.
     """
 
     service: resources.Service
@@ -47,16 +48,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """Where a request runs.
+    """The engines that run a request.
 
     Attributes:
-        decode: Engine that writes; ``None`` when it is chosen only after
-            the prompt was read.
-        prefill: Engine that reads; ``None`` lets ``decode`` read.
-        prefill_at_ms: Clock reading before which reading must not start.
+        decode: Decode engine; ``None`` if it is chosen after prefill.
+        prefill: Prefill engine; ``None`` if ``decode`` also runs prefill.
+        prefill_at_ms: Clock reading before which prefill must not start.
         reserve_at_ms: Clock reading before which the decode slot must not be
-            taken; later than ``prefill_at_ms`` when a slot is expected to
-            come free while the prompt is read.
+            reserved; later than ``prefill_at_ms`` if a slot is expected to
+            become free during prefill.
     """
 
     decode: resources.Endpoint | None
@@ -67,10 +67,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Later:
-    """Nothing fits now; ask again after a while.
+    """No engine is available now; decide again after a delay.
 
     Attributes:
-        after_ms: Time to wait.
+        after_ms: Delay.
     """
 
     after_ms: float
@@ -78,11 +78,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """The request is given up on now.
+    """The request is rejected.
 
     Attributes:
-        kind: Why.
-        retry_after_ms: When the caller should come back.
+        kind: Reason.
+        retry_after_ms: Delay after which the caller should retry.
     """
 
     kind: errors.ErrorKind
--- a/src/jujubewharf/routing/keepers.py
+++ b/src/jujubewharf/routing/keepers.py
@@ -1,9 +1,11 @@
-"""Who keeps an engine: the instance that hears its load and grants its slots.
-
-The keeper is chosen by rendezvous among the present instances of the
-engine's own domain, so every instance finds it without talking. In a split
-view two instances may keep one engine; the engine's own refusal is the
-authority then, so it costs a refusal and never an error.
+"""Assigns each engine a coordinator among the instances.
+
+The coordinator of an engine polls its load and grants its decode slots. It is
+chosen by rendezvous hashing among the present instances of the engine's failure
+domain, so every instance computes it without communication. While instances
+disagree about membership, two of them may coordinate the same engine. The
+engine itself then refuses excess requests, so this causes refusals but no
+errors.
 """
 
 from __future__ import annotations
@@ -16,10 +18,10 @@
 def keeper_of(
     endpoint: resources.Endpoint, present: tuple[membership.Member, ...]
 ) -> str | None:
-    """The instance that keeps an engine; ``None`` when nobody is present.
+    """Returns the coordinator of an engine; ``None`` if no instance is present.
 
-    An engine whose domain has no instance is kept by any of the others, so
-    that it stays in use.
+    An engine whose failure domain has no instance is coordinated by an instance
+    of another domain, so that it stays in use.
     """
     near = [m.instance for m in present if m.domain == endpoint.domain]
     candidates = near or [m.instance for m in present]
@@ -28,13 +30,12 @@
 
 
 class Keepers:
-    """Remembers the keeper of each engine until the members change.
+    """Caches the coordinator of each engine until the membership changes.
 
-    Ranking the members for each engine of each decision would make a
-    decision cost engines times members.
+    Without the cache each decision would rank all members for each engine.
 
     Args:
-        members: Who is here.
+        members: Membership of the instances.
     """
 
     def __init__(self, members: membership.MembershipView) -> None:
@@ -43,7 +44,7 @@
         members.listen(self._known.clear)
 
     def of(self, endpoint: resources.Endpoint) -> str | None:
-        """The keeper of an engine; ``None`` when nobody is present."""
+        """Returns an engine's coordinator; ``None`` if no instance is known."""
         key = (endpoint.name, endpoint.domain)
         if key not in self._known:
             present = self._members.present()
--- a/src/jujubewharf/routing/keeping.py
+++ b/src/jujubewharf/routing/keeping.py
@@ -1,4 +1,4 @@
-"""Keeps engines: serves the lines for their slots and tells of their load."""
+"""Coordinates engines: grants their decode slots and broadcasts their load."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class _Outcome(enum.Enum):
-    """What became of a wish."""
+    """Outcome of a slot request."""
 
     GRANTED = "granted"
     NOT_YET = "not_yet"
@@ -38,7 +38,7 @@
 
 
 class _Line:
-    """The ledger of one engine and who is to be answered."""
+    """The slot ledger of one engine and the requests that await an answer."""
 
     def __init__(self, ledger: slot_ledger.SlotLedger) -> None:
         self.ledger = ledger
@@ -47,13 +47,13 @@
 
 
 class Keeping(mode.Service):
-    """Answers for the slots of the engines that this instance keeps.
+    """Grants the decode slots of the engines that this instance coordinates.
 
     Args:
-        fleet: Views of the engines.
-        peers: Links to the other instances.
-        members: Who they are.
-        clock: Time.
+        fleet: Engine views.
+        peers: Connections to the other instances.
+        members: Membership of the instances.
+        clock: Time source.
     """
 
     def __init__(
@@ -83,22 +83,23 @@
         members.listen(self._on_members)
 
     async def on_start(self) -> None:
-        """Starts to follow the caches of the kept engines."""
+        """Starts the follower of the coordinated engines' cache events."""
         await self.add_runtime_dependency(
             cache_events.CacheFollower(self._fleet, self._kept, self._clock)
         )
 
     def is_keeper(self, view: fleets.EngineView) -> bool:
-        """Whether this instance keeps an engine."""
+        """Whether this instance coordinates an engine."""
         return self._keepers.of(view.endpoint) == self._peers.instance
 
     def _kept(self) -> list[fleets.EngineView]:
         return [v for v in self._fleet.all_views() if self.is_keeper(v)]
 
     def _digest(self, engine: str) -> tuple[slot_messages.EngineDigest, ...]:
-        """Digests for an answer: of the engine asked for, and of a few others.
+        """Returns digests of the requested engine and of a few others.
 
-        All that are kept here would make answers grow with the fleet.
+        Including all coordinated engines would make answers grow with the
+        fleet.
         """
         views = [self._fleet.view(engine)]
         count = min(_DIGEST_WITH_ANSWER, len(self._digest_turns))
@@ -113,7 +114,7 @@
     async def on_ask(
         self, peer: str, ask: slot_messages.SlotAsk
     ) -> slot_messages.SlotAnswer:
-        """Answers when the slot is granted, or when it can't be in time."""
+        """Answers once the slot is granted or cannot be granted in time."""
         view = self._fleet.view(ask.engine)
         if view is None or not view.takes_work:
             return self._refusal(ask.engine, 0.0, is_hopeless=True)
@@ -136,7 +137,7 @@
         )
 
     async def on_end(self, peer: str, end: slot_messages.SlotEnd) -> None:
-        """Takes a slot, a promise or a place in the line back."""
+        """Frees a slot or a promise, or removes a request from the queue."""
         line = self._lines.get(end.engine)
         if line is None:
             return
@@ -146,7 +147,7 @@
         self._serve(line)
 
     async def on_held(self, peer: str, held: slot_messages.SlotsHeld) -> None:
-        """Learns what an instance held before this one kept the engine."""
+        """Records slots that the engine's previous coordinator granted."""
         view = self._fleet.view(held.engine)
         if view is None:
             return
@@ -159,7 +160,7 @@
     async def on_read(
         self, peer: str, ask: slot_messages.ReadAsk
     ) -> slot_messages.LoadDigest:
-        """Notes a prompt about to be sent, and tells what is ahead of it."""
+        """Records a prompt about to be sent; returns the load ahead of it."""
         digest = self._digest(ask.engine)
         now_ms = self._clock.now_ms()
         reads = self._reads.get(ask.engine)
@@ -171,14 +172,14 @@
         return slot_messages.LoadDigest(digest)
 
     async def on_read_end(self, peer: str, end: slot_messages.ReadEnd) -> None:
-        """Notes that a prompt was read, or won't be."""
+        """Records that a prefill completed, failed or was cancelled."""
         reads = self._reads.get(end.engine)
         if reads is not None:
             holder = slot_ledger.Holder(peer, end.number)
             reads.end(holder, self._clock.now_ms(), is_read=end.is_read)
 
     def _transfer_ms(self, engine: str, tokens: int) -> float:
-        """Time the engine's link takes for a prompt's KV cache."""
+        """Returns the time to transfer a prompt's KV cache over the link."""
         view = self._fleet.view(engine)
         if view is None:
             return 0.0
@@ -213,7 +214,7 @@
         holder: slot_ledger.Holder,
         future: asyncio.Future[_Outcome],
     ) -> None:
-        """Forgets a wish, unless its holder has made another since."""
+        """Removes a slot request, unless its holder has since made another."""
         if line.answers.get(holder) is future:
             del line.answers[holder]
             line.ledger.end(holder, self._clock.now_ms())
@@ -318,7 +319,7 @@
                 del self._reads[name]
 
     def _close(self, name: str, line: _Line) -> None:
-        """Sends everybody who waits to the engine's new keeper."""
+        """Ends all waits, so that requesters turn to the new coordinator."""
         for holder in list(line.answers):
             self._answer(line, holder, _Outcome.NOT_YET)
         del self._lines[name]
@@ -336,7 +337,7 @@
                     self._serve(line)
 
     async def _until_somebody_waits(self) -> None:
-        """An idle keeper wakes once a second, for its engines' reports."""
+        """Waits for a request, or at most a second to apply load reports."""
         if any(line.answers for line in self._lines.values()):
             return
         self._somebody_waits.clear()
--- a/src/jujubewharf/routing/looked_around.py
+++ b/src/jujubewharf/routing/looked_around.py
@@ -1,4 +1,4 @@
-"""Whether a starting instance knows enough to place requests."""
+"""Readiness of a starting instance to place requests."""
 
 from __future__ import annotations
 
@@ -11,17 +11,16 @@
 
 
 class LookedAround:
-    """Set once for each model service some engine is known to take work.
+    """Completes when each model service has an engine known to accept work.
 
-    An instance that has only read the configuration knows engines by name
-    and no more; it would refuse its first requests for want of a fitting
-    engine, though the pool is idle. A service may have no engine that takes
-    work at all, so the wait is bounded.
+    An instance that has only read the configuration has no engine status yet
+    and would reject its first requests although engines are idle. The wait is
+    bounded because a service may have no engine that accepts work.
 
     Args:
-        configuration: What is declared.
-        fleet: Views of the engines.
-        clock: Time.
+        configuration: Declared resources.
+        fleet: Engine views.
+        clock: Time source.
     """
 
     def __init__(
@@ -37,7 +36,7 @@
         self._is_set = False
 
     def is_set(self) -> bool:
-        """Whether it has; once true it stays so."""
+        """Whether discovery has completed; once true, it stays true."""
         if not self._is_set:
             self._is_set = self._has_looked()
         return self._is_set
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -1,9 +1,8 @@
-"""The bound to close in on: a policy that sees true state without lag.
+"""Upper bound for routing policies: decides from the true engine state.
 
-It is no product policy: it reads the stand-in engines directly, and all
-instances of a run share one line for the slots of all engines, without any
-delay between them. Like the product it doesn't know how long an answer will
-be before it ends.
+Only for experiments: it reads the simulated engines directly, without lag, and
+all instances of a run share one wait queue per service. Like the default
+policy, it does not know the length of a response in advance.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 
 
 class _Pool:
-    """One line for the slots of all engines of a service."""
+    """The wait queue for the slots of all engines of a service."""
 
     def __init__(self, prior_ms: float) -> None:
         self.hold_times = hold_times.HoldTimes(prior_ms)
@@ -37,7 +36,7 @@
         self._hopeless: set[slot_ledger.Holder] = set()
 
     async def wait(self, wish: slot_ledger.Wish, clock: clocks.Clock) -> bool:
-        """Waits in the line; false when it can't be granted in time."""
+        """Waits for a slot; returns false if none can be granted in time."""
         holder = wish.holder
         self.ledger.wish(wish)
         while True:
@@ -58,10 +57,10 @@
 
 
 class Truth:
-    """What all oracle instances of one run share.
+    """The state shared by all oracle policies of a run.
 
     Args:
-        load_now: True load of an engine, by its name.
+        load_now: Returns the true load of an engine by name.
     """
 
     def __init__(self, load_now: Callable[[str], client.LoadReport]) -> None:
@@ -71,7 +70,7 @@
         self._pools: dict[str, _Pool] = {}
 
     def pool(self, job: jobs.Job) -> _Pool:
-        """The line of a job's service."""
+        """Returns the wait queue of a job's service."""
         service = job.service
         if service.name not in self._pools:
             prior_ms = service.completion_target_ms / 2
@@ -79,18 +78,18 @@
         return self._pools[service.name]
 
     def free_slots(self, name: str) -> int:
-        """Slots that nobody holds or has claimed."""
+        """Returns the number of slots that are neither held nor claimed."""
         load = self.load_now(name)
         claimed = len(self.claimed.get(name, ()))
         return load.slots_total - max(load.slots_used, claimed)
 
 
 class Oracle:
-    """Speaks ``policy.WaitingPolicy`` by true state.
+    """Implements ``policy.WaitingPolicy`` from the true engine state.
 
     Args:
-        truth: What all oracle instances of the run share.
-        clock: Time.
+        truth: State shared by all oracle policies of the run.
+        clock: Time source.
     """
 
     def __init__(self, truth: Truth, clock: clocks.Clock) -> None:
@@ -101,11 +100,11 @@
         self._reading = truth.reading
 
     def join(self, surroundings: policies.Surroundings) -> None:
-        """Begins to work for an instance; see ``policy.WaitingPolicy``."""
+        """Attaches to an instance; see ``policy.WaitingPolicy``."""
         self._here = surroundings
 
     async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
-        """Waits for a slot that is free when the prompt was read."""
+        """Waits for a slot that will be free when prefill completes."""
         views = self._usable(job)
         prefills = fitting.exporters(views)
         if not prefills or not fitting.importers(views):
@@ -120,13 +119,13 @@
         return jobs.Choice(None, prefill.endpoint)
 
     async def wait_for_decode(self, job: jobs.Job) -> jobs.Decision:
-        """Takes the emptiest engine as soon as one has a free slot."""
+        """Claims a slot on the least loaded engine as soon as one is free."""
         self._reading.done(job.number)
         await self._wait(job, 0.0, -math.inf, is_ready=True)
         return await self._claim(job, fitting.importers)
 
     def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
-        """Gives everything back; see ``policy.WaitingPolicy``."""
+        """Releases the request's resources; see ``policy.WaitingPolicy``."""
         self._reading.dropped(job.number)
         holder = self._holder(job)
         self._truth.pool(job).ledger.end(holder, self._clock.now_ms())
--- a/src/jujubewharf/routing/placer.py
+++ b/src/jujubewharf/routing/placer.py
@@ -1,4 +1,4 @@
-"""Places requests: asks the policy, waits, and counts this instance's work."""
+"""Places requests by the routing policy and tracks this instance's load."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class Placer:
-    """What the life of a request needs of routing.
+    """Routing interface for the request lifecycle.
 
     Args:
-        policy: Decides.
-        fleet: Views of the engines.
-        clock: Time.
+        policy: Routing policy.
+        fleet: Engine views.
+        clock: Time source.
     """
 
     def __init__(
@@ -37,22 +37,22 @@
 
     @contextlib.asynccontextmanager
     async def placed(self, job: jobs.Job) -> AsyncIterator[jobs.Choice]:
-        """Waits for a place and holds it for the block.
+        """Waits for a placement and holds it for the duration of the block.
 
         Raises:
-            WharfError: The request is refused; nothing ran for this job.
+            WharfError: The request was rejected; nothing ran for this job.
         """
         async with self._place(job, is_prefilled=False) as choice:
             yield choice
 
     @contextlib.asynccontextmanager
     async def moved(self, job: jobs.Job) -> AsyncIterator[jobs.Choice]:
-        """As ``placed``, for a job whose prompt was read already."""
+        """Like ``placed``, for a job whose prefill is complete."""
         async with self._place(job, is_prefilled=True) as choice:
             yield choice
 
     def failed(self, engine: str, fault: client.EngineFault) -> None:
-        """Learns that a call to an engine failed."""
+        """Records a failed call to an engine."""
         view = self._fleet.view(engine)
         if view is not None:
             view.failed(fault)
@@ -87,7 +87,9 @@
                 counters.refused(kind)
                 raise errors.WharfError(kind, retry_after_ms=retry_after_ms)
             case jobs.Later():
-                raise AssertionError("a waiting policy waits by itself")
+                raise AssertionError(
+                    "a policy that waits must not return Later"
+                )
 
     async def _ask_on(
         self, policy: policies.InstantPolicy, job: jobs.Job, is_prefilled: bool
--- a/src/jujubewharf/routing/plans.py
+++ b/src/jujubewharf/routing/plans.py
@@ -1,4 +1,4 @@
-"""Ways to run a request, and how urgent it is."""
+"""Execution plans of a request, and its urgency."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class Urgency(enum.Enum):
-    """Adds to the priority in the lines for slots.
+    """Priority offset in the wait queues for slots.
 
-    ``RESUMED`` has tokens with its caller already. ``LATE`` has missed its
-    first target, as after a failure, or can't meet it however short the
-    lines are; it takes what is left over, for a late answer is better than
-    none.
+    ``RESUMED`` has already delivered tokens to the caller. ``LATE`` has missed
+    its target for the first token, for example after a failure, or cannot meet
+    it even without waiting. It gets only the remaining capacity, since a late
+    response is better than none.
     """
 
     RESUMED = 1_000
@@ -30,13 +30,13 @@
     """One way to run a request.
 
     Attributes:
-        decode: Engine that writes.
-        prefill: Engine that reads; ``None`` when ``decode`` does.
-        ready_ms: Time from the start until the slot is needed, which is
-            when the prompt was read and the link is free.
-        pause_ms: Part of that which is spent waiting for the link.
+        decode: Decode engine.
+        prefill: Prefill engine; ``None`` if ``decode`` also runs prefill.
+        ready_ms: Time from the start until the slot is needed: prefill is
+            complete and the network link is free.
+        pause_ms: Part of ``ready_ms`` spent waiting for the link.
         first_ms: Time from the start to the first token.
-        wait_ms: Expected wait until it can start.
+        wait_ms: Expected wait before the start.
     """
 
     decode: fleets.EngineView
@@ -48,12 +48,12 @@
 
 
 def first_steps_ms(view: fleets.EngineView) -> float:
-    """Time from the start of writing to the first token."""
+    """Returns the time from the start of decode to the first token."""
     return view.step_ms * _STEPS_TO_FIRST_TOKEN
 
 
 def urgency_of(job: jobs.Job, earliest_first_ms: float) -> Urgency:
-    """How urgent a job is that could have its first token by then."""
+    """Returns the urgency of a job by the earliest time of its first token."""
     if job.first_index > 0:
         return Urgency.RESUMED
     if earliest_first_ms > job.first_answer_by_ms:
--- a/src/jujubewharf/routing/policy.py
+++ b/src/jujubewharf/routing/policy.py
@@ -1,4 +1,4 @@
-"""The interfaces of a routing policy."""
+"""Interfaces of routing policies."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 class InstantPolicy(Protocol):
-    """Decides where a request runs.
+    """Decides without waiting.
 
-    ``place`` is called for a new request, again after ``Later``, and again
-    when the chosen engine refused. ``place_decode`` is called only when the
-    choice left the decode engine open.
+    ``place`` is called for a new request, again after ``Later``, and again when
+    the chosen engine refused. ``place_decode`` is called only if the choice
+    left the decode engine open.
     """
 
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
-        """Decides for a request that holds nothing yet."""
+        """Decides for a request that holds no resources yet."""
         ...
 
     def place_decode(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
-        """Decides for a request whose prompt was read already."""
+        """Decides for a request whose prefill is complete."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Surroundings:
-    """What a policy that speaks to other instances works with.
+    """Dependencies of a policy that communicates with other instances.
 
     Attributes:
-        fleet: Views of the engines.
-        peers: Links to the other instances.
-        members: Who they are.
+        fleet: Engine views.
+        peers: Connections to the other instances.
+        members: Membership of the instances.
         domain: Failure domain of this instance.
     """
 
@@ -48,26 +48,26 @@
 
 @runtime_checkable
 class WaitingPolicy(Protocol):
-    """Decides after asking other instances, so its decisions are awaited.
+    """Decides asynchronously, after querying other instances.
 
-    Whatever a request was given is ended through ``ended``, which also
-    follows when the wait itself is cancelled.
+    Each placement is ended with ``ended``, also when the wait for it was
+    cancelled.
     """
 
     def join(self, surroundings: Surroundings) -> None:
-        """Begins to work for an instance; a restarted one joins again."""
+        """Attaches to an instance; called again after the instance restarts."""
         ...
 
     async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
-        """As ``InstantPolicy.place``; never ``Later``."""
+        """Like ``InstantPolicy.place``, but never returns ``Later``."""
         ...
 
     async def wait_for_decode(self, job: jobs.Job) -> jobs.Decision:
-        """As ``InstantPolicy.place_decode``; never ``Later``."""
+        """Like ``InstantPolicy.place_decode``, but never returns ``Later``."""
         ...
 
     def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
-        """Learns that a place is no longer needed, for whatever reason."""
+        """Releases everything that was granted to a request."""
         ...
 
 
--- a/src/jujubewharf/routing/prefix_hints.py
+++ b/src/jujubewharf/routing/prefix_hints.py
@@ -1,8 +1,8 @@
-"""Which engine may have a prompt's prefix cached: hints that decay.
+"""Decaying hints of which engines have cached a prompt's prefix.
 
-Cache events come late and with gaps, and an engine's cache is small, so a
-hint is never more than a chance. It is worth what it saves times how far it
-is trusted, and that is weighed against the engine's queue.
+Cache events arrive late and with gaps, and engine caches are small, so a hint
+only gives a probability. The expected saving is the cached length weighted by
+that probability; callers compare it with the engine's queue.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class _Cache:
-    """What is thought to be in one engine's cache."""
+    """Presumed content of one engine's prefix cache."""
 
     def __init__(self) -> None:
         self.noted_ms: collections.OrderedDict[int, float] = (
@@ -38,10 +38,10 @@
 
 
 class PrefixHints:
-    """Hints of all engines, from events and from this instance's own prompts.
+    """Hints for all engines, from cache events and this instance's own prompts.
 
     Args:
-        clock: Time.
+        clock: Time source.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -49,22 +49,22 @@
         self._caches: dict[str, _Cache] = {}
 
     def last_sequence(self, engine: str) -> int:
-        """Sequence number of the latest event seen."""
+        """Returns the sequence number of the latest event."""
         cache = self._caches.get(engine)
         return cache.last_sequence if cache is not None else 0
 
     def sent(self, engine: str, prefix_hashes: Sequence[int]) -> None:
-        """Notes that an engine has read a prompt with these prefixes."""
+        """Records that an engine prefilled a prompt with these prefixes."""
         cache = self._cache(engine)
         now_ms = self._clock.now_ms()
         for prefix_hash in prefix_hashes:
             cache.note(prefix_hash, now_ms)
 
     def learn(self, engine: str, events: Sequence[client.CacheEvent]) -> None:
-        """Takes events over; each hole lowers the trust in all hints.
+        """Applies cache events; each gap lowers the confidence in all hints.
 
-        What is missing may have been an eviction, after which a hint sends
-        prompts to an engine that has nothing of them.
+        A missing event may be an eviction, after which a hint would direct
+        prompts to an engine that no longer has their prefix.
         """
         cache = self._cache(engine)
         now_ms = self._clock.now_ms()
@@ -80,11 +80,11 @@
                 cache.noted_ms.pop(event.prefix_hash, None)
 
     def forget(self, engine: str) -> None:
-        """Drops an engine's hints, as after its restart."""
+        """Removes the hints of an engine, for example after its restart."""
         self._caches.pop(engine, None)
 
     def saved_tokens(self, engine: str, prefix_hashes: Sequence[int]) -> float:
-        """Tokens that the cache is expected to save, by trust in the hints."""
+        """Returns the expected cached tokens, weighted by confidence."""
         cache = self._caches.get(engine)
         if cache is None:
             return 0.0
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -1,10 +1,10 @@
-"""The product's policy: read a prompt only against a slot in time.
+"""The default routing policy: starts prefill only with a promised decode slot.
 
-A request first picks the decode engine with the shortest expected wait and
-asks its keeper. The keeper promises a slot when enough holders are expected
-to end by the time the prompt was read, or refuses at once what can't meet its
-target. The prompt is read then, and the promise turned into a slot; when that
-is late, any other engine's free slot is taken instead.
+A request chooses the decode engine with the shortest expected wait and asks its
+coordinator for a slot. The coordinator promises one if enough holders are
+expected to end before prefill completes, and rejects requests that cannot meet
+their target. After prefill the promise is exchanged for a slot. If that takes
+too long, a free slot of any other engine is used instead.
 """
 
 from __future__ import annotations
@@ -43,11 +43,11 @@
 
 
 class Product:
-    """Speaks ``policy.WaitingPolicy``.
+    """Implements ``policy.WaitingPolicy``.
 
     Args:
-        clock: Time.
-        rng: Breaks ties, so that instances don't all pick the same engine.
+        clock: Time source.
+        rng: Breaks ties, so that instances choose different engines.
     """
 
     def __init__(self, clock: clocks.Clock, rng: random.Random) -> None:
@@ -59,7 +59,7 @@
         self._held_since_ms: dict[int, float] = {}
 
     def join(self, surroundings: policies.Surroundings) -> None:
-        """Begins to work for an instance; see ``policy.WaitingPolicy``."""
+        """Attaches to an instance; see ``policy.WaitingPolicy``."""
         self._here = surroundings
         self._slots = slots.Slots(surroundings, self._clock)
         self._reading = reading.Reading(self._clock)
@@ -67,7 +67,7 @@
         self._held_since_ms.clear()
 
     async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
-        """Waits for a promise of a slot, or refuses."""
+        """Waits for a slot promise, or rejects the request."""
         service = job.service.name
         if self._waiting[service] >= job.service.max_queued:
             return self._refusal(errors.ErrorKind.QUEUE_FULL, job)
@@ -78,7 +78,7 @@
             self._waiting[service] -= 1
 
     async def wait_for_decode(self, job: jobs.Job) -> jobs.Decision:
-        """Waits for a slot for a prompt that was read, as long as it takes."""
+        """Waits for a decode slot after prefill, without a time limit."""
         read = self._reading.done(job.number)
         if read is not None:
             self._here.fleet.hints.sent(read.engine, job.prefix_hashes)
@@ -102,7 +102,7 @@
     async def _first_free(
         self, job: jobs.Job, views: list[fleets.EngineView]
     ) -> resources.Endpoint | None:
-        """Waits in several lines at once; the first slot is taken."""
+        """Requests slots from several engines and takes the first granted."""
         for_ms = _PROMISED_WAIT_MS if len(views) == 1 else _READY_WAIT_MS
         asks = {
             asyncio.ensure_future(
@@ -128,7 +128,7 @@
             await asyncio.gather(*asks, return_exceptions=True)
 
     def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
-        """Gives everything back; see ``policy.WaitingPolicy``."""
+        """Releases the request's resources; see ``policy.WaitingPolicy``."""
         self._reading.dropped(job.number)
         self._slots.end_read(job.number)
         self._slots.end(job.number)
@@ -188,11 +188,11 @@
     async def _start(
         self, job: jobs.Job, plan: plans_lib.Plan, urgency: plans_lib.Urgency
     ) -> jobs.Decision:
-        """Starts reading on what is the best engine by now.
+        """Starts prefill on the engine that is the best one by now.
 
-        Others were granted slots while this one waited, and their prompts
-        are ahead now. One that would miss its target is better refused
-        before it is read than answered late after it.
+        Requests that were granted slots meanwhile are ahead in the prefill
+        queue. A request that would now miss its target is rejected before
+        prefill, so that no prefill is wasted.
         """
         if plan.prefill is None:
             self._held_since_ms[job.number] = self._clock.now_ms()
@@ -227,14 +227,14 @@
         return self._kv_ms(current, job) - self._kv_ms(other, job)
 
     def _kv_ms(self, view: fleets.EngineView, job: jobs.Job) -> float:
-        """Expected time until the KV cache can leave over the link."""
+        """Returns the expected time until the KV cache transfer can start."""
         link_ms = view.digest.link_ms if view.digest is not None else 0.0
         if view.digest_ms is not None:
             link_ms -= self._clock.now_ms() - view.digest_ms
         return max(self._read_ms(view, job), link_ms)
 
     def _read_ms(self, view: fleets.EngineView, job: jobs.Job) -> float:
-        """Expected time to read, less what the cache may save."""
+        """Returns the expected prefill time, less the prefix cache saving."""
         saved = self._here.fleet.hints.saved_tokens(
             view.endpoint.name, job.prefix_hashes
         )
@@ -281,11 +281,11 @@
         return plans_lib.Plan(decode, None, 0.0, 0.0, first_ms, wait_ms)
 
     def _candidates(self, job: jobs.Job) -> list[fleets.EngineView]:
-        """Engines to weigh: all of a small fleet, some of a large one.
+        """Returns the engines to compare: a random sample if there are many.
 
-        Half of them are of this domain. The best of two random ones is
-        nearly as good as the best of all (Mitzenmacher 2001), and less often
-        the one that everybody else picks.
+        Half of the sample is from this instance's failure domain. The best of a
+        few random choices is nearly as good as the best of all (Mitzenmacher
+        2001) and avoids that all instances choose the same engine.
         """
         fleet, service = self._here.fleet, job.service.name
         views = fleet.views_of(service)
@@ -315,7 +315,7 @@
         )
 
     def _wait_ms(self, job: jobs.Job, view: fleets.EngineView) -> float:
-        """Expected wait by the keeper's digest and own asks since."""
+        """Returns the expected wait by digest and own requests since then."""
         if view.digest is None:
             return 0.0
         ahead = view.asked_since_digest - max(0, view.digest.free)
@@ -373,7 +373,7 @@
         )
 
     def _refusal(self, kind: errors.ErrorKind, job: jobs.Job) -> jobs.Refusal:
-        """Refuses with the time until a slot may be had."""
+        """Rejects the request with the expected wait as retry-after."""
         views = fitting.decoders(self._candidates(job))
         waits_ms = [self._wait_ms(job, view) for view in views]
         wait_ms = min(waits_ms, default=0.0)
--- a/src/jujubewharf/routing/read_ledger.py
+++ b/src/jujubewharf/routing/read_ledger.py
@@ -1,4 +1,4 @@
-"""Prompts on their way through the prefill engines that are kept here."""
+"""Outstanding prompts of the prefill engines that this instance coordinates."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class ReadLedger:
-    """The queue of one engine, as the senders told it.
+    """The prefill queue of one engine, as reported by the sending instances.
 
-    Reports of a queue lag by more than the queue lasts, so instances that
-    judge by them send to the shortest queue of a while ago, all at once.
+    Load reports lag by more than the queue lasts. Instances that relied on them
+    would all send to the engine whose queue was shortest some time ago.
 
-    The results leave over one link, one after another. A link slower than
-    the engine reads is what bounds the pool, and prompts read faster than
-    it carries them pile up until transfers time out.
+    KV caches are transferred one after another over one network link. If the
+    link is slower than prefill, it limits throughput, and prompts prefilled
+    faster than it transfers them accumulate until transfers time out.
 
     Args:
-        kept_since_ms: When this instance began to keep the engine; soon
-            after that, prompts are under way that nobody told it of.
+        kept_since_ms: Clock reading at which this instance became the
+            coordinator. Prompts sent before then are unknown to it.
     """
 
     def __init__(self, kept_since_ms: float) -> None:
@@ -44,30 +44,34 @@
         transfer_ms: float,
         now_ms: float,
     ) -> None:
-        """Notes a prompt that is sent now, and what its transfer takes."""
+        """Records a prompt being sent and its expected transfer time."""
         self._reads[holder] = _Read(tokens, transfer_ms, now_ms)
 
     def end(
         self, holder: slot_ledger.Holder, now_ms: float, *, is_read: bool
     ) -> None:
-        """Notes that a prompt was read and its transfer begins, or neither."""
+        """Removes a prompt; if its prefill completed, the transfer starts."""
         read = self._reads.pop(holder, None)
         if read is not None and is_read:
             start_ms = max(now_ms, self._link_free_ms)
             self._link_free_ms = start_ms + read.transfer_ms
 
     def link_ms(self, now_ms: float) -> float:
-        """Time the link needs for all that is under way."""
+        """Returns the time the link needs for all outstanding transfers."""
         coming_ms = sum(read.transfer_ms for read in self._reads.values())
         return max(0.0, self._link_free_ms - now_ms) + coming_ms
 
     def forget_instance(self, instance: str) -> None:
-        """Drops the prompts of an instance that is gone."""
+        """Removes the prompts of an instance that has left."""
         for holder in [h for h in self._reads if h.instance == instance]:
             del self._reads[holder]
 
     def queued_tokens(self, reported_tokens: int, now_ms: float) -> int:
-        """Tokens under way; the engine's report counts only at first."""
+        """Returns the outstanding tokens.
+
+        The engine's report counts only for a while after this instance became
+        the coordinator.
+        """
         oldest_ms = now_ms - _FORGOTTEN_AFTER_MS
         for holder, read in list(self._reads.items()):
             if read.since_ms < oldest_ms:
--- a/src/jujubewharf/routing/reading.py
+++ b/src/jujubewharf/routing/reading.py
@@ -1,4 +1,4 @@
-"""Expected times of prefill and transfer, learned from what they took."""
+"""Estimates prefill and transfer times from observed prefills."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Read:
-    """A prompt that is being read for one of this instance's requests.
+    """A prefill in progress for a request of this instance.
 
     Attributes:
-        engine: Where.
-        tokens: Its length.
-        began_ms: When it was sent.
-        ahead_tokens: Tokens thought to be ahead of it then.
+        engine: Name of the engine.
+        tokens: Length of the prompt.
+        began_ms: Clock reading at which it was sent.
+        ahead_tokens: Estimated tokens queued ahead of it then.
     """
 
     engine: str
@@ -30,10 +30,10 @@
 
 
 class Reading:
-    """What this instance knows of how fast engines read.
+    """Tracks this instance's prefills and the prefill speed of engines.
 
     Args:
-        clock: Time.
+        clock: Time source.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -43,14 +43,14 @@
         self._reads: dict[int, Read] = {}
 
     def ms_per_token(self, engine: str) -> float:
-        """Reading time of a token; that of its like for a new engine."""
+        """Returns the prefill time per token; the mean for a new engine."""
         return self._ms_per_token.get(engine, self._mean_ms_per_token)
 
     def queued_tokens(self, view: fleets.EngineView) -> float:
-        """Tokens ahead of a new prompt.
+        """Returns the estimated tokens ahead of a new prompt.
 
-        Reports lag, so this instance's own reads that a report can't show
-        yet are added, and of older ones the larger of both is believed.
+        Reports lag. Own prompts sent since the report are added to it; the
+        result is at least the sum of all own prompts.
         """
         reported, heard_ms = _last_word(view)
         own_all = own_unseen = 0
@@ -63,19 +63,19 @@
         return max(float(own_all), reported + own_unseen)
 
     def wait_ms(self, view: fleets.EngineView) -> float:
-        """Expected wait until a new prompt's turn comes."""
+        """Returns the expected queueing time of a new prompt."""
         rate = self.ms_per_token(view.endpoint.name)
         return self.queued_tokens(view) * rate
 
     def read_ms(self, view: fleets.EngineView, tokens: float) -> float:
-        """Expected time from sending a prompt until it was read."""
+        """Returns the expected time until a new prompt's prefill completes."""
         rate = self.ms_per_token(view.endpoint.name)
         return self.wait_ms(view) + tokens * rate
 
     def begin(
         self, job: jobs.Job, view: fleets.EngineView, at_ms: float
     ) -> None:
-        """Notes that a prompt is sent now or soon."""
+        """Records a prompt that is sent now or at a later clock reading."""
         self._reads[job.number] = Read(
             view.endpoint.name,
             job.prompt_tokens,
@@ -84,7 +84,7 @@
         )
 
     def done(self, number: int) -> Read | None:
-        """Learns from a prompt that was read."""
+        """Records a completed prefill and updates the estimates."""
         read = self._reads.pop(number, None)
         if read is None:
             return None
@@ -99,12 +99,15 @@
         return read
 
     def dropped(self, number: int) -> None:
-        """Forgets a prompt whose reading failed or was cancelled."""
+        """Removes a prompt whose prefill failed or was cancelled."""
         self._reads.pop(number, None)
 
 
 def _last_word(view: fleets.EngineView) -> tuple[int, float]:
-    """Queued tokens by the keeper or else by report, and when it came."""
+    """Returns the latest queued tokens and the clock reading of their arrival.
+
+    The coordinator's digest takes precedence over the engine's report.
+    """
     if (
         view.has_digest
         and view.digest is not None
@@ -119,7 +122,7 @@
 def transfer_ms(
     source: fleets.EngineView, target: fleets.EngineView, kv_bytes: float
 ) -> float:
-    """Time a KV transfer takes on free links, as they are configured."""
+    """Returns the time of a KV transfer over idle links of configured speed."""
     rate = min(
         source.endpoint.link_bytes_per_s, target.endpoint.link_bytes_per_s
     )
--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -1,8 +1,8 @@
-"""One engine's decode slots: who holds, who was promised, who waits.
+"""Decode slots of one engine: holders, promises and the wait queue.
 
-A keeper serves one line for all instances, so their lagging views don't make
-them pile on the same engine. A promise is given before its slot is free, when
-enough holders are expected to end by the time the prompt was read.
+The coordinator serves one queue for all instances; otherwise instances with
+outdated views would overload the same engine. A slot may be promised before it
+is free, if enough holders are expected to end before prefill completes.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Holder(NamedTuple):
-    """A request of some instance."""
+    """A request of one instance."""
 
     instance: str
     number: int
@@ -28,15 +28,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wish:
-    """What a request waits for.
+    """A request for a slot.
 
     Attributes:
-        holder: Whose wish it is.
+        holder: The request that wants the slot.
         ready_in_ms: Time from the grant until the slot is needed.
-        latest_at_ms: After this the grant is of no use.
-        priority: Higher goes first.
-        caution: From 0 to 1, how much a late slot weighs.
-        is_ready: The slot is needed at the grant.
+        latest_at_ms: Clock reading after which a grant is useless.
+        priority: Higher values are served first.
+        caution: Weight of the risk that a promised slot is late, from 0 to 1.
+        is_ready: Whether the slot is needed at the grant.
     """
 
     holder: Holder
@@ -48,7 +48,7 @@
 
     @property
     def rank(self) -> tuple[bool, int, float, Holder]:
-        """Sorts a line: waiting KV, then priority, then the deadline."""
+        """Sort key: completed prefills first, then priority, then deadline."""
         return (
             not self.is_ready,
             -self.priority,
@@ -64,11 +64,11 @@
 
 
 class SlotLedger:
-    """The books of one engine.
+    """Slot accounting of one engine.
 
     Args:
-        slots: Slots it has.
-        hold_times: Learned from all engines of the service.
+        slots: Number of slots of the engine.
+        hold_times: Hold times observed on all engines of the service.
     """
 
     def __init__(self, slots: int, hold_times: hold_times.HoldTimes) -> None:
@@ -89,17 +89,17 @@
 
     @property
     def foreign(self) -> int:
-        """Slots in use that nobody told this keeper of.
+        """Number of slots in use that were not granted by this coordinator.
 
-        The smallest recent difference to the engine's reports: what a report
-        shows above the books is mostly its lag, but what all recent ones
-        show is not.
+        This is the minimum of the recent differences between reports and the
+        ledger. A single difference may result from the lag of the report, but
+        not one that appears in all recent reports.
         """
         return min(self._unexplained, default=0)
 
     @property
     def free(self) -> int:
-        """Slots that nobody holds."""
+        """Number of slots without a holder."""
         return self.slots - len(self._held) - self.foreign
 
     @property
@@ -108,28 +108,28 @@
 
     @property
     def balance(self) -> int:
-        """Free slots less promises and wishes; may be below zero."""
+        """Free slots minus promises and queued requests; may be negative."""
         return self._spare - len(self._line)
 
     @property
     def line(self) -> list[Wish]:
-        """Who waits, first come first."""
+        """Queued requests, next to be granted first."""
         return sorted(self._line.values(), key=lambda wish: wish.rank)
 
     def reported(self, slots_total: int, slots_used: int) -> None:
-        """Learns the engine's own word, some while old."""
+        """Applies a load report of the engine, which may be outdated."""
         if slots_total > 0:
             self.slots = slots_total
         self._unexplained.append(max(0, slots_used - len(self._held)))
 
     def wish(self, wish: Wish) -> None:
-        """Puts a request into the line; one that is ready needs no promise."""
+        """Queues a request. If it is ready, its promise is dropped."""
         if wish.is_ready:
             self._promised.pop(wish.holder, None)
         self._line[wish.holder] = wish
 
     def hold(self, holder: Holder, since_ms: float) -> None:
-        """Notes a slot that is held already."""
+        """Records a slot that is already held."""
         if holder not in self._held and self._unexplained:
             self._explain_one()
         self._held[holder] = since_ms
@@ -137,12 +137,13 @@
     def end(
         self, holder: Holder, now_ms: float, *, was_held: bool = False
     ) -> None:
-        """Takes back whatever a request holds, was promised or waits for.
+        """Removes a request's slot, promise and queue entry.
 
         Args:
             holder: The request.
             now_ms: Clock reading.
-            was_held: Its own word, for slots of an earlier keeper's time.
+            was_held: Whether the request says that it held a slot; counts for
+                slots granted by an earlier coordinator.
         """
         self._line.pop(holder, None)
         self._promised.pop(holder, None)
@@ -153,17 +154,17 @@
             self._explain_one()
 
     def forget_instance(self, instance: str) -> None:
-        """Drops promises and wishes of an instance that is gone.
+        """Removes the entries of an instance that has left.
 
-        What it holds stays in the engine until the sweep frees it, so it
-        counts on as foreign until reports no longer show it.
+        Slots that it held stay in use at the engine until the sweep frees them.
+        Until then they count as foreign by the engine's reports.
         """
         for book in (self._line, self._promised, self._held):
             for holder in [h for h in book if h.instance == instance]:
                 del book[holder]
 
     def grant_next(self, now_ms: float) -> Wish | None:
-        """Grants the first wish in the line that can be granted now."""
+        """Grants the first queued request that can be granted now."""
         self._lapse(now_ms)
         for wish in self.line:
             if wish.is_ready:
@@ -184,7 +185,7 @@
         return None
 
     def take_hopeless(self, now_ms: float) -> list[Wish]:
-        """Takes wishes out of the line that can't be granted in time."""
+        """Removes and returns the requests that cannot be granted in time."""
         hopeless = []
         place = 0
         for wish in self.line:
@@ -197,10 +198,10 @@
         return hopeless
 
     def wait_ms(self, place: int | None = None) -> float:
-        """Expected wait of the wish at a place in the line.
+        """Returns the expected wait at a position of the queue.
 
         Args:
-            place: ``None`` for a new wish at the line's end.
+            place: Position from 0; ``None`` for a new request at the end.
         """
         if place is None:
             place = len(self._line)
@@ -221,7 +222,7 @@
     def _ends_within(
         self, within_ms: float, now_ms: float
     ) -> tuple[float, float]:
-        """Mean and variance of the number of holders that end in time."""
+        """Returns mean and variance of the number of holders ending in time."""
         mean = variance = 0.0
         for since_ms in self._held.values():
             chance = self._hold_times.chance_of_end(
@@ -235,7 +236,7 @@
         return mean, variance
 
     def _lapse(self, now_ms: float) -> None:
-        """Drops promises that were never used, as of a lost instance."""
+        """Removes expired promises, for example those of a crashed instance."""
         for holder, promise in list(self._promised.items()):
             if promise.lapses_at_ms < now_ms:
                 del self._promised[holder]
--- a/src/jujubewharf/routing/slots.py
+++ b/src/jujubewharf/routing/slots.py
@@ -1,4 +1,4 @@
-"""Asks the keepers of engines for decode slots, and gives them back."""
+"""Requests decode slots from the engines' coordinators and releases them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Grant:
-    """What a request waits for, was promised or holds at one engine."""
+    """A request's state at one engine: queued, promised or holding a slot."""
 
     keeper: str
     since_ms: float
@@ -32,11 +32,11 @@
 
 
 class Slots:
-    """This instance's grants, from whoever keeps the engines.
+    """Slots and promises of this instance's requests.
 
     Args:
-        surroundings: Engines and other instances.
-        clock: Time.
+        surroundings: Engine views and connections to other instances.
+        clock: Time source.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._members.listen(self._on_members)
 
     def granted_engine(self, number: int) -> str | None:
-        """The engine whose slot a request holds or was promised."""
+        """Returns the engine whose slot a request holds or was promised."""
         grants = self._grants.get(number, {})
         return next(
             (n for n, grant in grants.items() if grant.is_granted), None
@@ -64,10 +64,11 @@
     async def ask(
         self, view: fleets.EngineView, ask: slot_messages.SlotAsk
     ) -> slot_messages.SlotAnswer:
-        """Asks for a slot; waits until it is granted or can't be in time.
+        """Requests a slot; returns when it is granted or cannot be in time.
 
-        A keeper that can't be reached is replaced by this instance itself,
-        which judges by the engine's reports; the engine has the last word.
+        If the coordinator cannot be reached, this instance decides itself by
+        the engine's reports. The engine still refuses a request for which it
+        has no slot.
         """
         keeper = self._keeper_of(view)
         view.asked_since_digest += 1
@@ -97,7 +98,7 @@
     async def ask_read(
         self, view: fleets.EngineView, number: int, tokens: int
     ) -> None:
-        """Tells of a prompt about to be sent, and learns the queue there."""
+        """Announces a prompt to the coordinator and updates the digest."""
         self.end_read(number)
         keeper = self._keeper_of(view)
         self._reads[number] = (view.endpoint.name, keeper)
@@ -112,12 +113,12 @@
             self._take_digest(digest.digest)
 
     def read_engine(self, number: int) -> str | None:
-        """The engine whose keeper was told of a request's prompt."""
+        """Returns the engine to whose coordinator a prompt was announced."""
         read = self._reads.get(number)
         return read[0] if read is not None else None
 
     def end_read(self, number: int, *, is_read: bool = False) -> None:
-        """Tells that a prompt was read, or won't be."""
+        """Reports that prefill completed, or that it will not run."""
         read = self._reads.pop(number, None)
         if read is not None:
             engine, keeper = read
@@ -125,11 +126,11 @@
             self._peers.tell(keeper, end)
 
     def end(self, number: int, *, but: str | None = None) -> None:
-        """Gives back what a request holds, was promised or waits for.
+        """Releases a request's slots, promises and queue entries.
 
         Args:
-            number: Of the request.
-            but: An engine whose slot it keeps.
+            number: Number of the request.
+            but: Engine whose slot is kept.
         """
         grants = self._grants.pop(number, {})
         for engine, grant in grants.items():
@@ -174,7 +175,7 @@
         self._take_digest(digest.digest)
 
     def _on_members(self) -> None:
-        """Tells new keepers what this instance holds at their engines."""
+        """Reports held slots to the new coordinators of their engines."""
         for view in self._fleet.all_views():
             name = view.endpoint.name
             keeper = self._all_keepers.of(view.endpoint)
--- a/tests/routing/test_breaker.py
+++ b/tests/routing/test_breaker.py
@@ -1,4 +1,4 @@
-"""The breaker keeps work from an engine whose calls fail."""
+"""The circuit breaker opens after failed calls and closes again."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 _LOST = client.EngineFault.LOST
 
 
-def test_it_opens_for_longer_each_time_and_closes_on_an_answer():
+def test_open_period_doubles_and_success_closes():
     async def story():
         clock = clocks.Clock()
         breaker = breakers.Breaker(clock)
@@ -31,7 +31,7 @@
     assert not is_open
 
 
-def test_lost_answers_cast_doubt_when_several_come_together():
+def test_several_lost_answers_mark_engine_degraded():
     async def story():
         breaker = breakers.Breaker(clocks.Clock())
         doubtful = []
@@ -43,7 +43,7 @@
     assert virtual_time.run(story()) == ([False, False, True], False)
 
 
-def test_a_refusal_is_no_failure():
+def test_refusal_is_not_a_failure():
     async def story():
         breaker = breakers.Breaker(clocks.Clock())
         for _ in range(5):
--- a/tests/routing/test_catalog.py
+++ b/tests/routing/test_catalog.py
@@ -1,4 +1,4 @@
-"""Every policy of the catalog answers a request on the bench."""
+"""Every policy of the catalog serves a request."""
 
 from __future__ import annotations
 
@@ -56,12 +56,12 @@
 
 
 @pytest.mark.parametrize("name", catalog.NAMES)
-def test_each_policy_answers(name: str):
+def test_each_policy_serves_a_request(name: str):
     last = virtual_time.run(_answer(name))
     assert isinstance(last, model_request.Finished)
     assert last.count == 9
 
 
-def test_an_unknown_name_is_refused():
+def test_unknown_name_raises():
     with pytest.raises(ValueError, match="unknown policy"):
         catalog.make("best", clock=None, rng=None)  # type: ignore[arg-type]
--- a/tests/routing/test_hold_times.py
+++ b/tests/routing/test_hold_times.py
@@ -1,4 +1,4 @@
-"""Hold times are learned, and age changes what is left."""
+"""Hold times are estimated from completed requests and by age."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from jujubewharf.routing import hold_times
 
 
-def test_the_prior_holds_until_enough_ended():
+def test_prior_is_used_until_enough_samples():
     times = hold_times.HoldTimes(8_000)
     times.add(100)
     assert times.mean_ms == 8_000
 
 
-def test_the_mean_is_learned():
+def test_mean_follows_samples():
     times = hold_times.HoldTimes(60_000)
     for place in range(100):
         times.add(5_000 + 10 * place)
     assert times.mean_ms == pytest.approx(5_500, rel=0.02)
 
 
-def test_a_young_holder_of_even_times_does_not_end_soon():
+def test_end_probability_depends_on_age():
     times = hold_times.HoldTimes(1_000)
     for _ in range(50):
         times.add(5_000)
@@ -28,7 +28,7 @@
     assert times.chance_of_end(4_000, 2_000) > 0.9
 
 
-def test_one_older_than_all_seen_may_end_any_time():
+def test_holder_older_than_all_samples_may_end():
     times = hold_times.HoldTimes(1_000)
     for _ in range(50):
         times.add(5_000)
--- a/tests/routing/test_looked_around.py
+++ b/tests/routing/test_looked_around.py
@@ -1,8 +1,6 @@
-"""A fresh instance isn't ready before it knows an engine that takes work.
+"""A new instance is not ready before an engine is known to accept work.
 
-The caller of a replaced instance saw its first requests refused for want of a
-fitting engine: the instance had read the configuration and said that it was
-ready, but had not yet heard from any engine.
+Otherwise it would reject its first requests with "no fitting engine".
 """
 
 from __future__ import annotations
@@ -21,7 +19,7 @@
 
 
 @pytest.mark.parametrize("is_dead", [False, True])
-def test_ready_once_an_engine_takes_work_or_the_wait_is_over(is_dead):
+def test_ready_when_engine_accepts_work_or_after_timeout(is_dead):
     async def story() -> None:
         bench = benches.Bench()
         endpoint = resources.Endpoint(
--- a/tests/routing/test_prefix_hints.py
+++ b/tests/routing/test_prefix_hints.py
@@ -1,4 +1,4 @@
-"""Hints of cached prefixes decay, and holes in the events lower them."""
+"""Prefix hints decay, and gaps in the cache events lower confidence."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     ]
 
 
-def test_what_was_sent_is_a_hint_that_decays():
+def test_hint_of_sent_prompt_decays():
     async def story(hints, clock):
         hints.sent("p1", _HASHES)
         fresh = hints.saved_tokens("p1", _HASHES)
@@ -37,7 +37,7 @@
     assert 0 < old < fresh / 4
 
 
-def test_an_eviction_ends_a_hint():
+def test_eviction_removes_hint():
     async def story(hints, clock):
         hints.learn("p1", _events([1, 2, 3]))
         gone = client.CacheEvent(4, 101, is_stored=False)
@@ -47,7 +47,7 @@
     assert _run(story) == 64
 
 
-def test_holes_lower_the_trust():
+def test_gaps_lower_confidence():
     async def story(hints, clock):
         hints.learn("p1", _events(range(1, 11)))
         hints.learn("p2", _events([1, 2, 3, 5, 6, 7, 8, 9, 10]))
@@ -57,7 +57,7 @@
     assert 0 < holed < whole
 
 
-def test_memory_is_bounded():
+def test_number_of_hints_is_bounded():
     async def story(hints, clock):
         hints.sent("p1", range(10_000))
         return hints.saved_tokens("p1", [0, 1]), hints.saved_tokens(
--- a/tests/routing/test_slot_ledger.py
+++ b/tests/routing/test_slot_ledger.py
@@ -1,4 +1,4 @@
-"""One engine's books: holders, promises and the line."""
+"""Slot accounting of one engine: holders, promises and the wait queue."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
     return numbers
 
 
-def test_no_more_promises_than_slots():
+def test_promises_do_not_exceed_slots():
     ledger = _ledger(slots=2)
     for number in (1, 2, 3):
         ledger.wish(_wish(number))
     assert _granted(ledger, 0) == [1, 2]
 
 
-def test_a_slot_is_promised_before_it_is_free():
+def test_slot_is_promised_before_it_is_free():
     ledger = _ledger(slots=1)
     ledger.hold(slot_ledger.Holder("e2", 9), since_ms=0)
     ledger.wish(_wish(1, ready_in_ms=300))
@@ -43,14 +43,14 @@
     assert ledger.free == 0
 
 
-def test_a_read_prompt_goes_before_promises_and_priorities():
+def test_completed_prefill_precedes_promises_and_priorities():
     ledger = _ledger(slots=1)
     ledger.wish(_wish(1, priority=9))
     ledger.wish(_wish(2, ready_in_ms=0, is_ready=True))
     assert _granted(ledger, 0) == [2]
 
 
-def test_priority_then_the_nearest_deadline():
+def test_order_by_priority_then_deadline():
     ledger = _ledger(slots=3)
     ledger.wish(_wish(1, latest_at_ms=900))
     ledger.wish(_wish(2, latest_at_ms=800))
@@ -58,9 +58,9 @@
     assert _granted(ledger, 0) == [3, 2, 1]
 
 
-def test_what_cannot_be_in_time_is_given_up_at_once():
-    # Two wait for one slot that is busy for a mean of a second. The second
-    # in the line can't be served within its 1.5 s, so it needn't wait.
+def test_unreachable_deadline_is_rejected_immediately():
+    # Two requests wait for one slot with a mean hold time of 1 s. The second
+    # cannot be granted within its 1.5 s.
     ledger = _ledger(slots=1)
     ledger.hold(slot_ledger.Holder("e2", 9), since_ms=0)
     ledger.wish(_wish(1, latest_at_ms=1_400))
@@ -68,7 +68,7 @@
     assert [w.holder.number for w in ledger.take_hopeless(0)] == [2]
 
 
-def test_a_promise_never_used_lapses():
+def test_unused_promise_expires():
     ledger = _ledger(slots=1)
     ledger.wish(_wish(1))
     assert _granted(ledger, 0) == [1]
@@ -78,7 +78,7 @@
     assert _granted(ledger, later_ms) == [2]
 
 
-def test_ending_frees_and_is_harmless_twice():
+def test_end_frees_slot_and_is_idempotent():
     ledger = _ledger(slots=1)
     ledger.wish(_wish(1, ready_in_ms=0, is_ready=True))
     assert _granted(ledger, 0) == [1]
@@ -88,9 +88,9 @@
 
 
 @pytest.mark.parametrize("reports", [[20], [20, 20, 20]])
-def test_a_new_keeper_counts_what_reports_show(reports):
-    # A keeper takes over while 20 slots are held that nobody told it of. It
-    # must not promise them, and learns of each end from its holder.
+def test_new_coordinator_counts_reported_slots(reports):
+    # A new coordinator must not promise slots granted by its predecessor. It
+    # learns of their end from the holders.
     ledger = _ledger(slots=20)
     for used in reports:
         ledger.reported(20, used)
@@ -101,14 +101,14 @@
     assert ledger.free == 1
 
 
-def test_a_lagging_report_alone_blocks_nothing():
+def test_single_lagging_report_is_ignored():
     ledger = _ledger(slots=20)
     ledger.reported(20, 0)
     ledger.reported(20, 20)
     assert ledger.free == 20
 
 
-def test_an_instance_that_is_gone_keeps_no_promise():
+def test_promises_of_lost_instance_are_removed():
     ledger = _ledger(slots=1)
     ledger.wish(_wish(1))
     assert _granted(ledger, 0) == [1]
