--- a/src/jujubewharf/engines/__init__.py
+++ b/src/jujubewharf/engines/__init__.py
@@ -1,1 +1,1 @@
-"""What the system says to engines, behind one small typed interface."""
+"""Clients of engines and plain endpoints."""
--- a/src/jujubewharf/engines/client.py
+++ b/src/jujubewharf/engines/client.py
@@ -1,8 +1,8 @@
-"""The engine interface: every call and answer as a typed value.
+"""The engine interface: typed calls and results.
 
-All calls carry the attempt's id. An engine treats two calls with the same
-attempt id as one, so a late or doubled message of an older attempt never
-touches a newer one.
+All calls carry an attempt id. An engine treats two calls with the same attempt
+id as one, so a delayed or duplicate message of an older attempt cannot affect a
+newer one.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 class EngineFault(enum.Enum):
-    """Why an engine call failed.
+    """Reason why an engine call failed.
 
-    ``REFUSED_*`` faults are the engine's own word that it did nothing;
-    ``REFUSED_IDENTITY`` says that another engine has the address now;
-    ``DEFERRED`` that no call was made, since the engine has asked for none
-    now.
+    With ``REFUSED_*`` the engine itself states that it did nothing.
+    ``REFUSED_IDENTITY`` means that another engine has this address now.
+    ``DEFERRED`` means that no call was made, because the engine has requested
+    backoff.
     """
 
     UNREACHABLE = "unreachable"
@@ -40,10 +40,11 @@
     """An engine call failed.
 
     Args:
-        fault: Why. ``UNREACHABLE`` means no connection, so nothing ran;
-            ``LOST`` means the answer was lost, so it may have run.
+        fault: Reason. ``UNREACHABLE`` means that no connection was made, so
+            nothing ran; ``LOST`` means that the response was lost, so the call
+            may have run.
         engine: Name of the engine.
-        detail: What was seen, for the logs; never a token or a prompt.
+        detail: Details for the logs; must not contain tokens or prompts.
     """
 
     def __init__(
@@ -57,11 +58,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """Names one try of one request.
+    """Identifies one attempt of a request.
 
     Attributes:
-        attempt_id: ``<request id>.<number>``, unique for all time.
-        owner: Instance that runs it; the sweep asks this instance.
+        attempt_id: ``<request id>.<number>``, globally unique.
+        owner: Instance that runs it; the sweep queries this instance.
     """
 
     attempt_id: str
@@ -70,12 +71,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PrefillJob:
-    """A prompt to read.
+    """A prompt to prefill.
 
     Attributes:
         model: Model name.
-        prompt: The prompt's text; its tokens are its words.
-        priority: Higher goes first where the engine honours priorities.
+        prompt: Text of the prompt; its tokens are its words.
+        priority: Higher values are served first, if the engine supports
+            priorities.
     """
 
     model: str
@@ -85,13 +87,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PrefillDone:
-    """A prompt that was read; its result dies unless it is taken in time.
+    """Result of a prefill; it expires if no engine imports it in time.
 
     Attributes:
         prompt_tokens: Length of the prompt.
-        cached_tokens: Part that the prefix cache saved.
-        kv_bytes: Size of the result to transfer.
-        survives_ms: Time until the result is gone.
+        cached_tokens: Number of prompt tokens served by the prefix cache.
+        kv_bytes: Size of the KV cache to transfer.
+        survives_ms: Time until the result expires.
     """
 
     prompt_tokens: int
@@ -102,15 +104,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DecodeJob:
-    """An answer to write on an engine that holds the attempt's slot.
+    """A decode on an engine that holds the attempt's slot.
 
     Attributes:
         model: Model name.
-        prompt: Given for resuming and for engines that prefill themselves.
-        max_tokens: Longest answer.
-        first_index: Tokens the caller has already; writing starts after.
-        delivered: Those tokens' texts, for resuming elsewhere.
-        priority: Higher goes first where the engine honours priorities.
+        prompt: Set when resuming, and for engines that also run prefill.
+        max_tokens: Maximum length of the response.
+        first_index: Number of tokens already delivered to the caller; decode
+            continues after them.
+        delivered: Texts of these tokens, for resuming on another engine.
+        priority: Higher values are served first, if the engine supports
+            priorities.
     """
 
     model: str
@@ -123,12 +127,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TokenChunk:
-    """Some tokens of an answer.
+    """Consecutive tokens of a response.
 
     Attributes:
-        first_index: Number of the first token here, from 0.
-        tokens: Their texts.
-        is_last: Whether the answer ends with this chunk.
+        first_index: Index of the first token of the chunk, from 0.
+        tokens: Texts of the tokens.
+        is_last: Whether this chunk ends the response.
     """
 
     first_index: int
@@ -138,20 +142,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an engine says of its load, with a lag.
+    """An engine's load as measured by itself; it arrives with a lag.
 
     Attributes:
-        measured_ms: The engine's own monotonic time of the measurement.
-        slots_total: Requests its decode memory holds.
-        slots_used: Requests it holds now, reservations included.
-        prefill_queued_tokens: Prompt tokens waiting to be read.
+        measured_ms: Time of the measurement on the engine's monotonic clock.
+        slots_total: Number of requests that fit into decode memory.
+        slots_used: Number of slots in use, including reservations.
+        prefill_queued_tokens: Prompt tokens waiting for prefill.
         decode_queued: Decode requests waiting for a slot.
-        step_ms: Time between tokens now.
-        is_leaving: The engine's own word that it is leaving.
-        model: Model loaded now.
-        model_version: Version loaded now.
-        adapters: Adapters loaded now.
-        role: Role played now, as the configuration spells it.
+        step_ms: Current time between tokens.
+        is_leaving: Whether the engine is leaving.
+        model: Loaded model.
+        model_version: Loaded model version.
+        adapters: Loaded adapters.
+        role: Current role, spelled as in the configuration.
     """
 
     measured_ms: float
@@ -172,8 +176,8 @@
     """Memory that an engine holds for one attempt.
 
     Attributes:
-        attempt: Whose memory it is.
-        age_ms: Time since it was taken.
+        attempt: The attempt.
+        age_ms: Time since the memory was reserved.
     """
 
     attempt: Attempt
@@ -182,12 +186,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A change of an engine's prefix cache; comes late and with gaps.
+    """A change of an engine's prefix cache; arrives late and with gaps.
 
     Attributes:
-        sequence: Counts up by one at the engine; a hole shows a gap.
+        sequence: Sequence number, incremented by one per event; a jump reveals
+            a gap.
         prefix_hash: Hash of a prompt prefix, see ``engines.prefixes``.
-        is_stored: Stored when true, evicted when false.
+        is_stored: True if the prefix was stored, false if it was evicted.
     """
 
     sequence: int
@@ -196,7 +201,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What an engine can be ordered to do."""
+    """Kinds of orders to an engine."""
 
     LOAD_MODEL = "load_model"
     LOAD_ADAPTER = "load_adapter"
@@ -205,13 +210,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """A declarative, idempotent order.
+    """A declarative, idempotent order to an engine.
 
     Attributes:
-        kind: What to do.
-        fence: Fencing number; engines that check refuse a lower one.
-        value: Model, adapter or role wanted.
-        version: Model version wanted.
+        kind: What to change.
+        fence: Fencing number; engines that support fencing refuse a lower one.
+        value: Requested model, adapter or role.
+        version: Requested model version.
     """
 
     kind: OrderKind
@@ -221,49 +226,49 @@
 
 
 class EngineClient(Protocol):
-    """What the system needs of one model engine.
+    """Client of one model engine.
 
     Every call may raise ``EngineError``.
     """
 
     async def reserve(self, attempt: Attempt) -> None:
-        """Takes a decode slot for an attempt; again is harmless."""
+        """Reserves a decode slot for an attempt; idempotent."""
         ...
 
     async def prefill(self, attempt: Attempt, job: PrefillJob) -> PrefillDone:
-        """Reads a prompt; the result waits here for ``import_kv``."""
+        """Prefills a prompt; the engine keeps the result for ``import_kv``."""
         ...
 
     async def import_kv(self, attempt: Attempt, source_address: str) -> int:
         """Pulls the attempt's prefill result from another engine.
 
         Returns:
-            Bytes transferred.
+            Number of bytes transferred.
         """
         ...
 
     def decode(
         self, attempt: Attempt, job: DecodeJob
     ) -> AsyncIterator[TokenChunk]:
-        """Writes the answer; without imported KV it reads the prompt first."""
+        """Streams the response; without imported KV it prefills first."""
         ...
 
     async def release(self, attempt_id: str) -> None:
-        """Cancels whatever the attempt does and frees what it holds."""
+        """Cancels an attempt and frees its resources."""
         ...
 
     async def load(self) -> LoadReport:
-        """The engine's latest load report."""
+        """Returns the engine's latest load report."""
         ...
 
     async def held(self) -> tuple[HeldAttempt, ...]:
-        """Everything the engine holds memory for."""
+        """Returns all attempts for which the engine holds memory."""
         ...
 
     async def cache_events(self, after_sequence: int) -> tuple[CacheEvent, ...]:
-        """Cache events after a sequence number, as far as they got here."""
+        """Returns the available cache events after a sequence number."""
         ...
 
     async def order(self, order: Order) -> None:
-        """Gives an order; ``REFUSED_FENCE`` when the fence is too old."""
+        """Sends an order; raises ``REFUSED_FENCE`` if the fence is outdated."""
         ...
--- a/src/jujubewharf/engines/endpoint_client.py
+++ b/src/jujubewharf/engines/endpoint_client.py
@@ -1,4 +1,4 @@
-"""The interface of plain endpoints: one HTTP-shaped call, streamed."""
+"""Client interface of plain endpoints: one streamed HTTP call."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlainCall:
-    """A call to pass on.
+    """A call to forward.
 
     Attributes:
-        request_id: Carried to the endpoint in a header.
+        request_id: Sent to the endpoint in a header.
         method: HTTP method.
         path_query: Path and query below the service's prefix.
         headers: End-to-end headers.
-        body: The body as it arrives; ``None`` without one.
+        body: Body as a stream; ``None`` if there is none.
     """
 
     request_id: str
@@ -31,12 +31,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlainReply:
-    """The endpoint's answer.
+    """Response of an endpoint.
 
     Attributes:
         status: HTTP status.
         headers: End-to-end headers.
-        body: The body as it arrives.
+        body: Body as a stream.
     """
 
     status: int
@@ -48,11 +48,11 @@
     """Calls plain endpoints.
 
     Entering the context and reading the body raise ``client.EngineError``:
-    ``UNREACHABLE`` before anything was sent, ``LOST`` after.
+    ``UNREACHABLE`` if nothing was sent, ``LOST`` otherwise.
     """
 
     def call(
         self, endpoint: resources.Endpoint, call: PlainCall
     ) -> contextlib.AbstractAsyncContextManager[PlainReply]:
-        """Sends a call; leaving the context ends it."""
+        """Sends a call; leaving the context closes it."""
         ...
--- a/src/jujubewharf/engines/http.py
+++ b/src/jujubewharf/engines/http.py
@@ -1,4 +1,4 @@
-"""The engine interface over HTTP: JSON calls, one JSON line a chunk."""
+"""HTTP implementation of the engine interface; responses are JSON lines."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 class HttpEngineClient:
-    """Speaks to one engine.
+    """Client of one engine.
 
     Args:
-        name: The engine's name, for errors.
+        name: Name of the engine, for errors.
         address: ``IP:PORT`` of the engine.
         session: Shared client session.
-        clock: Times out slow answers.
+        clock: Time source for timeouts.
     """
 
     def __init__(
@@ -54,13 +54,13 @@
         return f"HttpEngineClient({self._name!r})"
 
     async def reserve(self, attempt: client.Attempt) -> None:
-        """Takes a decode slot; see ``client.EngineClient``."""
+        """Reserves a decode slot; see ``client.EngineClient``."""
         await self._call("reserve", _attempt(attempt))
 
     async def prefill(
         self, attempt: client.Attempt, job: client.PrefillJob
     ) -> client.PrefillDone:
-        """Reads a prompt; see ``client.EngineClient``."""
+        """Prefills a prompt; see ``client.EngineClient``."""
         body = _attempt(attempt) | dataclasses.asdict(job)
         done = await self._call("prefill", body, _PREFILL_TIMEOUT_MS)
         return client.PrefillDone(**done)
@@ -76,7 +76,7 @@
     async def decode(
         self, attempt: client.Attempt, job: client.DecodeJob
     ) -> AsyncIterator[client.TokenChunk]:
-        """Writes the answer; see ``client.EngineClient``."""
+        """Streams the response; see ``client.EngineClient``."""
         body = _attempt(attempt) | dataclasses.asdict(job)
         try:
             async with self._session.post(
@@ -98,17 +98,17 @@
             raise self._error(client.EngineFault.LOST) from error
 
     async def release(self, attempt_id: str) -> None:
-        """Cancels and frees an attempt; see ``client.EngineClient``."""
+        """Cancels an attempt; see ``client.EngineClient``."""
         await self._call("release", {"attempt_id": attempt_id})
 
     async def load(self) -> client.LoadReport:
-        """The latest load report; see ``client.EngineClient``."""
+        """Returns the latest load report; see ``client.EngineClient``."""
         body = await self._call("load", {})
         body["adapters"] = tuple(body["adapters"])
         return client.LoadReport(**body)
 
     async def held(self) -> tuple[client.HeldAttempt, ...]:
-        """Everything held; see ``client.EngineClient``."""
+        """Returns all held attempts; see ``client.EngineClient``."""
         items = await self._call("held", {})
         return tuple(
             client.HeldAttempt(
@@ -121,12 +121,12 @@
     async def cache_events(
         self, after_sequence: int
     ) -> tuple[client.CacheEvent, ...]:
-        """Cache events; see ``client.EngineClient``."""
+        """Returns cache events; see ``client.EngineClient``."""
         items = await self._call("events", {"after_sequence": after_sequence})
         return tuple(client.CacheEvent(**item) for item in items)
 
     async def order(self, order: client.Order) -> None:
-        """Gives an order; see ``client.EngineClient``."""
+        """Sends an order; see ``client.EngineClient``."""
         body = dataclasses.asdict(order) | {"kind": order.kind.value}
         await self._call("order", body)
 
@@ -165,19 +165,19 @@
 
 
 class _SilenceWatch:
-    """Closes an answer's connection when the engine falls silent.
+    """Closes the connection of a response when the engine stops sending.
 
-    A timer around each read, ours or the HTTP library's, is made and dropped
-    for every token. This one looks now and then whether anything came, so
-    silence is noticed after one to two periods.
+    A timeout around each read would create and cancel a timer per token. This
+    checks once per period whether anything was received, so it detects silence
+    after one to two periods.
 
     Args:
-        response: The answer; reading it fails once it is closed.
-        clock: Time.
-        period_ms: Time between two looks.
+        response: The response; reading it fails once it is closed.
+        clock: Time source.
+        period_ms: Time between two checks.
 
     Attributes:
-        has_heard: Set whenever something came.
+        has_heard: Set by the reader whenever data was received.
     """
 
     def __init__(
@@ -213,12 +213,11 @@
 async def _chunks(
     content: aiohttp.StreamReader,
 ) -> AsyncIterator[client.TokenChunk]:
-    """Chunks of an answer, one for all lines that came together.
+    """Yields the chunks of a response, merging lines received together.
 
-    An instance that falls behind finds more lines in each read, so it
-    catches up by passing on larger chunks. A line that doesn't go on where
-    the one before ended starts a chunk of its own; whoever counts tokens sees
-    the gap.
+    An instance that falls behind receives more lines per read and catches up by
+    forwarding larger chunks. A line whose index does not continue the previous
+    one starts a new chunk, so that the consumer can detect the gap.
     """
     rest = b""
     async for data in content.iter_any():
--- a/src/jujubewharf/engines/http_endpoint.py
+++ b/src/jujubewharf/engines/http_endpoint.py
@@ -1,4 +1,4 @@
-"""Plain endpoints over HTTP."""
+"""HTTP client of plain endpoints."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 REQUEST_HEADER = "X-Request-Id"
 CONNECT_TIMEOUT_S = 1.0
 _CHUNK_BYTES = 65_536
-# aiohttp adds these when the caller gave none; an endpoint would then
-# compress an answer for a caller that can't read it.
+# aiohttp adds these headers if the caller sent none. The endpoint might then
+# compress a response for a caller that cannot decode it.
 _NOT_ADDED = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 
 CONNECT_ERRORS = (
@@ -26,12 +26,11 @@
 
 
 class SendOnce:
-    """Client middleware that lets a call go out one time.
+    """Client middleware that prevents a call from being sent twice.
 
-    aiohttp by itself sends GET, PUT and DELETE again when the connection
-    breaks before an answer. A call that may not be repeated would run twice,
-    and nobody here would know; so the second sending is stopped, and retries
-    are left to ``requests.plain``.
+    aiohttp resends GET, PUT and DELETE if the connection breaks before the
+    response. A call that must not be repeated would then run twice unnoticed.
+    Retries are left to ``requests.plain``.
     """
 
     def __init__(self) -> None:
@@ -40,7 +39,7 @@
     async def __call__(
         self, request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
     ) -> aiohttp.ClientResponse:
-        """Sends on, the first time only."""
+        """Forwards the first send and fails any further one."""
         if self._was_sent:
             raise aiohttp.ServerDisconnectedError
         self._was_sent = True
@@ -51,8 +50,8 @@
     """Calls endpoints over one shared client session.
 
     Args:
-        session: A session that no engine call uses, so that plain calls never
-            wait for a connection behind model requests.
+        session: Not shared with engine calls, so that plain calls never wait
+            for a connection behind model requests.
     """
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
@@ -66,9 +65,9 @@
         url = f"http://{endpoint.address}/{call.path_query.lstrip('/')}"
         headers = [*call.headers, (REQUEST_HEADER, call.request_id)]
         upstream = await self._send(endpoint, call, url, headers)
-        # Only sending is guarded: an error thrown in at the yield is of the
-        # block's own making, as when the caller's connection breaks, and says
-        # nothing about the endpoint.
+        # Only errors of sending are translated. An error raised at the yield
+        # comes from the caller's block, for example a broken connection to the
+        # caller, and does not concern the endpoint.
         async with upstream:
             yield endpoint_client.PlainReply(
                 status=upstream.status,
--- a/src/jujubewharf/engines/liveness.py
+++ b/src/jujubewharf/engines/liveness.py
@@ -1,4 +1,4 @@
-"""Tells an engine that crashed from one whose connection merely broke."""
+"""Distinguishes a crashed engine from a broken connection."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 
 from jujubewharf import clock as clocks
 
-# A connection within a region takes some milliseconds. Behind a cut there is no
-# answer, and whoever waits here is a request that could go on elsewhere.
+# Connecting within a region takes a few milliseconds. Across a network
+# partition there is no reply, and the waiting request could continue on another
+# engine.
 _CONNECT_MS = 150.0
 
 
 async def is_refused(address: str, clock: clocks.Clock) -> bool:
-    """Whether connections to an address are refused: nobody listens there.
+    """Whether an address refuses connections, so that no process listens.
 
-    A machine that is dark, frozen or behind a cut doesn't answer at all, and an
+    A host that is down, frozen or partitioned does not reply at all, and an
     engine that closed or reset a connection accepts the next one.
 
     Args:
         address: ``IP:PORT``.
-        clock: Time.
+        clock: Time source.
     """
     host, _, port = address.rpartition(":")
     try:
@@ -30,7 +31,8 @@
     except (ConnectionRefusedError, ConnectionResetError):
         return True
     except OSError:
-        # No route, or no descriptor left here: that says nothing of it.
+        # A missing route or a lack of local file descriptors says nothing about
+        # the engine.
         return False
     writer.close()
     return False
--- a/src/jujubewharf/engines/notices.py
+++ b/src/jujubewharf/engines/notices.py
@@ -1,4 +1,4 @@
-"""What an answer says of the endpoint that gives it, beside the answer."""
+"""Status information about an endpoint that accompanies its responses."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Notice:
-    """What one answer says of its endpoint.
+    """Status of an endpoint as stated by one response.
 
     Attributes:
-        asked_ms: Clock reading when the request went out that it answers.
-        rate_limit_per_s: Requests a second that the endpoint takes from all
-            instances together; ``None`` where the answer names no limit.
-        ends_limit: Whether no limit is in force where none is named. Only an
-            endpoint's own whole answer says that, and not one that is made up
-            on the way.
-        is_leaving: Whether the endpoint leaves and takes no new work.
-        backoff_ms: Time for which it wants no request of the instance that
-            is answered; 0 for none.
+        asked_ms: Clock reading when the request of this response was sent.
+        rate_limit_per_s: Requests per second that the endpoint accepts from all
+            instances together; ``None`` if the response states no limit.
+        ends_limit: Whether the absence of a limit means that none is in force.
+            True only for a complete response of the endpoint itself, not for
+            one generated on the way.
+        is_leaving: Whether the endpoint is leaving and accepts no new work.
+        backoff_ms: Time for which the endpoint wants no requests from the
+            receiving instance; 0 for none.
     """
 
     asked_ms: float
@@ -32,7 +32,7 @@
 
     @property
     def restrains(self) -> bool:
-        """Whether it keeps any work away."""
+        """Whether the status restricts work in any way."""
         has_limit = self.rate_limit_per_s is not None
         return has_limit or self.is_leaving or self.backoff_ms > 0.0
 
@@ -41,18 +41,18 @@
 
 
 def nobody_listens(endpoint: resources.Endpoint, notice: Notice) -> None:
-    """Stands in where nobody wants to know."""
+    """Default listener; ignores the notice."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Terms:
-    """On which terms an endpoint takes work, from all instances alike.
+    """Restrictions of an endpoint that apply to all instances.
 
     Attributes:
-        endpoint: Its name.
-        rate_limit_per_s: Requests a second from all instances together;
-            ``None`` for any number.
-        is_leaving: Whether it takes no new work any more.
+        endpoint: Name of the endpoint.
+        rate_limit_per_s: Requests per second from all instances together;
+            ``None`` for no limit.
+        is_leaving: Whether the endpoint accepts no new work.
     """
 
     endpoint: str
@@ -61,11 +61,11 @@
 
     @property
     def restrains(self) -> bool:
-        """Whether they keep any work away."""
+        """Whether there is any restriction."""
         return self.rate_limit_per_s is not None or self.is_leaving
 
     def stricter(self, other: Terms) -> Terms:
-        """Those that hold where two instances know different ones."""
+        """Merges the restrictions known to two instances; the stricter win."""
         limits = [
             limit
             for limit in (self.rate_limit_per_s, other.rate_limit_per_s)
--- a/src/jujubewharf/engines/prefixes.py
+++ b/src/jujubewharf/engines/prefixes.py
@@ -1,4 +1,4 @@
-"""Hashes of prompt prefixes, as engines name them in cache events."""
+"""Hashes of prompt prefixes, as used in cache events."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def tokens_of(prompt: str) -> list[str]:
-    """A prompt's tokens: its words."""
+    """Returns the tokens of a prompt: its words."""
     return prompt.split()
 
 
 def prefix_hashes(prompt: str) -> tuple[int, ...]:
-    """A chained hash for each whole block of tokens, shortest prefix first."""
+    """Returns a chained hash per full token block, shortest prefix first."""
     tokens = tokens_of(prompt)
     hashes: list[int] = []
     state = xxhash.xxh3_64()
--- a/src/jujubewharf/engines/sessions.py
+++ b/src/jujubewharf/engines/sessions.py
@@ -1,7 +1,7 @@
 """Client sessions for calls to engines.
 
-A request's connection is never used again, so that nothing on it can be taken
-for another request's answer.
+Connections of requests are not reused, so that data left on a connection cannot
+be taken for the response to another request.
 """
 
 from __future__ import annotations
@@ -11,42 +11,41 @@
 import aiohttp
 from aiohttp import client_proto
 
-# A connection within a region takes some milliseconds. A lost first packet is
-# sent again only after a second; another endpoint is faster than that, and
-# since nothing was sent it may be tried for any request.
+# Connecting within a region takes a few milliseconds, but a lost SYN packet is
+# resent only after a second. Trying another endpoint is faster, and safe for
+# any request because nothing was sent yet.
 _CONNECT_S = 0.25
-# Connections for such calls are kept this long: a leader makes many calls a
-# second to each engine, and nobody else makes enough to gain by it.
+# Long enough for a leader, which calls each engine several times a second;
+# other instances call too rarely to benefit from longer keep-alive.
 _KEPT_S = 3.0
 
 
 class _CheckedProtocol(client_proto.ResponseHandler):
-    """Tells a body that ended from one that was reset.
+    """Reports a body that was cut off by a connection reset.
 
-    aiohttp takes the end of a connection for the end of a body without a
-    length, also when the connection was reset. A part would then pass for a
-    whole answer.
+    Without a length, aiohttp takes the end of the connection for the end of the
+    body, even after a reset. A truncated response would then appear complete.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
-            payload.set_exception(aiohttp.ClientPayloadError("reset"))
+            payload.set_exception(
+                aiohttp.ClientPayloadError("connection reset within body")
+            )
         super().connection_lost(exc)
 
 
 def new_session(*, is_kept: bool = False) -> aiohttp.ClientSession:
-    """A session for requests, or one for calls about an engine's state.
+    """Creates a session for requests, or for calls about an engine's state.
 
-    Requests get a connection each.
+    Each request gets a new connection. On a kept-alive connection a delayed
+    duplicate response, or bytes after the end of a response, would be read as
+    the response to the next request. If the engine closes the connection, it is
+    also unknown whether the request ran.
 
-    On a kept connection a late second answer of an engine, or bytes after an
-    answer's end, would be read as the answer to the next request; and an
-    engine that has just closed it leaves open whether the request ran. A new
-    one costs a round trip and a hundredth of the least request's worth.
-
-    Calls about an engine's state may be made twice, so they can use kept
-    connections: of 8,570 a day on six instances 2,446 are left.
+    Calls about an engine's state are idempotent, so they can use keep-alive
+    connections.
     """
     connector = (
         aiohttp.TCPConnector(limit=0, keepalive_timeout=_KEPT_S)
--- a/tests/engines/test_http_chunks.py
+++ b/tests/engines/test_http_chunks.py
@@ -1,4 +1,4 @@
-"""Chunks of an answer are the same however the bytes were cut."""
+"""Response chunks do not depend on how the bytes were split."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 50, 10_000])
-async def test_an_answer_comes_whole_in_parts_of_any_size(size):
+async def test_response_is_complete_for_any_part_size(size):
     data = b"".join(LINES)
     parts = [data[at : at + size] for at in range(0, len(data), size)]
     chunks = await _read(parts)
@@ -44,17 +44,17 @@
         next_index += len(chunk.tokens)
 
 
-async def test_lines_that_came_together_are_one_chunk():
+async def test_lines_received_together_form_one_chunk():
     chunks = await _read([b"".join(LINES)])
     assert chunks == [client.TokenChunk(0, ("a", "b", "c", "é"), True)]
 
 
-async def test_a_gap_or_a_repeat_is_never_joined_over():
+async def test_gaps_and_repeats_start_a_new_chunk():
     gap = await _read([_line(0, "a") + _line(2, "c")])
     assert [chunk.first_index for chunk in gap] == [0, 2]
     repeat = await _read([_line(0, "a") + _line(0, "a")])
     assert [chunk.first_index for chunk in repeat] == [0, 0]
 
 
-async def test_a_last_line_that_was_cut_off_is_no_chunk():
+async def test_truncated_last_line_is_ignored():
     assert await _read([_line(0, "a")[:-3]]) == []
--- a/tests/engines/test_http_silence.py
+++ b/tests/engines/test_http_silence.py
@@ -1,4 +1,4 @@
-"""An engine that falls silent in the middle of an answer is given up on."""
+"""An engine that stops sending within a response counts as lost."""
 
 from __future__ import annotations
 
@@ -15,11 +15,10 @@
 JOB = client.DecodeJob("judge", "hi", 5)
 
 
-async def test_silence_is_a_lost_answer(monkeypatch):
-    """The engine sends one token and then holds the connection open.
+async def test_silent_engine_raises_lost(monkeypatch):
+    """The engine sends one token and then keeps the connection open.
 
-    The caller of the client gets the token and then a lost answer, so that
-    the request goes on elsewhere instead of waiting for its deadline.
+    The caller must get an error instead of waiting for the request's deadline.
     """
     monkeypatch.setattr(http, "_SILENCE_CHECK_MS", 30.0)
     is_over = asyncio.Event()
--- a/tests/engines/test_liveness.py
+++ b/tests/engines/test_liveness.py
@@ -1,4 +1,4 @@
-"""An engine that crashed is told from one whose connection merely broke."""
+"""A crashed engine is distinguished from a broken connection."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 HOST = "127.0.0.1"
 
 
-async def test_nobody_listens_where_a_process_is_gone():
+async def test_closed_port_is_refused():
     with socket.socket() as bound:
         bound.bind((HOST, 0))
         port = bound.getsockname()[1]
     assert await liveness.is_refused(f"{HOST}:{port}", clocks.Clock())
 
 
-async def test_an_engine_that_closes_connections_has_not_crashed():
+async def test_closed_connection_is_not_refused():
     server = await asyncio.start_server(lambda r, w: w.close(), HOST, 0)
     async with server:
         port = server.sockets[0].getsockname()[1]
         assert not await liveness.is_refused(f"{HOST}:{port}", clocks.Clock())
 
 
-async def test_silence_tells_nothing():
-    """Behind a cut each engine would else count as crashed."""
+async def test_timeout_is_not_refused():
+    """During a network partition each engine would else count as crashed."""
 
     async def silent(host, port):
         await asyncio.sleep(1e9)
