--- a/src/jujubewharf/orders/__init__.py
+++ b/src/jujubewharf/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to engines: leases on the log, and what is ordered under them."""
+"""Orders to engines, and the leases under which they are sent."""
--- a/src/jujubewharf/orders/counters.py
+++ b/src/jujubewharf/orders/counters.py
@@ -1,4 +1,4 @@
-"""Counters of orders given, failed and put off, by reason."""
+"""Counters of orders sent, failed and deferred."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def order_given(kind: client.OrderKind) -> None:
-    """Counts an order that an engine took."""
+    """Counts an order that an engine accepted."""
     _GIVEN.add(1, {"kind": kind.value})
 
 
@@ -30,5 +30,5 @@
 
 
 def put_off(reason: rolling.Block) -> None:
-    """Counts a turn that was put off."""
+    """Counts a deferred reconciliation of an engine."""
     _PUT_OFF.add(1, {"reason": reason.value})
--- a/src/jujubewharf/orders/leases.py
+++ b/src/jujubewharf/orders/leases.py
@@ -22,16 +22,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Terms:
-    """How long leases run and how carefully both sides count.
+    """Duration and safety margins of leases.
 
     Attributes:
-        lease_ms: A lease runs this long from its record.
-        holder_margin_ms: The holder stops this much before the end. An order
-            that was sent just before has this long, and the others' margin
-            too, to reach its engine.
-        others_margin_ms: Others wait this much past the end.
-        read_pause_ms: Pause between two reads of the stream, so that a busy
-            stream costs an idle reader few requests.
+        lease_ms: Duration of a lease from its record.
+        holder_margin_ms: The holder stops this long before the end. An order
+            that was just sent must reach its engine within this margin plus
+            ``others_margin_ms``.
+        others_margin_ms: Other instances wait this long after the end.
+        read_pause_ms: Pause between two reads of the stream; limits the
+            requests of an idle reader while the stream is busy.
     """
 
     lease_ms: float = 20_000.0
@@ -41,13 +41,13 @@
 
 
 class Lease:
-    """The right to order one engine, as its holder sees it.
+    """The right to order one engine, as seen by its holder.
 
     Attributes:
         engine: Name of the engine.
         fence: Fencing number: offset of the claim.
-        purpose: Why the engine is ordered.
-        valid_until_ms: Clock reading at which the holder stops.
+        purpose: Purpose of the orders.
+        valid_until_ms: Clock reading at which the holder must stop.
     """
 
     def __init__(
@@ -72,9 +72,9 @@
     Args:
         instance: Name of this instance.
         platform_log: The platform's log.
-        clock: Time.
-        terms: How long leases run.
-        wait_ms: How long one read waits for news.
+        clock: Time source.
+        terms: Duration and margins of leases.
+        wait_ms: Maximum time that one read waits for new records.
 
     Attributes:
         ledger: The leases as read from the log.
@@ -108,10 +108,11 @@
     async def claim(
         self, engine: str, purpose: records.Purpose
     ) -> Lease | None:
-        """Takes an engine's lease, if nobody can be holding it.
+        """Claims an engine's lease if no other instance can hold it.
 
         Returns:
-            ``None`` when it is or may be held, or the log can't be reached.
+            ``None`` if the lease is or may be held, or if the log cannot be
+            reached.
         """
         sent_ms = self._clock.now_ms()
         if not self.ledger.is_free(engine, sent_ms):
@@ -124,10 +125,10 @@
         return Lease(engine, decided.offset, purpose, valid_until_ms)
 
     async def renew(self, lease: Lease) -> bool:
-        """Prolongs a lease that still runs.
+        """Extends a lease that is still valid.
 
         Returns:
-            Whether it was prolonged; otherwise it ends when it would have.
+            Whether it was extended; otherwise it ends as before.
         """
         sent_ms = self._clock.now_ms()
         if not self.may_order(lease) or not self._is_current(lease):
@@ -142,9 +143,9 @@
         return True
 
     async def release(self, lease: Lease) -> None:
-        """Gives a lease up, so that others need not wait for its end.
+        """Releases a lease before its end, so that others need not wait.
 
-        Only for a holder none of whose orders can still be on its way.
+        Must not be called while an order of this lease may still be in flight.
         """
         lease.valid_until_ms = float("-inf")
         if not self._is_current(lease):
@@ -160,7 +161,7 @@
         return is_in_time and self._is_current(lease)
 
     def renew_at_ms(self, lease: Lease) -> float:
-        """Clock reading at which a lease should be prolonged."""
+        """Clock reading at which a lease should be renewed."""
         return lease.valid_until_ms - self.terms.lease_ms / 3
 
     def _is_current(self, lease: Lease) -> bool:
@@ -189,12 +190,12 @@
         )
 
     async def _append(self, record: records.LeaseRecord) -> _Decided | None:
-        """Appends and waits until the record was read back.
+        """Appends a record and waits until it is read back.
 
-        An append without an answer may have taken effect. It is never sent
-        again: either it is read from the log in time, or it counts as lost.
-        If it turns up later it blocks the engine until it runs out, and
-        nobody orders under it.
+        An append without a response may have taken effect. It is not retried:
+        the record is either read from the log in time or treated as lost. If a
+        lost claim appears later, it blocks the engine until it expires, but
+        nobody sends orders under it.
         """
         future = asyncio.get_running_loop().create_future()
         self._waiting[record.record_id] = future
@@ -242,9 +243,10 @@
         try:
             record = records.decode(stored.payload)
         except records.UnknownRecordError as error:
-            # It may be a lease by a newer version on any engine. Acting on
-            # would let two hold one engine; so this instance drops what it
-            # holds and takes nothing until that lease must have run out.
+            # The record may be a lease on any engine, written by a newer
+            # version. Ignoring it could give an engine two holders, so this
+            # instance gives up its own leases and claims none until that lease
+            # must have expired.
             self._logger.warning("orders_record_unknown", detail=str(error))
             self.ledger.restart(stored.offset + 1, now_ms)
             return
@@ -254,7 +256,7 @@
             future.set_result(_Decided(stored.offset, verdict))
 
     async def _pause(self) -> None:
-        """Waits a little, unless a record of this instance is under way."""
+        """Pauses between reads, unless an own record is in flight."""
         if self._waiting:
             return
         self._wanted.clear()
@@ -265,7 +267,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Decided:
-    """Where a record stands and what became of it."""
+    """Offset of a record and the verdict on it."""
 
     offset: int
     verdict: ledger.Verdict
--- a/src/jujubewharf/orders/ledger.py
+++ b/src/jujubewharf/orders/ledger.py
@@ -1,14 +1,14 @@
-"""What the lease records mean to one reader, judged by its own clock.
+"""Interprets lease records by the clock of one reader.
 
-The log's records carry no time, and no two clocks agree. So nobody compares
-clocks: a holder counts its lease from before it sent the record and stops
-early; every other instance counts from when it read the record and waits
-longer. Only the *rates* of clocks have to agree, within the margins.
+Log records carry no time, and clocks of instances are not compared. A holder
+counts its lease from before it sent the record and stops early. Every other
+instance counts from when it read the record and waits longer. Only the *rates*
+of the clocks must agree, within the margins.
 
-Each record is a compare-and-set on its engine: it counts only if no other
-record about the engine lies between the last one its writer had read and
-itself. A writer knows that every earlier lease has run out by its own clock
-or was released, so a claim that counts never overlaps an older lease.
+Each record is a compare-and-set on its engine: it is accepted only if no other
+record of the engine lies between the last one that its writer had read and
+itself. The writer knows by its own clock that every earlier lease has expired
+or was released, so an accepted claim never overlaps an older lease.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 
 class Verdict(enum.Enum):
-    """What became of a record.
+    """Result of applying a record.
 
-    ``UNDECIDED`` means that this reader began too late on the log to tell.
+    ``UNDECIDED`` means that this reader lacks the earlier records to decide.
     """
 
     ACCEPTED = "accepted"
@@ -34,14 +34,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """One engine's lease, as this reader sees it.
+    """The lease of one engine, as seen by this reader.
 
     Attributes:
-        last_offset: Offset of the last record about the engine.
-        holder: Instance that holds the lease or may.
-        fence: Offset of that lease's claim.
-        purpose: Why the engine is ordered.
-        busy_until_ms: Clock reading at which no holder is left, at latest.
+        last_offset: Offset of the last record of the engine.
+        holder: Instance that holds or may hold the lease.
+        fence: Offset of the lease's claim.
+        purpose: Purpose of the orders.
+        busy_until_ms: Clock reading after which the lease has certainly ended.
     """
 
     last_offset: int
@@ -52,14 +52,14 @@
 
 
 class Ledger:
-    """Folds lease records.
+    """State of all leases, built from the lease records.
 
     Args:
-        margin_ms: How much longer than the lease a reader waits.
-        max_lease_ms: Longest lease that any instance takes.
+        margin_ms: Time that a reader waits after the end of a lease.
+        max_lease_ms: Maximum duration of any instance's lease.
 
     Attributes:
-        next_offset: Offset of the next record to fold.
+        next_offset: Offset of the next record to apply.
     """
 
     def __init__(self, *, margin_ms: float, max_lease_ms: float) -> None:
@@ -71,10 +71,10 @@
         self._entries: dict[str, Entry] = {}
 
     def restart(self, offset: int, now_ms: float) -> None:
-        """Begins to read at an offset, without what lies before it.
+        """Starts reading at an offset, without the records before it.
 
-        Leases may be running that were written before the offset; until they
-        have all run out, every engine counts as held.
+        Leases written before the offset may still be valid. Until they must
+        have expired, every engine counts as held.
         """
         self.next_offset = offset
         self._start_offset = offset
@@ -84,7 +84,7 @@
     def apply(
         self, offset: int, record: records.LeaseRecord, now_ms: float
     ) -> Verdict:
-        """Folds one record, read just now."""
+        """Applies a record that was read at ``now_ms``."""
         entry = self._entries.get(record.engine)
         verdict = self._judge(entry, record)
         if entry is None:
@@ -98,20 +98,20 @@
         return verdict
 
     def after(self, engine: str) -> int:
-        """What a new record about the engine must carry as ``after``."""
+        """Returns the ``after`` value for a new record of the engine."""
         entry = self._entries.get(engine)
         before_start = self._start_offset - 1
         return before_start if entry is None else entry.last_offset
 
     def is_free(self, engine: str, now_ms: float) -> bool:
-        """Whether no lease of the engine can be running."""
+        """Whether no lease of the engine can be valid."""
         if now_ms < self._blind_until_ms:
             return False
         entry = self._entries.get(engine)
         return entry is None or entry.busy_until_ms <= now_ms
 
     def held(self, now_ms: float) -> dict[str, Entry]:
-        """Engines whose lease runs or may run, by name."""
+        """Returns the engines whose lease is or may be valid, by name."""
         return {
             name: entry
             for name, entry in sorted(self._entries.items())
@@ -119,7 +119,7 @@
         }
 
     def entry(self, engine: str) -> Entry | None:
-        """What is known of one engine's lease."""
+        """Returns the known lease of an engine."""
         return self._entries.get(engine)
 
     def _judge(
@@ -153,10 +153,10 @@
         entry.purpose = record.purpose
 
     def _forget_old(self, now_ms: float) -> None:
-        """Keeps the number of entries bounded.
+        """Limits the number of entries by removing ended leases.
 
-        Forgetting moves the start: this reader then no longer judges records
-        that name an ``after`` below it, and takes them for leases.
+        This moves the start offset. Records whose ``after`` lies below it can
+        no longer be decided and are treated as valid leases.
         """
         if len(self._entries) <= _MAX_ENTRIES:
             return
--- a/src/jujubewharf/orders/ownership.py
+++ b/src/jujubewharf/orders/ownership.py
@@ -1,4 +1,4 @@
-"""Which instance answers for an engine."""
+"""Assigns each engine to the instance that reconciles it."""
 
 from __future__ import annotations
 
@@ -8,20 +8,19 @@
 
 
 class Ownership:
-    """Rendezvous choice among the instances of the engine's own domain.
+    """Rendezvous hashing among the instances of the engine's failure domain.
 
-    It only keeps instances from racing each other for leases; what is safe
-    is decided by the log.
+    This only avoids contention for leases; safety is ensured by the log.
 
     Args:
-        membership: Who is here.
+        membership: Membership of the instances.
     """
 
     def __init__(self, membership: view.MembershipView) -> None:
         self._membership = membership
 
     def owns(self, endpoint: resources.Endpoint) -> bool:
-        """Whether this instance answers for an engine now."""
+        """Whether this instance currently reconciles an engine."""
         present = self._membership.present()
         near = [m.instance for m in present if m.domain == endpoint.domain]
         names = near or [member.instance for member in present]
--- a/src/jujubewharf/orders/plan.py
+++ b/src/jujubewharf/orders/plan.py
@@ -1,9 +1,8 @@
-"""The next order that brings an engine from what it is to what is declared.
+"""Determines the next order that brings an engine to its declared state.
 
-Orders are declarative and are worked out again from the engine's own report
-before each one, never queued. So an order that was lost is given again, one
-that was doubled does nothing, and a stale one that lands late shows in the
-next report and is put right.
+Orders are declarative. Each is computed from the engine's latest report and
+never queued. A lost order is therefore sent again, a duplicate has no effect,
+and a stale one that arrives late shows in the next report and is corrected.
 """
 
 from __future__ import annotations
@@ -22,12 +21,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """One order that is due.
+    """An order that is due.
 
     Attributes:
-        kind: What to do.
-        value: Model, adapter or role wanted.
-        version: Model version wanted.
+        kind: What to change.
+        value: Declared model, adapter or role.
+        version: Declared model version.
     """
 
     kind: client.OrderKind
@@ -36,7 +35,7 @@
 
     @property
     def purpose(self) -> records.Purpose:
-        """What a lease for this step is for."""
+        """Purpose of the lease that this step needs."""
         match self.kind:
             case client.OrderKind.LOAD_MODEL:
                 return records.Purpose.LOAD
@@ -46,14 +45,14 @@
                 return records.Purpose.ADAPTER
 
     def order(self, fence: int) -> client.Order:
-        """The step as an order under a fencing number."""
+        """Returns the step as an order with a fencing number."""
         return client.Order(self.kind, fence, self.value, self.version)
 
 
 def next_step(
     endpoint: resources.Endpoint, report: client.LoadReport
 ) -> Step | None:
-    """The first order due, or ``None`` when the engine is as declared."""
+    """Returns the next order, or ``None`` if the engine is as declared."""
     if _is_other_model(endpoint, report):
         kind = client.OrderKind.LOAD_MODEL
         return Step(kind, endpoint.model, endpoint.model_version)
@@ -68,7 +67,7 @@
 
 
 def fits(service: resources.Service, report: client.LoadReport) -> bool:
-    """Whether an engine as reported can serve its service."""
+    """Whether an engine can serve its service, by its report."""
     if report.is_leaving:
         return False
     if service.model and report.model != service.model:
@@ -78,7 +77,7 @@
 
 
 def phases(report: client.LoadReport) -> frozenset[resources.Role]:
-    """The phases that an engine does now."""
+    """Returns the phases that an engine currently runs."""
     if report.role in _SINGLE_PHASES:
         return frozenset({resources.Role(report.role)})
     return frozenset({resources.Role.PREFILL, resources.Role.DECODE})
--- a/src/jujubewharf/orders/reconciler.py
+++ b/src/jujubewharf/orders/reconciler.py
@@ -1,4 +1,4 @@
-"""Watches the engines this instance answers for and takes their turns."""
+"""Reconciles the engines assigned to this instance."""
 
 from __future__ import annotations
 
@@ -24,15 +24,16 @@
 
 
 class Reconciler(mode.Service):
-    """Compares engines with what is declared and orders the difference.
+    """Compares engines with their declared state and orders the difference.
 
-    Comparing by level, again and again, also finds a stale order that a
-    paused holder sent late to an engine that ignores fencing numbers.
+    Each comparison uses the current state instead of changes, so it also
+    detects a stale order that a paused holder sent late to an engine without
+    fencing.
 
     Args:
-        around: What turns need.
-        owns: Whether this instance answers for an engine now. Two instances
-            that both think so cost a lost claim, never two holders.
+        around: Dependencies of reconciliations.
+        owns: Whether this instance reconciles an engine now. If two instances
+            both assume so, one loses the claim; there are never two holders.
     """
 
     def __init__(self, around: turns.Surroundings, owns: Owns) -> None:
@@ -46,11 +47,11 @@
         self._logger = structlog.get_logger()
 
     def retire(self) -> None:
-        """Takes no further turns; those under way go on."""
+        """Starts no further reconciliations; running ones continue."""
         self._is_retired = True
 
     def is_taken_out(self, engine: str) -> bool:
-        """Whether a lease keeps new work from an engine; any holder's."""
+        """Whether any instance's lease keeps new work from an engine."""
         ledger = self._around.leases.ledger
         entry = ledger.entry(engine)
         if entry is None or entry.busy_until_ms <= self._clock.now_ms():
--- a/src/jujubewharf/orders/records.py
+++ b/src/jujubewharf/orders/records.py
@@ -1,8 +1,8 @@
-"""Lease records as they stand on the log's ``orders`` stream.
+"""Lease records of the log's ``orders`` stream.
 
-A record is a msgpack array, without field names, since every instance reads
-each one and has 3 KB a second for all its control traffic. Newer versions may
-add items at the end; older ones leave them aside.
+A record is a msgpack array without field names, to save bandwidth: every
+instance reads all records, and its control traffic is limited to 3 KB/s. Newer
+versions may append items; older versions ignore them.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Verb(enum.Enum):
-    """What a record does to an engine's lease."""
+    """Effect of a record on an engine's lease."""
 
     CLAIM = "c"
     RENEW = "n"
@@ -24,10 +24,10 @@
 
 
 class Purpose(enum.Enum):
-    """Why an engine is ordered.
+    """Purpose of a lease.
 
     ``LOAD`` takes the engine out of service and loads from the weight store,
-    ``ROLE`` only takes it out, ``ADAPTER`` leaves it in service.
+    ``ROLE`` only takes it out of service, ``ADAPTER`` leaves it in service.
     """
 
     LOAD = "l"
@@ -37,18 +37,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseRecord:
-    """One record about one engine's lease; a compare-and-set.
+    """A record of one engine's lease; applied as a compare-and-set.
 
     Attributes:
         verb: Claim, renew or release.
         engine: Name of the engine.
-        holder: Instance that wrote it.
-        record_id: Names the record; it resolves an append without answer.
-        after: Offset of the last record about this engine that the writer
-            had read. The record counts only if none lies in between.
+        holder: Instance that wrote the record.
+        record_id: Identifies the record, to find out whether an append without
+            a response took effect.
+        after: Offset of the last record of this engine that the writer had
+            read. The record is accepted only if there is no other in between.
         fence: Offset of the claim that is renewed or released.
-        lease_ms: How long the lease runs from now.
-        purpose: Why the engine is ordered.
+        lease_ms: Duration of the lease.
+        purpose: Purpose of the lease.
     """
 
     verb: Verb
@@ -62,11 +63,11 @@
 
 
 class UnknownRecordError(Exception):
-    """The record is from a newer version or no lease record."""
+    """The record is from a newer version or is not a lease record."""
 
 
 def encode(record: LeaseRecord) -> bytes:
-    """A record as bytes for the log."""
+    """Encodes a record for the log."""
     return msgpack.packb(
         (
             record.verb.value,
@@ -82,10 +83,10 @@
 
 
 def decode(payload: bytes) -> LeaseRecord:
-    """A record from the log's bytes.
+    """Decodes a record of the log.
 
     Raises:
-        UnknownRecordError: The bytes are none that this version knows.
+        UnknownRecordError: This version cannot decode the record.
     """
     try:
         verb, engine, holder, record_id, after, fence, lease_ms, purpose = (
--- a/src/jujubewharf/orders/rolling.py
+++ b/src/jujubewharf/orders/rolling.py
@@ -1,4 +1,4 @@
-"""Whether an engine may be taken out of service to be ordered now."""
+"""Limits how many engines are out of service for orders at a time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Block(enum.Enum):
-    """Why an order has to wait; the value is the counter's reason."""
+    """Reason to defer an order; the value is the reason in the counter."""
 
     LAST_FITTING = "last_fitting_engine"
     MANY_OUT = "many_engines_out"
@@ -39,14 +39,13 @@
 def taken_out(
     held: Mapping[str, ledger.Entry], *, before: int | None = None
 ) -> frozenset[str]:
-    """Engines that leases take out of service.
+    """Returns the engines that leases take out of service.
 
     Args:
-        held: Leases that run or may run.
-        before: Counts only leases with a lower fence. Two holders who claim
-            at the same time each see the other's claim only afterwards; the
-            log's order decides whose counts, so that one goes on and the
-            other gives way.
+        held: Leases that are or may be valid.
+        before: Counts only leases with a lower fence. Of two holders that claim
+            at the same time, each sees the other's claim only afterwards. The
+            one that is first in the log continues, and the other defers.
     """
     return frozenset(
         name
@@ -61,16 +60,16 @@
     engine: resources.Endpoint,
     report: client.LoadReport,
 ) -> bool:
-    """Whether an engine can be given its service's requests now.
+    """Whether an engine can currently serve requests of its service.
 
-    One that can't, since it is drained, leaving or has a model that its
-    service does not ask for, may be ordered at any time.
+    An engine that cannot, because it is drained, leaving or has another model
+    than its service requires, may be ordered at any time.
     """
     return not engine.drained and plan.fits(service, report)
 
 
 def many_out(pool: Iterable[resources.Endpoint], out: frozenset[str]) -> bool:
-    """Whether as many of a service's engines are out as may be."""
+    """Whether the maximum number of a service's engines is out of service."""
     names = {endpoint.name for endpoint in pool}
     limit = max(1, int(len(names) * _MAX_OUT_RATIO))
     return len(names & out) >= limit
@@ -83,17 +82,17 @@
     others: Iterable[resources.Endpoint],
     probe: Probe,
 ) -> bool:
-    """Whether no other engine does a phase that this one does.
+    """Whether no other engine runs a phase that this engine runs.
 
-    Others are asked one by one, each engine's in an order of its own, and
-    only until all phases are covered: a service may have thousands.
+    A service may have thousands of engines. The others are therefore probed one
+    by one, in an order that differs per engine, until all phases are covered.
 
     Args:
         service: The engine's service.
         engine: The engine.
-        report: Its report.
-        others: Engines of the service that no lease takes out.
-        probe: Asks an engine for its report; ``None`` when it can't be had.
+        report: Load report of the engine.
+        others: Engines of the service that no lease takes out of service.
+        probe: Requests an engine's load report; returns ``None`` on failure.
     """
     missing = set(plan.phases(report))
     by_name = {e.name: e for e in others if e.name != engine.name}
@@ -109,7 +108,10 @@
 
 
 def max_loads(rate_bytes_per_s: float, weight_bytes: int) -> int:
-    """Loads that share the weight store so that each ends within a minute."""
+    """Returns how many loads may share the weight store.
+
+    With this number of parallel loads each still completes within a minute.
+    """
     alone_ms = weight_bytes / rate_bytes_per_s * clocks.MS_PER_S
     if alone_ms <= 0:
         return 1
--- a/src/jujubewharf/orders/turn.py
+++ b/src/jujubewharf/orders/turn.py
@@ -1,4 +1,4 @@
-"""One engine's turn: claim its lease, empty it, order it, read it back."""
+"""Reconciles one engine: claims its lease, drains, orders and verifies it."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Surroundings:
-    """What a turn needs.
+    """Dependencies of a reconciliation.
 
     Attributes:
         leases: Leases on the log.
         fleet: Clients of the engines.
-        configuration: What is declared.
-        weight_store: Where engines fetch weights.
-        clock: Time.
-        drain_ms: Longest wait until an engine holds no request.
-        turn_ms: Longest turn.
+        configuration: Declared resources.
+        weight_store: Store from which engines load weights.
+        clock: Time source.
+        drain_ms: Maximum wait until an engine holds no request.
+        turn_ms: Maximum duration of a reconciliation.
     """
 
     leases: leasing.Leases
@@ -49,12 +49,12 @@
 
 
 class Turn:
-    """Brings one engine to what is declared, under a lease.
+    """Brings one engine to its declared state, under a lease.
 
     Args:
         engine: Name of the engine.
-        purpose: What the lease is for.
-        around: What it needs.
+        purpose: Purpose of the lease.
+        around: Dependencies.
     """
 
     def __init__(
@@ -69,10 +69,10 @@
         self._logger = structlog.get_logger().bind(engine=engine)
 
     async def run(self) -> rolling.Block | None:
-        """Takes the turn.
+        """Runs the reconciliation.
 
         Returns:
-            Why the engine is not yet as declared, or ``None`` when it is.
+            Why the engine is not yet as declared, or ``None`` if it is.
         """
         block = await self._blocked(before=None)
         if block is not None:
@@ -88,8 +88,8 @@
             return rolling.Block.LEASE_ENDED
         finally:
             renewal.cancel()
-            # An order that may still be on its way would land after another
-            # holder's; so such a lease is left to run out instead.
+            # An order still in flight could arrive after one of the next
+            # holder, so in that case the lease is left to expire.
             if not self._is_order_out:
                 await self._leases.release(lease)
 
@@ -166,12 +166,12 @@
         return rolling.Block.STORE_BUSY if is_full else None
 
     async def _drain(self, lease: leasing.Lease) -> rolling.Block | None:
-        """Waits until the engine has been without requests for a while.
+        """Waits until the engine has held no requests for a while.
 
-        The claim on the log has taken it out of service; instances hear of
-        it within a read of the stream, so work may still come for a moment.
-        A request that does not end in time keeps the engine as it is: it is
-        never cut, the order is given another time.
+        The claim on the log has taken the engine out of service, but instances
+        learn of it only with their next read of the stream, so requests may
+        still arrive. If a request does not end in time, it is not aborted; the
+        order is deferred.
         """
         until_ms = self._clock.now_ms() + self._around.drain_ms
         quiet_since_ms = self._clock.now_ms()
@@ -197,7 +197,7 @@
             return True
 
     async def _order(self, lease: leasing.Lease) -> rolling.Block | None:
-        """Gives orders until the engine's own report is as declared."""
+        """Sends orders until the engine reports the declared state."""
         last: plan.Step | None = None
         sent_ms = float("-inf")
         while self._leases.may_order(lease):
--- a/tests/orders/test_lease_model.py
+++ b/tests/orders/test_lease_model.py
@@ -1,12 +1,9 @@
-"""Nobody orders an engine while another may, whatever is delayed or lost.
-
-A caller would see answers from a model that nobody declared: two holders
-order an engine that ignores fencing numbers, and the later order wins whoever
-is right. Instances here read the log late, lose answers of their appends,
-restart, forget old entries, are cut off, and pause for long between being
-allowed to order and asking again. Their clocks differ in rate by 5 %. An
-order takes up to ``FLIGHT_MS`` to land. The rules that keep orders apart are
-the compare-and-set of every record and the two margins of time.
+"""No two instances may order an engine at the same time.
+
+Otherwise an engine without fencing could end up with an undeclared model. The
+simulated instances read the log late, lose append responses, restart, drop old
+entries, are partitioned, and pause between the check and the order. Their clock
+rates differ, and an order is in flight for up to ``FLIGHT_MS``.
 """
 
 from __future__ import annotations
@@ -31,9 +28,9 @@
 
 @dataclasses.dataclass
 class Reader:
-    """One instance: its clock's rate, its ledger and the lease it believes.
+    """One instance: its clock rate, its ledger and the lease it assumes.
 
-    ``sent`` keeps when each own record was sent, by its id.
+    ``sent`` maps the id of each own record to the clock reading of its sending.
     """
 
     name: str
@@ -200,10 +197,10 @@
 )
 
 
-def test_two_never_order_an_engine_at_once():
+def test_only_one_instance_may_order_an_engine():
     stateful.run_state_machine_as_test(Leases, settings=BOUNDS)
 
 
-def test_the_check_finds_two_holders_without_margins():
+def test_missing_margins_are_detected():
     with pytest.raises(AssertionError):
         stateful.run_state_machine_as_test(NoMargin, settings=BOUNDS)
