--- a/src/jujubewharf/forwarding/beliefs.py
+++ b/src/jujubewharf/forwarding/beliefs.py
@@ -14,10 +14,10 @@
 from jujubewharf.forwarding import routes
 
 _METER = metrics.get_meter("jujubewharf")
-_ORDERS = _METER.create_counter(
+_ROLE_ORDERS = _METER.create_counter(
     "forwarding.orders", description="Orders to engines, by outcome."
 )
-_SAID = _METER.create_counter(
+_NOTICES = _METER.create_counter(
     "forwarding.endpoint_notices",
     description="Changes of what endpoints want, by kind and who told.",
 )
@@ -58,7 +58,7 @@
     registry_age_ms: float,
 ) -> None:
     """Logs an order to an engine to change its role."""
-    _ORDERS.add(1, {"outcome": outcome})
+    _ROLE_ORDERS.add(1, {"outcome": outcome})
     _logger.info(
         "role_ordered",
         engine=engine,
@@ -118,7 +118,7 @@
         kind = "leaving"
     elif backoff_ms > 0.0:
         kind = "backoff"
-    _SAID.add(1, {"kind": kind, "told_by": told_by})
+    _NOTICES.add(1, {"kind": kind, "told_by": told_by})
     _logger.info(
         "endpoint_said",
         endpoint=endpoint,
--- a/src/jujubewharf/forwarding/come_back.py
+++ b/src/jujubewharf/forwarding/come_back.py
@@ -11,7 +11,7 @@
 OF_PATIENCE = 0.33
 # Share of the maximum, at its end, over which requests are spread that find no
 # free slot before it.
-_SPREAD_PART = 0.5
+_SPREAD_SHARE = 0.5
 
 
 class ComeBackTimes:
@@ -28,7 +28,7 @@
     def __init__(self, clock: clocks.Clock, rng: random.Random) -> None:
         self._clock = clock
         self._rng = rng
-        self._promised_ms: dict[str, float] = {}
+        self._last_slot_ms: dict[str, float] = {}
 
     def next_ms(
         self,
@@ -47,10 +47,10 @@
             longest_ms: Largest retry-after that the caller can be given.
         """
         now_ms = self._clock.now_ms()
-        promised_ms = self._promised_ms.get(service, 0.0) + apart_ms
-        at_ms = max(now_ms + free_in_ms, promised_ms)
-        if at_ms > now_ms + longest_ms:
-            part = 1.0 - _SPREAD_PART * self._rng.random()
-            return longest_ms * part
-        self._promised_ms[service] = at_ms
-        return at_ms - now_ms
+        next_slot_ms = self._last_slot_ms.get(service, 0.0) + apart_ms
+        slot_ms = max(now_ms + free_in_ms, next_slot_ms)
+        if slot_ms > now_ms + longest_ms:
+            share = 1.0 - _SPREAD_SHARE * self._rng.random()
+            return longest_ms * share
+        self._last_slot_ms[service] = slot_ms
+        return slot_ms - now_ms
--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -8,25 +8,25 @@
 import statistics
 
 # Weight of one request in the moving averages.
-_WEIGHT = 0.05
+_MIN_WEIGHT = 0.05
 # Number of prefills from which an estimate is available. Prefill speed differs
 # between deployments, so a fixed default could cause engines to be reassigned
 # before the first requests.
-_ENOUGH = 6
+_MIN_PREFILLS = 6
 # The same for responses, whose durations vary far more.
-_ENOUGH_STAYS = 12
+_MIN_RESPONSES = 12
 # Number of completed responses from which short ones no longer dominate.
-_SETTLED_STAYS = 64
+_SETTLED_RESPONSES = 64
 # Number of latest prefills that are considered, and the quantile that counts,
 # from the fastest: slower ones were queued.
-_READINGS = 64
-_COUNTED_PART = 0.15
+_MAX_PREFILLS = 64
+_COUNTED_QUANTILE = 0.15
 # Prefills that take less than this share of the median hit the prefix cache.
-_CACHED_PART = 0.1
+_CACHE_HIT_SHARE = 0.1
 # The same for the time from reservation to first event. A high quantile, so
 # that most requests that are placed this early meet their target.
-_BEGINNINGS = 64
-_BEGUN_PART = 0.75
+_MAX_FIRST_EVENTS = 64
+_FIRST_EVENT_QUANTILE = 0.75
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     @property
     def is_enough(self) -> bool:
         """Whether the sample is large enough to be used on its own."""
-        return self.readings >= _ENOUGH and self.answers >= _ENOUGH_STAYS
+        return self.readings >= _MIN_PREFILLS and self.answers >= _MIN_RESPONSES
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -74,11 +74,11 @@
         """Averages reports weighted by their sample sizes."""
         all_reports = list(reports)
         return cls(
-            _weighted(
-                [(r.readings, r.prefill_ms) for r in all_reports], _ENOUGH
+            _weighted_mean(
+                [(r.readings, r.prefill_ms) for r in all_reports], _MIN_PREFILLS
             ),
-            _weighted(
-                [(r.answers, r.decode_ms) for r in all_reports], _ENOUGH_STAYS
+            _weighted_mean(
+                [(r.answers, r.decode_ms) for r in all_reports], _MIN_RESPONSES
             ),
         )
 
@@ -88,15 +88,17 @@
         return self.prefill_ms is not None and self.decode_ms is not None
 
 
-def _weighted(values: list[tuple[int, float]], enough: int) -> float | None:
-    total = sum(min(count, _READINGS) for count, _ in values)
-    if total < enough:
+def _weighted_mean(
+    values: list[tuple[int, float]], min_count: int
+) -> float | None:
+    total = sum(min(count, _MAX_PREFILLS) for count, _ in values)
+    if total < min_count:
         return None
-    return sum(min(n, _READINGS) * value for n, value in values) / total
+    return sum(min(n, _MAX_PREFILLS) * value for n, value in values) / total
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Reading:
+class _Prefill:
     """One prefill; see ``WorkCosts.prefilled``."""
 
     tokens: int
@@ -112,43 +114,43 @@
     or an election.
 
     Args:
-        work: Estimates of this instance, including requests of followers.
+        cost_estimates: Estimates of this instance; followers' requests count.
     """
 
-    def __init__(self, work: WorkCosts) -> None:
-        self._work = work
-        self._told: dict[str, CostReport] = {}
+    def __init__(self, cost_estimates: WorkCosts) -> None:
+        self._cost_estimates = cost_estimates
+        self._reports: dict[str, CostReport] = {}
 
     @property
     def instances(self) -> int:
         """Number of other instances that have sent a report."""
-        return len(self._told)
+        return len(self._reports)
 
     @property
     def fleet(self) -> FleetCosts:
         """Combined estimates of all instances."""
         return FleetCosts.from_reports(
-            (*self._told.values(), self._work.report())
+            (*self._reports.values(), self._cost_estimates.report())
         )
 
     def told(self, instance: str, report: CostReport) -> None:
         """Stores the report of another instance."""
-        self._told[instance] = report
+        self._reports[instance] = report
 
 
 class WorkCosts:
     """Estimates of engine time per request, from recent requests."""
 
     def __init__(self) -> None:
-        self._decode = _Average(_ENOUGH_STAYS)
-        self._projected = _Average(_ENOUGH_STAYS)
-        self._stay = _Average(_ENOUGH_STAYS)
-        self._begin_ms: collections.deque[float] = collections.deque(
-            maxlen=_BEGINNINGS
+        self._decode = _Average(_MIN_RESPONSES)
+        self._projected = _Average(_MIN_RESPONSES)
+        self._hold_time = _Average(_MIN_RESPONSES)
+        self._first_event_ms: collections.deque[float] = collections.deque(
+            maxlen=_MAX_FIRST_EVENTS
         )
-        self._prompt_tokens = _Average(_ENOUGH)
-        self._readings: collections.deque[_Reading] = collections.deque(
-            maxlen=_READINGS
+        self._prompt_tokens = _Average(_MIN_PREFILLS)
+        self._prefills: collections.deque[_Prefill] = collections.deque(
+            maxlen=_MAX_PREFILLS
         )
 
     @property
@@ -160,28 +162,28 @@
         completed, projected durations of running ones are used as well: short
         responses complete first and would make the estimate too low.
         """
-        return self._answers.value
+        return self._best_decode.value
 
     @property
-    def _answers(self) -> _Average:
+    def _best_decode(self) -> _Average:
         """The average of decode times that is most reliable at present."""
         has_projected = self._projected.count > self._decode.count
-        if self._decode.count < _SETTLED_STAYS and has_projected:
+        if self._decode.count < _SETTLED_RESPONSES and has_projected:
             return self._projected
         return self._decode
 
     @property
     def stay_ms(self) -> float | None:
         """Mean time that a response holds its memory, or ``None``."""
-        return self._stay.value
+        return self._hold_time.value
 
     @property
     def begin_ms(self) -> float | None:
         """Time from reservation to first event, or ``None``."""
-        if len(self._begin_ms) < _ENOUGH:
+        if len(self._first_event_ms) < _MIN_PREFILLS:
             return None
-        ordered = sorted(self._begin_ms)
-        return ordered[int(len(ordered) * _BEGUN_PART)]
+        ordered = sorted(self._first_event_ms)
+        return ordered[int(len(ordered) * _FIRST_EVENT_QUANTILE)]
 
     @property
     def prompt_tokens(self) -> float | None:
@@ -198,39 +200,43 @@
     @property
     def prefill_ms(self) -> float | None:
         """Time that a prompt keeps a prefill engine busy, or ``None``."""
-        if len(self._readings) < _ENOUGH:
+        if len(self._prefills) < _MIN_PREFILLS:
             return None
-        return self._reading_ms()
+        return self._estimated_prefill_ms()
 
     def report(self) -> CostReport:
         """Returns the current estimates for other instances."""
-        readings = len(self._readings)
-        answers = self._answers
+        prefills = len(self._prefills)
+        decode = self._best_decode
         return CostReport(
-            readings,
-            self._reading_ms() if readings else 0.0,
-            answers.count,
-            answers.mean,
+            prefills,
+            self._estimated_prefill_ms() if prefills else 0.0,
+            decode.count,
+            decode.mean,
         )
 
-    def _reading_ms(self) -> float:
-        sizes = [reading.tokens for reading in self._readings]
-        times_ms = [reading.took_ms for reading in self._readings]
+    def _estimated_prefill_ms(self) -> float:
+        sizes = [prefill.tokens for prefill in self._prefills]
+        times_ms = [prefill.took_ms for prefill in self._prefills]
         # A prefill has a fixed cost as well as a cost per token, so each one
         # is compared with the expected time for its size.
-        usual_ms = _line(sizes, times_ms)
-        parts = [
-            took_ms / usual
-            for took_ms, usual in zip(times_ms, usual_ms, strict=True)
+        expected_ms = _fitted_times_ms(sizes, times_ms)
+        ratios = [
+            took_ms / expected
+            for took_ms, expected in zip(times_ms, expected_ms, strict=True)
         ]
-        least = statistics.median_high(parts) * _CACHED_PART
-        read = sorted(part for part in parts if part >= least)
-        counted = read[int(len(read) * _COUNTED_PART)]
-        fastest_ms = statistics.fmean(usual_ms) * counted
+        min_ratio = statistics.median_high(ratios) * _CACHE_HIT_SHARE
+        uncached_ratios = sorted(
+            ratio for ratio in ratios if ratio >= min_ratio
+        )
+        counted_ratio = uncached_ratios[
+            int(len(uncached_ratios) * _COUNTED_QUANTILE)
+        ]
+        fastest_ms = statistics.fmean(expected_ms) * counted_ratio
         busy_ms = statistics.fmean(
-            reading.busy_ms
-            for reading, part in zip(self._readings, parts, strict=True)
-            if part >= least
+            prefill.busy_ms
+            for prefill, ratio in zip(self._prefills, ratios, strict=True)
+            if ratio >= min_ratio
         )
         return min(fastest_ms, busy_ms)
 
@@ -257,12 +263,12 @@
         if busy_ms is None:
             busy_ms = took_ms
         self._prompt_tokens.add(prompt_tokens)
-        self._readings.append(_Reading(prompt_tokens, took_ms, busy_ms))
+        self._prefills.append(_Prefill(prompt_tokens, took_ms, busy_ms))
 
     def decoded(self, took_ms: float, *, memory_part: float) -> None:
         """Records how long a response held its share of engine memory."""
         self._decode.add(took_ms * memory_part)
-        self._stay.add(took_ms)
+        self._hold_time.add(took_ms)
 
     def projected(self, will_take_ms: float, *, memory_part: float) -> None:
         """Records the projected duration of a running response."""
@@ -270,29 +276,29 @@
 
     def began(self, took_ms: float) -> None:
         """Records the time from reservation to first event."""
-        self._begin_ms.append(took_ms)
+        self._first_event_ms.append(took_ms)
 
 
 class _Average:
     """A moving average that is available from a given sample size."""
 
-    def __init__(self, enough: int) -> None:
-        self._enough = enough
+    def __init__(self, min_count: int) -> None:
+        self._min_count = min_count
         self.mean = 0.0
         self.count = 0
 
     @property
     def value(self) -> float | None:
-        return self.mean if self.count >= self._enough else None
+        return self.mean if self.count >= self._min_count else None
 
     def add(self, value: float) -> None:
         self.count += 1
         # The first values have equal weights, so that none dominates.
-        weight = max(_WEIGHT, 1.0 / self.count)
+        weight = max(_MIN_WEIGHT, 1.0 / self.count)
         self.mean += weight * (value - self.mean)
 
 
-def _line(sizes: list[int], times_ms: list[float]) -> list[float]:
+def _fitted_times_ms(sizes: list[int], times_ms: list[float]) -> list[float]:
     """Returns the expected time for each size by linear regression."""
     mean_ms = statistics.fmean(times_ms)
     if len(set(sizes)) == 1:
--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -36,12 +36,12 @@
 _FAULTS = _METER.create_counter(
     "forwarding.faults", description="Failed calls to engines, by fault."
 )
-_HEAD_MS = _METER.create_histogram(
+_FIRST_RESPONSE_MS = _METER.create_histogram(
     "forwarding.first_answer",
     unit="ms",
     description="Time from arrival to an answer's start, by service.",
 )
-_WHOLE_MS = _METER.create_histogram(
+_COMPLETION_MS = _METER.create_histogram(
     "forwarding.completion",
     unit="ms",
     description="Time from arrival to an answer's end, by service.",
@@ -61,12 +61,12 @@
 
 FINISHED = "finished"
 CANCELLED = "cancelled"
-_WELL_ENDED = frozenset({FINISHED, CANCELLED})
+_SUCCESSFUL = frozenset({FINISHED, CANCELLED})
 
 # Routine lines are logged at once for one request in this many.
 SAMPLE_ONE_IN = 16
 # Routine lines buffered per request; later ones are dropped.
-_MAX_TRAIL = 32
+_MAX_BUFFERED_LINES = 32
 
 
 def is_sampled(request_id: str) -> bool:
@@ -74,17 +74,17 @@
     return zlib.crc32(request_id.encode()) % SAMPLE_ONE_IN == 0
 
 
-def _routine(run: runs.Run, event: str, **fields: object) -> None:
+def _log_routine(run: runs.Run, event: str, **fields: object) -> None:
     request_id = run.call.request_id
     if is_sampled(request_id):
         _logger.info(event, request=request_id, **fields)
-    elif len(run.trail) < _MAX_TRAIL:
+    elif len(run.trail) < _MAX_BUFFERED_LINES:
         at_ms = asyncio.get_running_loop().time() * clocks.MS_PER_S
         since_ms = round(at_ms - run.call.arrived_ms)
         run.trail.append({"event": event, "since_ms": since_ms, **fields})
 
 
-def _write_trail(run: runs.Run) -> None:
+def _flush_trail(run: runs.Run) -> None:
     for line in run.trail:
         _logger.info(request=run.call.request_id, is_late=True, **line)
     run.trail.clear()
@@ -95,13 +95,15 @@
 ) -> None:
     """Logs a request that this system refused itself."""
     _REFUSALS.add(1, {"reason": error.kind.value})
-    after_ms = error.retry_after_ms
+    retry_after_ms = error.retry_after_ms
     _logger.info(
         "request_refused",
         request=request_id,
         reason=error.kind.value,
         ran=error.ran.value,
-        retry_after_ms=None if after_ms is None else round(after_ms),
+        retry_after_ms=None
+        if retry_after_ms is None
+        else round(retry_after_ms),
         route=route,
         held_ms=round(held_ms),
         detail=error.detail,
@@ -120,7 +122,7 @@
         left_ms: Timeout of the attempt, in milliseconds.
         age_ms: Age of the endpoint list that the choice was based on.
     """
-    _routine(
+    _log_routine(
         run,
         "request_sent",
         engine=engine,
@@ -183,7 +185,7 @@
 ) -> None:
     """Logs that a decode engine reserved memory for a request."""
     _WAIT_MS.record(waited_ms, {"service": run.service})
-    _routine(
+    _log_routine(
         run,
         "request_placed",
         engine=engine,
@@ -278,8 +280,8 @@
 
 def answer_begun(run: runs.Run, *, status: int, took_ms: float) -> None:
     """Logs the start of a response from an engine."""
-    _HEAD_MS.record(took_ms, {"service": run.service})
-    _routine(
+    _FIRST_RESPONSE_MS.record(took_ms, {"service": run.service})
+    _log_routine(
         run,
         "answer_begun",
         status=status,
@@ -295,11 +297,11 @@
 def ended(run: runs.Run, outcome: str, *, took_ms: float) -> None:
     """Logs the end of a request."""
     _ENDED.add(1, {"service": run.service, "outcome": outcome})
-    _WHOLE_MS.record(took_ms, {"service": run.service})
+    _COMPLETION_MS.record(took_ms, {"service": run.service})
     if run.event_ms is not None:
         _GAP_MS.record(run.longest_gap_ms, {"service": run.service})
-    if outcome not in _WELL_ENDED:
-        _write_trail(run)
+    if outcome not in _SUCCESSFUL:
+        _flush_trail(run)
         _logger.info(
             "request_failed",
             request=run.call.request_id,
@@ -311,7 +313,7 @@
             may_have_run=run.may_have_run,
         )
         return
-    _routine(
+    _log_routine(
         run,
         "request_ended",
         outcome=outcome,
--- a/src/jujubewharf/forwarding/gauges.py
+++ b/src/jujubewharf/forwarding/gauges.py
@@ -16,31 +16,35 @@
 def watch(entry: entries.ForwardingEntry) -> None:
     """Registers the gauges of one instance; call it once per process."""
 
-    def version(options: metrics.CallbackOptions) -> Iterable[_Seen]:
+    def version(options: metrics.CallbackOptions) -> Iterable[_Observation]:
         current = entry.source.current
-        yield _Seen(_UNKNOWN_VERSION if current is None else current.version)
+        yield _Observation(
+            _UNKNOWN_VERSION if current is None else current.version
+        )
 
-    def endpoints(options: metrics.CallbackOptions) -> Iterable[_Seen]:
+    def endpoints(options: metrics.CallbackOptions) -> Iterable[_Observation]:
         counts = collections.Counter(
             (e.service, e.role.value, "draining" if e.drained else "ready")
             for e in entry.registry.present()
         )
         for (service, role, state), count in counts.items():
             labels = {"service": service, "role": role, "state": state}
-            yield _Seen(count, labels)
+            yield _Observation(count, labels)
 
-    def registry_age(options: metrics.CallbackOptions) -> Iterable[_Seen]:
-        yield _Seen(entry.registry.age_ms)
+    def registry_age(
+        options: metrics.CallbackOptions,
+    ) -> Iterable[_Observation]:
+        yield _Observation(entry.registry.age_ms)
 
-    def share(options: metrics.CallbackOptions) -> Iterable[_Seen]:
-        yield _Seen(entry.share.fraction)
+    def share(options: metrics.CallbackOptions) -> Iterable[_Observation]:
+        yield _Observation(entry.share.fraction)
 
-    def retries(options: metrics.CallbackOptions) -> Iterable[_Seen]:
+    def retries(options: metrics.CallbackOptions) -> Iterable[_Observation]:
         for service, left in entry.retries_left().items():
-            yield _Seen(left, {"service": service})
+            yield _Observation(left, {"service": service})
 
-    def in_flight(options: metrics.CallbackOptions) -> Iterable[_Seen]:
-        yield _Seen(entry.admission.in_flight)
+    def in_flight(options: metrics.CallbackOptions) -> Iterable[_Observation]:
+        yield _Observation(entry.admission.in_flight)
 
     _METER.create_observable_gauge(
         "forwarding.configuration_version",
@@ -75,4 +79,4 @@
     )
 
 
-_Seen = metrics.Observation
+_Observation = metrics.Observation
--- a/src/jujubewharf/forwarding/lease.py
+++ b/src/jujubewharf/forwarding/lease.py
@@ -37,16 +37,16 @@
         self._group = group
         self._clock = clock
         self._share = groups.GroupShare(0, frozenset())
-        self._until_ms = 0.0
-        self._fenced = -1
+        self._expires_at_ms = 0.0
+        self._rejected_fence = -1
         self._has_left = False
-        self._first_since_ms: float | None = None
+        self._holds_first_since_ms: float | None = None
         self._logger = structlog.get_logger(group=name)
 
     @property
     def is_current(self) -> bool:
         """Whether the lease is still valid."""
-        return self._clock.awake_ms() < self._until_ms
+        return self._clock.awake_ms() < self._expires_at_ms
 
     @property
     def share(self) -> groups.GroupShare:
@@ -56,7 +56,7 @@
     @property
     def holds_first(self) -> bool:
         """Whether this member holds the first part under a valid lease."""
-        return self.is_current and self._first_since_ms is not None
+        return self.is_current and self._holds_first_since_ms is not None
 
     @property
     def fence(self) -> int | None:
@@ -65,12 +65,12 @@
         It may be used one time to live after the part was assigned, when
         calls of the previous holder can no longer be in flight.
         """
-        since_ms = self._first_since_ms
+        since_ms = self._holds_first_since_ms
         if not self.is_current or since_ms is None:
             return None
         if self._clock.now_ms() - since_ms < self._group.ttl_ms:
             return None
-        if self._share.generation <= self._fenced:
+        if self._share.generation <= self._rejected_fence:
             return None
         return self._share.generation
 
@@ -79,7 +79,7 @@
 
         The token is not used again; the member waits for a later generation.
         """
-        self._fenced = max(self._fenced, fence)
+        self._rejected_fence = max(self._rejected_fence, fence)
 
     async def renew(self) -> None:
         """Joins the group or renews the lease.
@@ -88,41 +88,41 @@
             LogUnavailableError: The store did not answer.
         """
         self._has_left = False
-        began_ms = self._clock.awake_ms()
+        started_ms = self._clock.awake_ms()
         share = await self._group.join(self._share.generation)
         if self._has_left:
             # The member left while the call was in flight.
             return
         if not self.is_current:
             # The lease had expired, so another member may have held the part.
-            self._first_since_ms = None
+            self._holds_first_since_ms = None
         # Measured from before the call: the group counts from its arrival.
-        self._until_ms = began_ms + self._group.ttl_ms
-        self._take(share)
+        self._expires_at_ms = started_ms + self._group.ttl_ms
+        self._apply(share)
 
-    def _take(self, share: groups.GroupShare) -> None:
+    def _apply(self, share: groups.GroupShare) -> None:
         if share.generation < self._share.generation:
             return
-        holds = FIRST_PART in share.parts
-        held = self._first_since_ms is not None
-        if holds and not held:
-            self._first_since_ms = self._clock.now_ms()
-        elif not holds:
-            self._first_since_ms = None
+        holds_first = FIRST_PART in share.parts
+        held_first = self._holds_first_since_ms is not None
+        if holds_first and not held_first:
+            self._holds_first_since_ms = self._clock.now_ms()
+        elif not holds_first:
+            self._holds_first_since_ms = None
         if share != self._share:
             self._logger.info(
                 "share_changed",
                 generation=share.generation,
                 parts=len(share.parts),
-                holds_first=holds,
+                holds_first=holds_first,
             )
         self._share = share
 
     async def leave(self) -> None:
         """Releases all parts, so that others don't wait for the expiry."""
         self._has_left = True
-        self._until_ms = 0.0
-        self._first_since_ms = None
+        self._expires_at_ms = 0.0
+        self._holds_first_since_ms = None
         try:
             await self._group.leave()
         except log.LogUnavailableError as error:
--- a/src/jujubewharf/forwarding/line.py
+++ b/src/jujubewharf/forwarding/line.py
@@ -28,7 +28,9 @@
 
     is_late: bool
     due_ms: float
-    _woken: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    _wake_event: asyncio.Event = dataclasses.field(
+        default_factory=asyncio.Event
+    )
 
     @property
     def rank(self) -> tuple[bool, float]:
@@ -37,12 +39,12 @@
 
     def wake(self) -> None:
         """Wakes the request so that it asks engines again."""
-        self._woken.set()
+        self._wake_event.set()
 
     async def woken(self) -> None:
         """Waits until the request is woken."""
-        await self._woken.wait()
-        self._woken.clear()
+        await self._wake_event.wait()
+        self._wake_event.clear()
 
 
 class Line:
@@ -71,6 +73,6 @@
 
     def wake_after(self, waiter: Waiter) -> None:
         """Wakes the request after this one, which has finished asking."""
-        place = self._waiters.index(waiter) + 1
-        if place < len(self._waiters):
-            self._waiters[place].wake()
+        position = self._waiters.index(waiter) + 1
+        if position < len(self._waiters):
+            self._waiters[position].wake()
--- a/src/jujubewharf/forwarding/margins.py
+++ b/src/jujubewharf/forwarding/margins.py
@@ -20,20 +20,20 @@
 import statistics
 
 # Number of latest responses that are considered.
-_ANSWERS = 64
+_SAMPLE_SIZE = 64
 # Number of completed responses below which callers' estimates are used. Short
 # responses complete first and would bias the statistics.
-_ENOUGH = 12
+_MIN_SAMPLE_SIZE = 12
 # Margins are recomputed after this many further responses.
-_EVERY = 8
+_RECOMPUTE_INTERVAL = 8
 # Standard deviations of the outgrown memory that the headroom covers. More
 # would leave memory unused while requests wait for it.
-_DEVIATIONS = 1.0
+_COVERED_DEVIATIONS = 1.0
 # Shares of the estimate to choose from. With smaller ones most responses would
 # exceed their reservation halfway through, where engines may preempt them.
-_PARTS = (0.75, 1.0, 1.25, 1.5)
+_SHARES = (0.75, 1.0, 1.25, 1.5)
 # Number of points in the responses' lifetime at which memory is compared.
-_STEPS = 16
+_LIFETIME_STEPS = 16
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -66,24 +66,24 @@
     """Statistics of response lengths and of callers' estimates."""
 
     def __init__(self) -> None:
-        self._answers: collections.deque[Answer] = collections.deque(
-            maxlen=_ANSWERS
+        self._responses: collections.deque[Answer] = collections.deque(
+            maxlen=_SAMPLE_SIZE
         )
-        self._expected: collections.deque[int] = collections.deque(
-            maxlen=_ANSWERS
+        self._estimates: collections.deque[int] = collections.deque(
+            maxlen=_SAMPLE_SIZE
         )
         self._count = 0
         self._margins: dict[int, Margin] = {}
 
     def expected(self, tokens: int) -> None:
         """Records a caller's estimate, in tokens."""
-        self._expected.append(tokens)
-        self._noted()
+        self._estimates.append(tokens)
+        self._count_sample()
 
     def ended(self, answer: Answer) -> None:
         """Records the length of a completed response."""
-        self._answers.append(answer)
-        self._noted()
+        self._responses.append(answer)
+        self._count_sample()
 
     def margin(self, *, prompt_tokens: float, memory_tokens: int) -> Margin:
         """Returns the margin that takes the least memory.
@@ -92,65 +92,77 @@
             prompt_tokens: Mean prompt size, in tokens.
             memory_tokens: Memory of an engine, in tokens.
         """
-        known = self._margins.get(memory_tokens)
-        if known is None:
-            known = _margin(self._likely(), prompt_tokens, memory_tokens)
-            self._margins[memory_tokens] = known
-        return known
-
-    def _noted(self) -> None:
+        margin = self._margins.get(memory_tokens)
+        if margin is None:
+            margin = _smallest_margin(
+                self._prediction_sample(), prompt_tokens, memory_tokens
+            )
+            self._margins[memory_tokens] = margin
+        return margin
+
+    def _count_sample(self) -> None:
         self._count += 1
-        if self._count < _EVERY or self._count % _EVERY == 0:
+        if (
+            self._count < _RECOMPUTE_INTERVAL
+            or self._count % _RECOMPUTE_INTERVAL == 0
+        ):
             self._margins.clear()
 
-    def _likely(self) -> Sequence[Answer]:
+    def _prediction_sample(self) -> Sequence[Answer]:
         """Returns the sample from which the next responses are predicted."""
-        if len(self._answers) >= _ENOUGH:
-            return self._answers
-        return [Answer(tokens, tokens) for tokens in self._expected]
+        if len(self._responses) >= _MIN_SAMPLE_SIZE:
+            return self._responses
+        return [Answer(tokens, tokens) for tokens in self._estimates]
 
 
-def _margin(
-    answers: Sequence[Answer], prompt_tokens: float, memory_tokens: int
+def _smallest_margin(
+    responses: Sequence[Answer], prompt_tokens: float, memory_tokens: int
 ) -> Margin:
-    if not answers:
+    if not responses:
         return Margin(1.0, 0)
-    expected = statistics.fmean(a.expected_tokens for a in answers)
-    least: tuple[float, Margin] | None = None
-    for part in _PARTS:
-        each_tokens = max(1.0, prompt_tokens + part * expected)
-        count = max(1.0, memory_tokens / each_tokens)
-        free = _outgrown_tokens(answers, part, count)
-        each_tokens += free / count
-        if least is None or each_tokens < least[0]:
-            least = (each_tokens, Margin(part, int(free)))
-    assert least is not None
-    return least[1]
-
-
-def _outgrown_tokens(
-    answers: Sequence[Answer], part: float, count: float
+    mean_expected_tokens = statistics.fmean(
+        r.expected_tokens for r in responses
+    )
+    best: tuple[float, Margin] | None = None
+    for share in _SHARES:
+        tokens_per_response = max(
+            1.0, prompt_tokens + share * mean_expected_tokens
+        )
+        count = max(1.0, memory_tokens / tokens_per_response)
+        free_tokens = _peak_outgrown_tokens(responses, share, count)
+        tokens_per_response += free_tokens / count
+        if best is None or tokens_per_response < best[0]:
+            best = (tokens_per_response, Margin(share, int(free_tokens)))
+    assert best is not None
+    return best[1]
+
+
+def _peak_outgrown_tokens(
+    responses: Sequence[Answer], share: float, count: float
 ) -> float:
     """Returns the peak memory by which responses outgrow reservations.
 
     Assumes responses that start together.
 
     Args:
-        answers: Sample of response lengths.
-        part: Share of the estimated length that was reserved.
+        responses: Sample of response lengths.
+        share: Share of the estimated length that was reserved.
         count: Number of responses on the engine.
     """
-    longest = max(a.tokens for a in answers)
-    most = 0.0
-    for step in range(1, _STEPS + 1):
-        grown = longest * step / _STEPS
-        over = [
-            max(0.0, grown - part * a.expected_tokens)
-            if a.tokens >= grown
+    max_tokens = max(r.tokens for r in responses)
+    peak_tokens = 0.0
+    for step in range(1, _LIFETIME_STEPS + 1):
+        grown_tokens = max_tokens * step / _LIFETIME_STEPS
+        excess_tokens = [
+            max(0.0, grown_tokens - share * r.expected_tokens)
+            if r.tokens >= grown_tokens
             else 0.0
-            for a in answers
+            for r in responses
         ]
-        spread = statistics.pstdev(over) * math.sqrt(count)
-        all_over = statistics.fmean(over) * count + _DEVIATIONS * spread
-        most = max(most, all_over)
-    return most
+        spread = statistics.pstdev(excess_tokens) * math.sqrt(count)
+        total_tokens = (
+            statistics.fmean(excess_tokens) * count
+            + _COVERED_DEVIATIONS * spread
+        )
+        peak_tokens = max(peak_tokens, total_tokens)
+    return peak_tokens
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -57,11 +57,11 @@
 
     def __init__(
         self,
-        work: costs.WorkCosts,
+        cost_estimates: costs.WorkCosts,
         lengths: margins.AnswerLengths,
         pool: pools.EnginePool,
     ) -> None:
-        self._work = work
+        self._cost_estimates = cost_estimates
         self._lengths = lengths
         self._pool = pool
 
@@ -69,15 +69,17 @@
         """See ``Observations``."""
         self._pool.answered(engine)
         busy_ms = self._pool.read(engine, took_ms=took_ms, tokens=tokens)
-        self._work.prefilled(took_ms, prompt_tokens=tokens, busy_ms=busy_ms)
+        self._cost_estimates.prefilled(
+            took_ms, prompt_tokens=tokens, busy_ms=busy_ms
+        )
 
     def began(self, took_ms: float) -> None:
         """See ``Observations``."""
-        self._work.began(took_ms)
+        self._cost_estimates.began(took_ms)
 
     def projected(self, will_take_ms: float, *, memory_part: float) -> None:
         """See ``Observations``."""
-        self._work.projected(will_take_ms, memory_part=memory_part)
+        self._cost_estimates.projected(will_take_ms, memory_part=memory_part)
 
     def ended(self, expected_tokens: int, tokens: int) -> None:
         """See ``Observations``."""
--- a/src/jujubewharf/forwarding/ordering.py
+++ b/src/jujubewharf/forwarding/ordering.py
@@ -18,29 +18,29 @@
 from jujubewharf.forwarding import role_plan
 from jujubewharf.forwarding import routes
 
-_CHECK_MS = 500.0
+_CHECK_INTERVAL_MS = 500.0
 # Time for which an engine gets no further order after one that wasn't
 # acknowledged. The lost order may still be carried out and undo a newer one.
-_UNKNOWN_MS = 13_000.0
+_UNACKNOWLEDGED_MS = 13_000.0
 # Time to allow for an engine's new registration to be read, in addition to the
 # duration of the role change.
-_SEEN_MS = 3_000.0
+_REGISTRATION_MS = 3_000.0
 # Time after which a refused order may be repeated.
-_REFUSED_MS = 3_000.0
+_REFUSED_RETRY_MS = 3_000.0
 # Time for which the plan must keep asking for a change before it is ordered.
 # Engines register one by one at a start.
-_SETTLED_MS = 1_000.0
+_SETTLING_MS = 1_000.0
 # Largest share of a service's engines that may change roles at the same time.
 # The others have to carry the load meanwhile.
-_CHANGING_PART = 1 / 3
+_MAX_CHANGING_SHARE = 1 / 3
 # Time without orders after engines disappeared without announcing a drain.
 # Partitioned or crashed engines are usually back before a role change would
 # take effect.
-_VANISHED_MS = 6_500.0
+_RETURN_TIMEOUT_MS = 6_500.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Pending:
+class _PendingOrder:
     """An order whose effect hasn't been observed yet."""
 
     change: role_plan.Change
@@ -48,12 +48,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Vanished:
+class _MissingEngine:
     """An engine whose entry disappeared without an announced drain."""
 
     engine: resources.Endpoint
     since_ms: float
-    was_asked: bool = False
+    was_probed: bool = False
 
 
 class RoleOrders(mode.Service):
@@ -78,7 +78,7 @@
         backends: ports.Backends,
         registry: registries.Registry,
         lease: leases.GroupLease,
-        observed: Callable[[], costs.FleetCosts],
+        cost_estimates: Callable[[], costs.FleetCosts],
         services: Callable[[], dict[str, routes.RoutedService]],
         clock: clocks.Clock,
         *,
@@ -90,21 +90,21 @@
         self._backends = backends
         self._registry = registry
         self._lease = lease
-        self._observed = observed
+        self._cost_estimates = cost_estimates
         self._services = services
         self._clock = clock
         self._on_accepted = on_accepted
         self._is_backing_off = is_backing_off
-        self._pending: dict[str, _Pending] = {}
+        self._pending: dict[str, _PendingOrder] = {}
         self._wanted_since_ms: dict[str, float] = {}
-        self._known: dict[str, dict[str, resources.Endpoint]] = {}
+        self._registered: dict[str, dict[str, resources.Endpoint]] = {}
         # By service, then by address.
-        self._vanished: dict[str, dict[str, _Vanished]] = {}
+        self._missing: dict[str, dict[str, _MissingEngine]] = {}
 
     @mode.Service.task
     async def _run(self) -> None:
         while not self.should_stop:
-            await self._clock.sleep_ms(_CHECK_MS)
+            await self._clock.sleep_ms(_CHECK_INTERVAL_MS)
             for service in list(self._services().values()):
                 if service.engine is not None:
                     await self._check(service.name, service.engine)
@@ -113,90 +113,91 @@
         """Sends the orders that are due for one service."""
         # Tracked without the lease as well, so that the wait for an engine's
         # return doesn't start over when this instance acquires it.
-        self._note_vanished(service)
+        self._track_missing(service)
         if self._registry.is_away or not self._lease.holds_first:
             self._wanted_since_ms.pop(service, None)
             return
-        self._settle()
-        if await self._is_waiting(service):
+        self._drop_settled_orders()
+        if await self._awaits_return(service):
             self._wanted_since_ms.pop(service, None)
             return
-        observed = self._observed()
+        estimates = self._cost_estimates()
         changes = role_plan.changes(
             self._registry.of_service(service),
-            prefill_ms=observed.prefill_ms,
-            decode_ms=observed.decode_ms,
+            prefill_ms=estimates.prefill_ms,
+            decode_ms=estimates.decode_ms,
         )
         # Evaluated before the fencing token may be used, so that the order can
         # be sent as soon as it is.
         is_settled = self._is_settled(service, bool(changes))
         if not is_settled or self._lease.fence is None:
             return
-        busy = any(
-            p.change.engine.service == service for p in self._pending.values()
+        is_busy = any(
+            pending.change.engine.service == service
+            for pending in self._pending.values()
         )
-        if busy:
+        if is_busy:
             # One batch at a time: an engine that changes roles does no work.
             return
-        for change in changes[: self._most_at_once(service)]:
+        for change in changes[: self._max_concurrent_changes(service)]:
             if not self._is_backing_off(change.engine.name):
-                await self._order(change, traits)
+                await self._send_order(change, traits)
 
-    def _most_at_once(self, service: str) -> int:
+    def _max_concurrent_changes(self, service: str) -> int:
         """Returns how many engines may change roles at the same time.
 
         They do no work meanwhile, and the cost estimates may have changed by
         the time they are back.
         """
         count = len(self._registry.of_service(service))
-        return max(1, int(count * _CHANGING_PART))
+        return max(1, int(count * _MAX_CHANGING_SHARE))
 
-    def _note_vanished(self, service: str) -> None:
+    def _track_missing(self, service: str) -> None:
         """Records which engines disappeared without a drain, and when.
 
         Drops engines whose address is registered again, possibly under a new
         name after a crash, and those that have been away for too long.
         """
         now_ms = self._clock.now_ms()
-        known = self._known.get(service, {})
+        registered = self._registered.get(service, {})
         present = {
             engine.name: engine
             for engine in self._registry.present()
             if engine.service == service
         }
-        vanished = self._vanished.setdefault(service, {})
-        for name, engine in known.items():
+        missing = self._missing.setdefault(service, {})
+        for name, engine in registered.items():
             if name not in present and not engine.drained:
-                vanished[engine.address] = _Vanished(engine, now_ms)
+                missing[engine.address] = _MissingEngine(engine, now_ms)
         addresses = {engine.address for engine in present.values()}
-        for address, gone in list(vanished.items()):
-            is_over = now_ms - gone.since_ms >= _VANISHED_MS
-            if address in addresses or is_over:
-                del vanished[address]
-        self._known[service] = present
+        for address, missing_engine in list(missing.items()):
+            is_expired = now_ms - missing_engine.since_ms >= _RETURN_TIMEOUT_MS
+            if address in addresses or is_expired:
+                del missing[address]
+        self._registered[service] = present
 
-    async def _is_waiting(self, service: str) -> bool:
+    async def _awaits_return(self, service: str) -> bool:
         """Returns whether engines that disappeared may be back soon.
 
         An engine that still answers has deregistered itself. It is shutting
         down, so its replacement is not delayed.
         """
-        vanished = self._vanished.setdefault(service, {})
-        for address, gone in list(vanished.items()):
-            if gone.was_asked:
+        missing = self._missing.setdefault(service, {})
+        for address, missing_engine in list(missing.items()):
+            if missing_engine.was_probed:
                 continue
-            gone.was_asked = True
-            answers = await self._answers(gone.engine)
+            missing_engine.was_probed = True
+            is_reachable = await self._is_reachable(missing_engine.engine)
             beliefs.vanished(
-                gone.engine.name,
-                answers=answers,
+                missing_engine.engine.name,
+                answers=is_reachable,
                 registry_age_ms=self._registry.age_ms,
             )
-            if answers:
-                del vanished[address]
-        return bool(vanished)
+            if is_reachable:
+                del missing[address]
+        return bool(missing)
 
-    async def _answers(self, engine: resources.Endpoint) -> bool:
+    async def _is_reachable(self, engine: resources.Endpoint) -> bool:
         """Returns whether an engine answers a call."""
         try:
             await self._backends.is_changing(engine)
@@ -204,13 +205,15 @@
             return False
         return True
 
-    def _settle(self) -> None:
+    def _drop_settled_orders(self) -> None:
         """Drops orders that took effect or timed out."""
         now_ms = self._clock.now_ms()
         for name, pending in list(self._pending.items()):
             engine = self._registry.get(name)
-            is_seen = engine is None or engine.role is pending.change.role
-            if is_seen or now_ms >= pending.until_ms:
+            has_taken_effect = (
+                engine is None or engine.role is pending.change.role
+            )
+            if has_taken_effect or now_ms >= pending.until_ms:
                 del self._pending[name]
 
     def _is_settled(self, service: str, is_wanted: bool) -> bool:
@@ -219,9 +222,9 @@
             return False
         now_ms = self._clock.now_ms()
         since_ms = self._wanted_since_ms.setdefault(service, now_ms)
-        return now_ms - since_ms >= _SETTLED_MS
+        return now_ms - since_ms >= _SETTLING_MS
 
-    async def _order(
+    async def _send_order(
         self, change: role_plan.Change, traits: routes.EngineTraits
     ) -> None:
         fence = self._lease.fence
@@ -229,7 +232,7 @@
             # Read for each order: the previous one may have taken seconds.
             return
         order = ports.RoleOrder(change.role, self._instance, fence)
-        lasts_ms = traits.role_switch_ms + _SEEN_MS
+        timeout_ms = traits.role_switch_ms + _REGISTRATION_MS
         outcome = "accepted"
         try:
             await self._backends.order_role(change.engine, order)
@@ -238,19 +241,19 @@
             self._on_accepted(change.engine.name)
         except client.EngineError as error:
             outcome = error.fault.value
-            lasts_ms = _REFUSED_MS
+            timeout_ms = _REFUSED_RETRY_MS
             if error.fault is client.EngineFault.LOST:
-                lasts_ms = _UNKNOWN_MS
+                timeout_ms = _UNACKNOWLEDGED_MS
             if error.fault is client.EngineFault.REFUSED_FENCE:
                 self._lease.fenced(fence)
-        until_ms = self._clock.now_ms() + lasts_ms
-        self._pending[change.engine.name] = _Pending(change, until_ms)
+        until_ms = self._clock.now_ms() + timeout_ms
+        self._pending[change.engine.name] = _PendingOrder(change, until_ms)
         beliefs.ordered(
             change.engine.name,
             role=change.role.value,
             fence=fence,
             outcome=outcome,
-            prefill_ms=self._observed().prefill_ms,
-            decode_ms=self._observed().decode_ms,
+            prefill_ms=self._cost_estimates().prefill_ms,
+            decode_ms=self._cost_estimates().decode_ms,
             registry_age_ms=self._registry.age_ms,
         )
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -37,24 +37,24 @@
 # Number of engines that a request asks in its first round and in each later
 # round. When this many are full the next one most likely is too, and asking
 # every engine would not scale with the size of the fleet.
-_ASKED_AT_FIRST = 4
-_ASKED_AGAIN = 2
+_FIRST_ROUND_ENGINES = 4
+_LATER_ROUND_ENGINES = 2
 # Interval at which a waiting request asks again, as a share of the mean time
 # between releases of memory on an engine. Memory that requests of other
 # instances release is only found by asking.
-_ASK_AGAIN_PART = 1 / 6
-_FIRST_ASK_AGAIN_MS = 70.0
+_ASK_INTERVAL_SHARE = 1 / 6
+_DEFAULT_ASK_INTERVAL_MS = 70.0
 # Factor by which the interval is longer for requests that have missed their
 # latency target. They wait for seconds and would otherwise make most of the
 # calls to engines during a burst.
-_LATE_PACE = 4.0
+_LATE_INTERVAL_FACTOR = 4.0
 # Lifetime of the reservation that checks for free memory. It is dropped at
 # once.
-_CHECK_MS = 300.0
+_CHECK_TTL_MS = 300.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Wish:
+class _MemoryDemand:
     """Memory that a request needs on an engine.
 
     Attributes:
@@ -68,7 +68,7 @@
     ttl_ms: float
 
     @property
-    def room(self) -> int:
+    def total_tokens(self) -> int:
         """Memory that must be free before the reservation, in tokens."""
         return self.tokens + self.free_tokens
 
@@ -96,7 +96,7 @@
         backends: ports.Backends,
         registry: registries.Registry,
         pool: pools.EnginePool,
-        work: costs.WorkCosts,
+        cost_estimates: costs.WorkCosts,
         lengths: margins.AnswerLengths,
         quotas: all_quotas.Quotas,
         limits: all_limits.Permits,
@@ -108,7 +108,7 @@
         self._backends = backends
         self._registry = registry
         self._pool = pool
-        self._work = work
+        self._cost_estimates = cost_estimates
         self._lengths = lengths
         self._quotas = quotas
         self._limits = limits
@@ -116,8 +116,8 @@
         self._counts_all = counts_all
         self._clock = clock
         self._rng = rng
-        self._patience = patience.Patience(work, clock)
-        self._lines: dict[str, lines.Line] = {}
+        self._patience = patience.Patience(cost_estimates, clock)
+        self._queues: dict[str, lines.Line] = {}
         self._running = 0
 
     @contextlib.asynccontextmanager
@@ -129,29 +129,29 @@
                 exhausted. Nothing was run in this attempt.
         """
         with all_quotas.counted(self._quotas, run):
-            place, wish = await self._wait(run)
+            place, demand = await self._wait_for_reservation(run)
         self._running += 1
         try:
             with (
-                self._pool.holding(place.engine.name, wish.tokens),
-                self._reader_promised(run, place),
+                self._pool.holding(place.engine.name, demand.tokens),
+                self._prefill_assigned(run, place),
             ):
                 yield place
             self.learn_stay(place)
         finally:
             self._running -= 1
-            hold = place.take_hold()
-            if hold is not None:
-                await self._give_back(place.engine, hold)
-            self._line(run.service).wake_first()
+            reservation_id = place.take_hold()
+            if reservation_id is not None:
+                await self._release(place.engine, reservation_id)
+            self._queue_of(run.service).wake_first()
 
     def learn_stay(self, place: places.Place) -> None:
         """Records how long a completed response held its memory."""
         took_ms = self._clock.now_ms() - place.since_ms
-        self._work.decoded(took_ms, memory_part=place.memory_part)
+        self._cost_estimates.decoded(took_ms, memory_part=place.memory_part)
 
     @contextlib.contextmanager
-    def _reader_promised(
+    def _prefill_assigned(
         self, run: runs.Run, place: places.Place
     ) -> Iterator[None]:
         """Chooses prefill engines and tracks the prompt until it is prefilled.
@@ -165,62 +165,66 @@
             # is worth its transfer.
             yield
             return
-        engines = self._open_to(run)
+        engines = self._permitted_engines(run)
         place.readers = self._pool.to_prefill(engines, near=place.engine.domain)
-        with contextlib.ExitStack() as promises:
+        with contextlib.ExitStack() as exits:
             if place.readers:
-                first = place.readers[0].name
-                promises.enter_context(
-                    self._pool.reading(first, work.prompt_tokens)
+                preferred = place.readers[0].name
+                exits.enter_context(
+                    self._pool.reading(preferred, work.prompt_tokens)
                 )
-            place.reading_ended = promises.close
+            place.reading_ended = exits.close
             yield
 
-    async def _wait(self, run: runs.Run) -> tuple[places.Place, _Wish]:
-        began_ms = self._clock.now_ms()
+    async def _wait_for_reservation(
+        self, run: runs.Run
+    ) -> tuple[places.Place, _MemoryDemand]:
+        started_ms = self._clock.now_ms()
         in_time_ms = self._patience.in_time_ms(run)
         is_late = in_time_ms <= 0.0
         wait_ms = self._patience.late_ms(run) if is_late else in_time_ms
         # A stream that is resumed is late but keeps its priority: its caller
         # already has part of the response, which a failure would waste.
-        is_behind = is_late and not run.may_have_run
-        wish = self._wish(run)
-        waiter = lines.Waiter(is_behind, began_ms + wait_ms)
-        line = self._line(run.service)
-        count = _ASKED_AT_FIRST
-        with line.joined(waiter):
+        is_deprioritized = is_late and not run.may_have_run
+        demand = self._demand_of(run)
+        waiter = lines.Waiter(is_deprioritized, started_ms + wait_ms)
+        queue = self._queue_of(run.service)
+        max_engines = _FIRST_ROUND_ENGINES
+        with queue.joined(waiter):
             while self._clock.now_ms() <= waiter.due_ms:
-                place = await self._ask(run, wish, count=count)
-                count = _ASKED_AGAIN
-                line.wake_after(waiter)
+                place = await self._try_engines(
+                    run, demand, max_engines=max_engines
+                )
+                max_engines = _LATER_ROUND_ENGINES
+                queue.wake_after(waiter)
                 if place is not None:
-                    waited_ms = self._clock.now_ms() - began_ms
+                    waited_ms = self._clock.now_ms() - started_ms
                     decisions.placed(
                         run,
                         place.engine.name,
-                        tokens=wish.tokens,
-                        free_tokens=wish.free_tokens,
+                        tokens=demand.tokens,
+                        free_tokens=demand.free_tokens,
                         waited_ms=waited_ms,
                     )
-                    return place, wish
-                if self._all_stay_shut(run, waiter.due_ms):
+                    return place, demand
+                if self._is_unavailable_until(run, waiter.due_ms):
                     break
                 await self._pause(waiter)
-        raise self._refusal(run, wish)
+        raise self._refusal(run, demand)
 
-    def _open_to(self, run: runs.Run) -> Sequence[resources.Endpoint]:
+    def _permitted_engines(self, run: runs.Run) -> Sequence[resources.Endpoint]:
         """Returns the service's engines to which the request may be sent."""
         engines = self._registry.of_service(run.service)
         if not run.backoff_until_ms:
             return engines
         return [e for e in engines if run.may_go_to(e.name, self._clock)]
 
-    def _all_stay_shut(self, run: runs.Run, due_ms: float) -> bool:
+    def _is_unavailable_until(self, run: runs.Run, due_ms: float) -> bool:
         """Returns whether no engine can be asked before ``due_ms``."""
-        wait_ms = self._wait_ms(run)
+        wait_ms = self._available_in_ms(run)
         return wait_ms is not None and self._clock.now_ms() + wait_ms > due_ms
 
-    def _wait_ms(self, run: runs.Run) -> float | None:
+    def _available_in_ms(self, run: runs.Run) -> float | None:
         """Returns the time until an engine may be asked, or ``None`` for now.
 
         Covers rate limits and backoffs; see ``Restraints``.
@@ -240,25 +244,29 @@
 
     async def _pause(self, waiter: lines.Waiter) -> None:
         """Waits until the request is woken, should ask again, or is due."""
-        every_ms = _FIRST_ASK_AGAIN_MS
-        if self._work.decode_ms is not None:
-            every_ms = self._work.decode_ms * _ASK_AGAIN_PART
+        interval_ms = _DEFAULT_ASK_INTERVAL_MS
+        if self._cost_estimates.decode_ms is not None:
+            interval_ms = self._cost_estimates.decode_ms * _ASK_INTERVAL_SHARE
         if waiter.is_late:
-            every_ms *= _LATE_PACE
-        every_ms *= 0.5 + self._rng.random()
-        left_ms = waiter.due_ms - self._clock.now_ms()
+            interval_ms *= _LATE_INTERVAL_FACTOR
+        interval_ms *= 0.5 + self._rng.random()
+        remaining_ms = waiter.due_ms - self._clock.now_ms()
         with contextlib.suppress(TimeoutError):
-            async with self._clock.timeout_ms(max(1.0, min(every_ms, left_ms))):
+            async with self._clock.timeout_ms(
+                max(1.0, min(interval_ms, remaining_ms))
+            ):
                 await waiter.woken()
 
-    def _wish(self, run: runs.Run) -> _Wish:
+    def _demand_of(self, run: runs.Run) -> _MemoryDemand:
         """Returns the memory that the request needs."""
         traits = run.traits
         assert traits is not None
         work = run.call.work
         if work is None:
-            return _Wish(1, 0, traits.hold_max_ms)
-        mean_tokens = self._work.prompt_tokens or float(work.prompt_tokens)
+            return _MemoryDemand(1, 0, traits.hold_max_ms)
+        mean_tokens = self._cost_estimates.prompt_tokens or float(
+            work.prompt_tokens
+        )
         self._lengths.expected(work.answer_tokens)
         margin = self._lengths.margin(
             prompt_tokens=mean_tokens, memory_tokens=traits.memory_tokens
@@ -266,55 +274,55 @@
         tokens = work.prompt_tokens + int(work.answer_tokens * margin.part)
         # A request that doesn't fit into an empty engine with its headroom is
         # still asked for, with less headroom.
-        most = max(0, traits.memory_tokens - tokens)
-        free_tokens = min(margin.free_tokens, most)
-        return _Wish(tokens, free_tokens, traits.hold_max_ms)
+        max_free_tokens = max(0, traits.memory_tokens - tokens)
+        free_tokens = min(margin.free_tokens, max_free_tokens)
+        return _MemoryDemand(tokens, free_tokens, traits.hold_max_ms)
 
-    async def _ask(
-        self, run: runs.Run, wish: _Wish, *, count: int
+    async def _try_engines(
+        self, run: runs.Run, demand: _MemoryDemand, *, max_engines: int
     ) -> places.Place | None:
-        """Asks at most ``count`` engines that may have enough memory."""
+        """Asks at most ``max_engines`` engines that may have enough memory."""
         assert run.traits is not None
-        asked = self._pool.to_decode(
-            self._open_to(run),
-            tokens=wish.room,
+        candidates = self._pool.to_decode(
+            self._permitted_engines(run),
+            tokens=demand.total_tokens,
             memory_tokens=run.traits.memory_tokens,
             near=run.domain,
             last=run.lost_by,
         )
-        for engine in asked[:count]:
+        for engine in candidates[:max_engines]:
             # One permit covers the reservation and the run that uses it.
             # Without a permit the engine isn't asked at all.
-            has_limit = self._restraints.is_limited(engine.name)
-            if has_limit and not await self._limits.take(engine.name):
+            is_limited = self._restraints.is_limited(engine.name)
+            if is_limited and not await self._limits.take(engine.name):
                 continue
             if not self._registry.takes_work(engine.name):
                 continue
             try:
-                hold = await self._reserve(run.traits, engine, wish)
+                reservation_id = await self._reserve(run.traits, engine, demand)
             except client.EngineError as error:
-                self._learn(run, error, wish)
+                self._record_failure(run, error, demand)
                 continue
             self._pool.has_room(engine.name)
             if not self._registry.takes_work(engine.name):
                 # The response to the reservation said that the engine drains.
-                await self._give_back(engine, hold)
+                await self._release(engine, reservation_id)
                 continue
             return places.Place(
                 engine,
-                hold,
+                reservation_id,
                 since_ms=self._clock.now_ms(),
-                tokens=wish.tokens,
-                memory_part=wish.tokens / run.traits.memory_tokens,
-                has_permit=has_limit,
+                tokens=demand.tokens,
+                memory_part=demand.tokens / run.traits.memory_tokens,
+                has_permit=is_limited,
             )
         return None
 
-    def _learn(
-        self, run: runs.Run, error: client.EngineError, wish: _Wish
+    def _record_failure(
+        self, run: runs.Run, error: client.EngineError, demand: _MemoryDemand
     ) -> None:
         if error.fault is client.EngineFault.REFUSED_FULL:
-            self._pool.refused_room(error.engine, wish.room)
+            self._pool.refused_room(error.engine, demand.total_tokens)
             return
         if error.fault is client.EngineFault.REFUSED_IDENTITY:
             self._registry.replaced(error.engine)
@@ -332,7 +340,7 @@
         self,
         traits: routes.EngineTraits,
         engine: resources.Endpoint,
-        wish: _Wish,
+        demand: _MemoryDemand,
     ) -> str:
         """Reserves memory if the required headroom is free as well.
 
@@ -343,42 +351,48 @@
         # where its own count shows plenty of memory. On a nearly full engine
         # only the engine knows how far responses have outgrown their
         # reservations.
-        is_clear = self._counts_all() and self._pool.has_clear_room(
-            engine.name, tokens=wish.room, memory_tokens=traits.memory_tokens
+        has_ample_memory = self._counts_all() and self._pool.has_clear_room(
+            engine.name,
+            tokens=demand.total_tokens,
+            memory_tokens=traits.memory_tokens,
         )
-        if wish.free_tokens and not is_clear:
+        if demand.free_tokens and not has_ample_memory:
             # Checks for the whole amount first, so that a full engine costs one
             # call and not three.
-            check = await self._backends.reserve(
-                engine, tokens=wish.room, ttl_ms=_CHECK_MS
+            check_id = await self._backends.reserve(
+                engine, tokens=demand.total_tokens, ttl_ms=_CHECK_TTL_MS
             )
-            await self._give_back(engine, check)
+            await self._release(engine, check_id)
         return await self._backends.reserve(
-            engine, tokens=wish.tokens, ttl_ms=wish.ttl_ms
+            engine, tokens=demand.tokens, ttl_ms=demand.ttl_ms
         )
 
-    def _refusal(self, run: runs.Run, wish: _Wish) -> errors.WharfError:
+    def _refusal(
+        self, run: runs.Run, demand: _MemoryDemand
+    ) -> errors.WharfError:
         engines = self._registry.of_service(run.service)
         decisions.not_placed(
             run,
-            tokens=wish.tokens,
-            free_tokens=wish.free_tokens,
-            engines=self._pool.standings(engines, tokens=wish.room),
-            waiting=len(self._line(run.service)),
+            tokens=demand.tokens,
+            free_tokens=demand.free_tokens,
+            engines=self._pool.standings(engines, tokens=demand.total_tokens),
+            waiting=len(self._queue_of(run.service)),
             age_ms=self._registry.age_ms,
         )
         if run.may_have_run:
             return run.failure()
-        after_ms = self._patience.come_back_ms(run.call, self._running)
-        after_ms = max(after_ms, self._wait_ms(run) or 0.0)
+        retry_after_ms = self._patience.come_back_ms(run.call, self._running)
+        retry_after_ms = max(retry_after_ms, self._available_in_ms(run) or 0.0)
         return errors.WharfError(
-            errors.ErrorKind.QUEUE_FULL, retry_after_ms=after_ms
+            errors.ErrorKind.QUEUE_FULL, retry_after_ms=retry_after_ms
         )
 
-    def _line(self, service: str) -> lines.Line:
-        return self._lines.setdefault(service, lines.Line())
+    def _queue_of(self, service: str) -> lines.Line:
+        return self._queues.setdefault(service, lines.Line())
 
-    async def _give_back(self, engine: resources.Endpoint, hold: str) -> None:
+    async def _release(
+        self, engine: resources.Endpoint, reservation_id: str
+    ) -> None:
         with contextlib.suppress(client.EngineError):
             # If the call fails, the reservation expires by itself.
-            await self._backends.drop_reservation(engine, hold)
+            await self._backends.drop_reservation(engine, reservation_id)
--- a/src/jujubewharf/forwarding/places.py
+++ b/src/jujubewharf/forwarding/places.py
@@ -11,7 +11,7 @@
 from jujubewharf.forwarding import runs
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     pass
 
 
@@ -55,7 +55,7 @@
         self.memory_part = memory_part
         self.has_permit = has_permit
         self.readers: Sequence[resources.Endpoint] = ()
-        self.reading_ended: Callable[[], None] = _nothing
+        self.reading_ended: Callable[[], None] = _do_nothing
         self._is_taken = False
 
     def take_hold(self) -> str | None:
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -30,22 +30,22 @@
 # share of the mean time between releases of memory. It doubles with each
 # further refusal up to the second share. Other instances compete for the same
 # memory: shorter pauses cause more refusals, longer ones leave memory unused.
-_FIRST_PAUSE = 1 / 8
-_LONGEST_PAUSE = 1 / 2
+_FIRST_PAUSE_SHARE = 1 / 8
+_MAX_PAUSE_SHARE = 1 / 2
 # Time between releases of memory that is assumed before it was observed.
-_UNKNOWN_FREE_MS = 400.0
+_DEFAULT_RELEASE_INTERVAL_MS = 400.0
 # Share of an engine's memory below which no check for headroom is needed. The
 # rest absorbs responses that outgrow their reservations.
-_CLEAR_PART = 0.7
+_AMPLE_MEMORY_SHARE = 0.7
 # Difference in reserved memory, as a share of an engine's memory, from which
 # a less loaded engine is preferred to one of the request's own domain.
-_LOAD_STEP = 1 / 4
+_LOAD_STEP_SHARE = 1 / 4
 # Prefill engines whose expected waits differ by less than this count as equal;
 # the domain then decides.
-_ALIKE_MS = 20.0
+_EQUAL_WAIT_MS = 20.0
 # Prefill time per token that is assumed before it was observed. Only affects
 # the ranking of engines.
-_UNKNOWN_TOKEN_MS = 0.05
+_DEFAULT_TOKEN_MS = 0.05
 
 
 class Standing(enum.Enum):
@@ -105,24 +105,24 @@
 
     def __init__(
         self,
-        work: costs.WorkCosts,
+        cost_estimates: costs.WorkCosts,
         restraints: all_restraints.Restraints,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
-        self._work = work
+        self._cost_estimates = cost_estimates
         self._restraints = restraints
         self._clock = clock
         self._rng = rng
-        self._views: dict[str, EngineView] = {}
+        self._states: dict[str, EngineView] = {}
 
     def view(self, name: str) -> EngineView:
         """Returns the state of an engine; a new one is assumed healthy."""
-        view = self._views.get(name)
-        if view is None:
-            view = EngineView(breakers.Breaker(self._clock))
-            self._views[name] = view
-        return view
+        state = self._states.get(name)
+        if state is None:
+            state = EngineView(breakers.Breaker(self._clock))
+            self._states[name] = state
+        return state
 
     def take_over(self, engines: Sequence[resources.Endpoint]) -> None:
         """Updates the set of engines and their roles.
@@ -133,15 +133,15 @@
         for engine in engines:
             if engine.role is resources.Role.PLAIN:
                 continue
-            view = self.view(engine.name)
-            if view.role is not engine.role:
-                view.role = engine.role
-                view.absent_until_ms = 0.0
+            state = self.view(engine.name)
+            if state.role is not engine.role:
+                state.role = engine.role
+                state.absent_until_ms = 0.0
         names = {engine.name for engine in engines}
-        for name, view in list(self._views.items()):
-            is_used = view.held_tokens or view.reading_tokens
-            if name not in names and not is_used:
-                del self._views[name]
+        for name, state in list(self._states.items()):
+            is_in_use = state.held_tokens or state.reading_tokens
+            if name not in names and not is_in_use:
+                del self._states[name]
 
     def to_decode(
         self,
@@ -169,19 +169,19 @@
         # engines are ranked for each request.
         waiting = self._restraints.waiting_names()
         limited = self._restraints.limited_names()
-        asked = [
+        candidates = [
             engine
             for engine in engines
             if engine.can_decode
             and engine.name not in waiting
             and self._standing(engine, tokens) is Standing.ASKED
         ]
-        step = max(1.0, memory_tokens * _LOAD_STEP)
+        step_tokens = max(1.0, memory_tokens * _LOAD_STEP_SHARE)
         return sorted(
-            asked,
+            candidates,
             key=lambda e: (
                 e.name in last,
-                self._decode_rank(e, near, step, limited),
+                self._decode_rank(e, near, step_tokens, limited),
             ),
         )
 
@@ -198,20 +198,22 @@
             memory_tokens: Memory of the engine, in tokens.
         """
         held = self.view(name).held_tokens
-        return held + tokens <= memory_tokens * _CLEAR_PART
+        return held + tokens <= memory_tokens * _AMPLE_MEMORY_SHARE
 
     def standings(
         self, engines: Sequence[resources.Endpoint], *, tokens: int
     ) -> dict[str, list[str]]:
         """Groups decode engines by their standing, for log lines."""
-        found: dict[str, list[str]] = {}
+        names_by_standing: dict[str, list[str]] = {}
         for engine in engines:
             if engine.can_decode:
                 standing = self._standing(engine, tokens)
                 if self._restraints.must_wait(engine.name):
                     standing = Standing.DEFERRED
-                found.setdefault(standing.value, []).append(engine.name)
-        return found
+                names_by_standing.setdefault(standing.value, []).append(
+                    engine.name
+                )
+        return names_by_standing
 
     def to_prefill(
         self, engines: Sequence[resources.Endpoint], *, near: str
@@ -224,7 +226,7 @@
                 transfers within a domain are faster and cheaper.
         """
         waiting = self._restraints.waiting_names()
-        able = [
+        candidates = [
             engine
             for engine in engines
             if engine.role is resources.Role.PREFILL
@@ -232,38 +234,44 @@
             and self._standing(engine) is Standing.ASKED
         ]
         limited = self._restraints.limited_names()
-        return sorted(able, key=lambda e: self._prefill_rank(e, near, limited))
+        return sorted(
+            candidates, key=lambda e: self._prefill_rank(e, near, limited)
+        )
 
     def failed(self, error: client.EngineError) -> None:
         """Records a failed call to an engine."""
-        view = self.view(error.engine)
+        state = self.view(error.engine)
         now_ms = self._clock.now_ms()
         match error.fault:
             case client.EngineFault.REFUSED_ROLE:
-                view.absent_until_ms = now_ms + ABSENT_MS
+                state.absent_until_ms = now_ms + ABSENT_MS
             case client.EngineFault.KV_GONE:
-                view.absent_until_ms = now_ms + UNFETCHED_MS
+                state.absent_until_ms = now_ms + UNFETCHED_MS
             case _:
-                view.breaker.failed(error.fault)
+                state.breaker.failed(error.fault)
 
     def refused_room(self, name: str, tokens: int) -> None:
         """Records that an engine had less than ``tokens`` memory free."""
-        view = self.view(name)
+        state = self.view(name)
         now_ms = self._clock.now_ms()
-        if now_ms < view.full_until_ms:
-            view.refused_tokens = min(view.refused_tokens, tokens)
+        if now_ms < state.full_until_ms:
+            state.refused_tokens = min(state.refused_tokens, tokens)
             return
-        free_ms = self._work.decode_ms or _UNKNOWN_FREE_MS
-        part = min(_LONGEST_PAUSE, _FIRST_PAUSE * 2**view.refusals)
-        view.full_until_ms = now_ms + free_ms * part
-        view.refused_tokens = tokens
-        view.refusals += 1
+        release_interval_ms = (
+            self._cost_estimates.decode_ms or _DEFAULT_RELEASE_INTERVAL_MS
+        )
+        pause_share = min(
+            _MAX_PAUSE_SHARE, _FIRST_PAUSE_SHARE * 2**state.refusals
+        )
+        state.full_until_ms = now_ms + release_interval_ms * pause_share
+        state.refused_tokens = tokens
+        state.refusals += 1
 
     def has_room(self, name: str) -> None:
         """Clears earlier refusals after an engine had or regained memory."""
-        view = self.view(name)
-        view.full_until_ms = 0.0
-        view.refusals = 0
+        state = self.view(name)
+        state.full_until_ms = 0.0
+        state.refusals = 0
 
     def read(self, name: str, *, took_ms: float, tokens: int) -> float:
         """Records the duration of a prefill.
@@ -274,14 +282,14 @@
             The part of ``took_ms`` since the engine's previous prefill ended,
             in milliseconds.
         """
-        view = self.view(name)
+        state = self.view(name)
         now_ms = self._clock.now_ms()
-        busy_ms = min(took_ms, now_ms - view.read_ended_ms)
-        view.read_ended_ms = now_ms
-        token_ms = self._work.token_ms
+        busy_ms = min(took_ms, now_ms - state.read_ended_ms)
+        state.read_ended_ms = now_ms
+        token_ms = self._cost_estimates.token_ms
         if token_ms is not None:
-            view.read_wait_ms = max(0.0, took_ms - tokens * token_ms)
-            view.read_at_ms = now_ms
+            state.read_wait_ms = max(0.0, took_ms - tokens * token_ms)
+            state.read_at_ms = now_ms
         return busy_ms
 
     def answered(self, name: str) -> None:
@@ -301,34 +309,34 @@
     @contextlib.contextmanager
     def holding(self, name: str, tokens: int) -> Iterator[None]:
         """Counts memory as reserved on an engine while the block runs."""
-        view = self.view(name)
-        view.held_tokens += tokens
+        state = self.view(name)
+        state.held_tokens += tokens
         try:
             yield
         finally:
-            view.held_tokens -= tokens
+            state.held_tokens -= tokens
             self.has_room(name)
 
     @contextlib.contextmanager
     def reading(self, name: str, tokens: int) -> Iterator[None]:
         """Counts a prompt as in prefill on an engine while the block runs."""
-        view = self.view(name)
-        view.reading_tokens += tokens
+        state = self.view(name)
+        state.reading_tokens += tokens
         try:
             yield
         finally:
-            view.reading_tokens -= tokens
+            state.reading_tokens -= tokens
 
     def _standing(
         self, engine: resources.Endpoint, tokens: int = 0
     ) -> Standing:
-        view = self.view(engine.name)
+        state = self.view(engine.name)
         now_ms = self._clock.now_ms()
-        if view.breaker.is_open:
+        if state.breaker.is_open:
             return Standing.UNREACHABLE
-        if view.absent_until_ms > now_ms:
+        if state.absent_until_ms > now_ms:
             return Standing.OTHER_ROLE
-        if view.full_until_ms > now_ms and tokens >= view.refused_tokens:
+        if state.full_until_ms > now_ms and tokens >= state.refused_tokens:
             return Standing.FULL
         return Standing.ASKED
 
@@ -336,43 +344,43 @@
         self,
         engine: resources.Endpoint,
         near: str,
-        step: float,
+        step_tokens: float,
         limited: frozenset[str],
     ) -> tuple[bool, int, bool, bool, int, float]:
-        view = self.view(engine.name)
+        state = self.view(engine.name)
         return (
-            view.breaker.is_doubtful,
-            int(view.held_tokens // step),
+            state.breaker.is_doubtful,
+            int(state.held_tokens // step_tokens),
             # Engines with a rate limit are overloaded, so others go first.
             engine.name in limited,
             # Ranked before small differences in load: a response that crosses
             # domains fails with a partition between them, and all engines with
             # free memory are equally fast.
             engine.domain != near,
-            view.held_tokens,
+            state.held_tokens,
             self._rng.random(),
         )
 
     def _prefill_rank(
         self, engine: resources.Endpoint, near: str, limited: frozenset[str]
     ) -> tuple[bool, bool, float, bool, float]:
-        view = self.view(engine.name)
+        state = self.view(engine.name)
         return (
-            view.breaker.is_doubtful,
+            state.breaker.is_doubtful,
             engine.name in limited,
-            self._read_ms(view),
+            self._expected_wait_ms(state),
             engine.domain != near,
             self._rng.random(),
         )
 
-    def _read_ms(self, view: EngineView) -> float:
+    def _expected_wait_ms(self, state: EngineView) -> float:
         """Returns the expected time until a prefill engine starts a prompt.
 
         Prompts of this instance are known. Those of other instances are
         estimated from how long the last prompt was queued, less the time since.
         """
-        token_ms = self._work.token_ms or _UNKNOWN_TOKEN_MS
-        since_ms = self._clock.now_ms() - view.read_at_ms
-        others_ms = max(0.0, view.read_wait_ms - since_ms)
-        expected_ms = max(view.reading_tokens * token_ms, others_ms)
-        return expected_ms // _ALIKE_MS
+        token_ms = self._cost_estimates.token_ms or _DEFAULT_TOKEN_MS
+        elapsed_ms = self._clock.now_ms() - state.read_at_ms
+        other_instances_ms = max(0.0, state.read_wait_ms - elapsed_ms)
+        expected_ms = max(state.reading_tokens * token_ms, other_instances_ms)
+        return expected_ms // _EQUAL_WAIT_MS
--- a/src/jujubewharf/forwarding/recent.py
+++ b/src/jujubewharf/forwarding/recent.py
@@ -22,14 +22,14 @@
         """Adds an amount at the current time."""
         self._amounts.append((now_ms, amount))
         self._sum += amount
-        self._drop(now_ms)
+        self._drop_expired(now_ms)
 
     def total(self, now_ms: float) -> float:
         """Returns the sum of the amounts within the window."""
-        self._drop(now_ms)
+        self._drop_expired(now_ms)
         return self._sum
 
-    def _drop(self, now_ms: float) -> None:
+    def _drop_expired(self, now_ms: float) -> None:
         oldest_ms = now_ms - self.window_ms
         while self._amounts and self._amounts[0][0] < oldest_ms:
             self._sum -= self._amounts.popleft()[1]
--- a/src/jujubewharf/forwarding/role_plan.py
+++ b/src/jujubewharf/forwarding/role_plan.py
@@ -12,7 +12,7 @@
 _MIN_GAIN = 0.1
 # Cost of a prefill on a decode engine relative to one on a prefill engine. It
 # is slower there and stalls the responses that the engine is generating.
-_DIRECT_COST = 8.0
+_DECODE_ENGINE_PREFILL_COST = 8.0
 # Weight of the capacity that would be left after the loss of one prefill
 # engine. A larger weight would keep a spare prefill engine where decode
 # memory is scarce.
@@ -45,31 +45,37 @@
     Returns:
         The changes, the most important one first.
     """
-    readers = [e for e in engines if e.role is resources.Role.PREFILL]
-    writers = [e for e in engines if e.role is resources.Role.DECODE]
-    total = len(readers) + len(writers)
+    prefill_engines = [e for e in engines if e.role is resources.Role.PREFILL]
+    decode_engines = [e for e in engines if e.role is resources.Role.DECODE]
+    total = len(prefill_engines) + len(decode_engines)
     if prefill_ms is None or decode_ms is None:
-        wanted = _one_of_each(total, len(readers))
+        target = _target_without_costs(total, len(prefill_engines))
     else:
-        wanted = _wanted(total, len(readers), prefill_ms, decode_ms)
-    if wanted < len(readers):
+        target = _target_count(
+            total, len(prefill_engines), prefill_ms, decode_ms
+        )
+    if target < len(prefill_engines):
         surplus = sorted(
-            readers, key=lambda e: _crowd(e, readers), reverse=True
+            prefill_engines,
+            key=lambda e: _domain_count(e, prefill_engines),
+            reverse=True,
         )
         return [
             Change(engine, resources.Role.DECODE)
-            for engine in surplus[: len(readers) - wanted]
+            for engine in surplus[: len(prefill_engines) - target]
         ]
-    if wanted > len(readers):
-        missing = sorted(writers, key=lambda e: _crowd(e, readers))
+    if target > len(prefill_engines):
+        candidates = sorted(
+            decode_engines, key=lambda e: _domain_count(e, prefill_engines)
+        )
         return [
             Change(engine, resources.Role.PREFILL)
-            for engine in missing[: wanted - len(readers)]
+            for engine in candidates[: target - len(prefill_engines)]
         ]
     return []
 
 
-def _one_of_each(total: int, present: int) -> int:
+def _target_without_costs(total: int, current: int) -> int:
     """Returns the number of prefill engines before costs are known.
 
     Keeps the declared roles unless one of the pools is empty: without a
@@ -77,50 +83,57 @@
     """
     if total < 2:
         return 0
-    return min(max(present, 1), total - 1)
+    return min(max(current, 1), total - 1)
 
 
-def _wanted(
-    total: int, present: int, prefill_ms: float, decode_ms: float
+def _target_count(
+    total: int, current: int, prefill_ms: float, decode_ms: float
 ) -> int:
     """Returns the number of prefill engines with the highest capacity."""
 
-    def capacity(readers: int) -> float:
-        writers = total - readers
-        whole = _requests_per_ms(readers, writers, prefill_ms, decode_ms)
-        if not readers:
-            return whole
-        less = _requests_per_ms(readers - 1, writers, prefill_ms, decode_ms)
-        return whole * (1.0 - _LOSS_WEIGHT) + less * _LOSS_WEIGHT
+    def capacity(prefill_count: int) -> float:
+        decode_count = total - prefill_count
+        full_rate = _requests_per_ms(
+            prefill_count, decode_count, prefill_ms, decode_ms
+        )
+        if not prefill_count:
+            return full_rate
+        reduced_rate = _requests_per_ms(
+            prefill_count - 1, decode_count, prefill_ms, decode_ms
+        )
+        return full_rate * (1.0 - _LOSS_WEIGHT) + reduced_rate * _LOSS_WEIGHT
 
     best = max(range(total + 1), key=capacity)
-    if capacity(best) < capacity(present) * (1.0 + _MIN_GAIN):
-        return present
+    if capacity(best) < capacity(current) * (1.0 + _MIN_GAIN):
+        return current
     return best
 
 
 def _requests_per_ms(
-    readers: int, writers: int, prefill_ms: float, decode_ms: float
+    prefill_count: int, decode_count: int, prefill_ms: float, decode_ms: float
 ) -> float:
     """Returns the request rate that the pools can sustain.
 
     Decode engines also take the prefills that exceed the prefill pool.
     """
-    by_memory = writers / decode_ms
-    by_reading = readers / prefill_ms
-    if by_memory <= by_reading:
-        return by_memory
-    direct_ms = prefill_ms * _DIRECT_COST
-    spare_ms = writers - by_reading * decode_ms
-    return by_reading + spare_ms / (decode_ms + direct_ms)
+    decode_rate = decode_count / decode_ms
+    prefill_rate = prefill_count / prefill_ms
+    if decode_rate <= prefill_rate:
+        return decode_rate
+    direct_ms = prefill_ms * _DECODE_ENGINE_PREFILL_COST
+    spare_ms = decode_count - prefill_rate * decode_ms
+    return prefill_rate + spare_ms / (decode_ms + direct_ms)
 
 
-def _crowd(
-    engine: resources.Endpoint, readers: Sequence[resources.Endpoint]
+def _domain_count(
+    engine: resources.Endpoint, prefill_engines: Sequence[resources.Endpoint]
 ) -> tuple[int, str]:
     """Returns the number of prefill engines in the engine's domain.
 
     Used as sort key, with ties broken by name. Spreading prefill engines over
     domains shortens transfers and limits the effect of losing a domain.
     """
-    return (sum(e.domain == engine.domain for e in readers), engine.name)
+    return (
+        sum(e.domain == engine.domain for e in prefill_engines),
+        engine.name,
+    )
--- a/src/jujubewharf/forwarding/sharing.py
+++ b/src/jujubewharf/forwarding/sharing.py
@@ -46,24 +46,24 @@
     def fraction(self) -> float:
         """Share of the fleet's total that belongs to this instance, 0 to 1."""
         share = self.lease.share
-        last = len(share.parts) / self._group.part_count
+        last_fraction = len(share.parts) / self._group.part_count
         if self.lease.is_current:
-            return last
+            return last_fraction
         if share.generation == 0:
             return self._default_share
         # With more instances than the default is meant for, the default shares
         # would add up to more than the total.
-        return min(last, self._default_share)
+        return min(last_fraction, self._default_share)
 
     @mode.Service.task
-    async def _stay(self) -> None:
-        every_ms = self._group.ttl_ms / leases.JOINS_PER_TTL
+    async def _keep_joined(self) -> None:
+        interval_ms = self._group.ttl_ms / leases.JOINS_PER_TTL
         while not self.should_stop and not self._has_left:
             try:
                 await self.lease.renew()
             except log.LogUnavailableError as error:
                 self._logger.debug("share_not_renewed", detail=str(error))
-            await self._clock.sleep_ms(every_ms)
+            await self._clock.sleep_ms(interval_ms)
 
     async def leave(self) -> None:
         """Leaves the group for good and releases all parts."""
--- a/tests/forwarding/test_come_back.py
+++ b/tests/forwarding/test_come_back.py
@@ -9,7 +9,7 @@
 from jujubewharf.forwarding import come_back
 
 
-def test_each_caller_is_told_a_later_time_as_far_as_it_waits():
+def test_retry_times_are_spaced_up_to_the_maximum():
     async def main():
         times = come_back.ComeBackTimes(
             clocks.Clock(wall_origin_ms=0.0), random.Random(1)
--- a/tests/forwarding/test_costs.py
+++ b/tests/forwarding/test_costs.py
@@ -9,7 +9,7 @@
 from jujubewharf.forwarding import costs
 
 
-def test_a_queue_before_the_engine_doesnt_make_reading_dear():
+def test_queueing_does_not_raise_prefill_cost():
     work = costs.WorkCosts()
     for _ in range(20):
         work.prefilled(100.0, prompt_tokens=5_000)
@@ -19,7 +19,7 @@
     assert work.prefill_ms < 1.2 * before_ms
 
 
-def test_prompts_found_in_the_cache_dont_make_reading_look_free():
+def test_cache_hits_do_not_lower_prefill_cost():
     """Cache hits must not lower the estimated cost of a prefill.
 
     The role plan would otherwise turn prefill engines into decode engines.
@@ -33,21 +33,21 @@
     assert work.prefill_ms > 90.0
 
 
-def test_engines_that_became_slower_are_noticed():
+def test_slower_engines_raise_prefill_cost():
     work = costs.WorkCosts()
     for _ in range(400):
         work.prefilled(300.0, prompt_tokens=5_000)
     assert work.prefill_ms == pytest.approx(300.0, rel=0.1)
 
 
-def test_writing_counts_by_its_part_of_the_memory():
+def test_decode_cost_is_weighted_by_memory_share():
     work = costs.WorkCosts()
     for _ in range(200):
         work.decoded(4_000.0, memory_part=0.25)
     assert work.decode_ms == pytest.approx(1_000.0, rel=0.01)
 
 
-def test_nothing_is_told_before_enough_was_seen():
+def test_no_estimates_without_enough_samples():
     work = costs.WorkCosts()
     assert (work.prefill_ms, work.decode_ms) == (None, None)
     for _ in range(5):
@@ -61,7 +61,7 @@
     assert work.decode_ms == pytest.approx(1_000.0)
 
 
-def test_prompts_of_all_sizes_count_with_their_fixed_cost():
+def test_prefill_cost_includes_fixed_cost_per_prompt():
     """Half of the prefills are queued, which must not raise the estimate."""
     work = costs.WorkCosts()
     rng = random.Random(3)
@@ -73,7 +73,7 @@
     assert work.prefill_ms == pytest.approx(alone_ms, rel=0.1)
 
 
-def test_answers_that_run_count_until_enough_have_ended():
+def test_projected_responses_count_until_enough_completed():
     work = costs.WorkCosts()
     for _ in range(12):
         work.projected(2_000.0, memory_part=0.1)
@@ -83,7 +83,7 @@
     assert work.decode_ms == pytest.approx(400.0)
 
 
-def test_readings_that_all_wait_dont_make_reading_dear():
+def test_busy_time_limits_prefill_cost_when_all_are_queued():
     """After a restart of all instances under load every prefill is queued.
 
     The estimate must then come from the time between ends of prefills.
@@ -94,7 +94,7 @@
     assert work.prefill_ms == pytest.approx(180.0)
 
 
-def test_short_answers_that_end_first_dont_make_writing_look_cheap():
+def test_early_short_responses_do_not_lower_decode_cost():
     """Short responses that complete first must not lower the estimate.
 
     The role plan would otherwise reassign a decode engine.
--- a/tests/forwarding/test_decisions.py
+++ b/tests/forwarding/test_decisions.py
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("is_sampled", [True, False])
-def test_a_failed_request_has_all_its_lines(is_sampled):
+def test_failed_request_logs_all_lines(is_sampled):
     events = _events(_id(is_sampled=is_sampled), "engine_failed")
     assert sorted(events) == [
         "engine_call_failed",
@@ -58,17 +58,17 @@
     ]
 
 
-def test_routine_lines_of_an_answered_request_are_a_sample():
+def test_successful_requests_log_routine_lines_if_sampled():
     assert _events(_id(is_sampled=False), "finished") == ["engine_call_failed"]
     assert "request_ended" in _events(_id(is_sampled=True), "finished")
 
 
-def test_one_in_sixteen_is_sampled_at_every_instance():
+def test_one_request_in_sixteen_is_sampled():
     sampled = sum(decisions.is_sampled(f"id-{n}") for n in range(16_000))
     assert 800 < sampled < 1_200
 
 
-def test_the_page_lists_every_event():
+def test_every_event_is_documented():
     """Every log event must be documented for operators."""
     source = pathlib.Path(decisions.__file__).parent
     said = set()
@@ -77,8 +77,10 @@
             if not isinstance(node, ast.Call):
                 continue
             called = ast.unparse(node.func)
-            place = 1 if called == "_routine" else 0
-            if re.search(r"logger\.(info|warning|error)$|^_routine$", called):
+            place = 1 if called == "_log_routine" else 0
+            if re.search(
+                r"logger\.(info|warning|error)$|^_log_routine$", called
+            ):
                 if len(node.args) > place:
                     argument = node.args[place]
                     if isinstance(argument, ast.Constant):
@@ -87,7 +89,7 @@
     assert said - listed == set()
 
 
-def test_no_line_holds_what_a_caller_sent():
+def test_no_line_contains_request_content():
     async def main():
         async with deployments.deployed(
             deployments.shop("s1", loses_answers=True)
--- a/tests/forwarding/test_line.py
+++ b/tests/forwarding/test_line.py
@@ -8,7 +8,7 @@
 from tests.forwarding import deployments
 
 
-def test_those_that_can_meet_their_target_come_first():
+def test_requests_that_can_meet_their_target_come_first():
     late = lines.Waiter(is_late=True, due_ms=1.0)
     patient = lines.Waiter(is_late=False, due_ms=9.0)
     hasty = lines.Waiter(is_late=False, due_ms=5.0)
@@ -16,7 +16,7 @@
     assert ordered == [hasty, patient, late]
 
 
-def test_all_are_woken_one_after_the_other():
+def test_all_requests_are_woken_in_order():
     """No request stays asleep when memory for several comes free at once."""
 
     async def main():
--- a/tests/forwarding/test_margins.py
+++ b/tests/forwarding/test_margins.py
@@ -12,7 +12,9 @@
 MEMORY_TOKENS = 80_000
 
 
-def _drawn(rng: random.Random, mean: int, spread: float) -> margins.Answer:
+def _random_length(
+    rng: random.Random, mean: int, spread: float
+) -> margins.Answer:
     tokens = mean * rng.lognormvariate(-0.25, 0.7)
     expected = tokens * rng.lognormvariate(0.0, spread)
     return margins.Answer(int(expected), int(tokens))
@@ -22,17 +24,17 @@
     rng = random.Random(7)
     lengths = margins.AnswerLengths()
     for _ in range(count):
-        lengths.ended(_drawn(rng, mean, spread))
+        lengths.ended(_random_length(rng, mean, spread))
     return lengths.margin(
         prompt_tokens=PROMPT_TOKENS, memory_tokens=MEMORY_TOKENS
     )
 
 
-def test_before_anything_was_observed_estimates_are_taken_as_they_are():
+def test_estimates_are_used_without_observations():
     assert _margin(2_000, 0.5, count=0) == margins.Margin(1.0, 0)
 
 
-def test_before_answers_have_ended_what_callers_expect_counts():
+def test_estimates_are_used_until_enough_responses_completed():
     """Short responses complete first and must not bias the margin."""
     lengths = margins.AnswerLengths()
     for _ in range(40):
@@ -49,7 +51,7 @@
 
 @pytest.mark.parametrize("spread", [0.05, 0.5])
 @pytest.mark.parametrize("mean", [500, 6_000])
-def test_answers_that_begin_together_rarely_outgrow_their_engine(mean, spread):
+def test_concurrent_responses_rarely_exceed_engine_memory(mean, spread):
     """A burst of admitted requests rarely exceeds the engine's memory.
 
     All responses start together and grow until each reaches its length.
@@ -61,7 +63,7 @@
         admitted: list[margins.Answer] = []
         left = MEMORY_TOKENS
         while True:
-            answer = _drawn(rng, mean, spread)
+            answer = _random_length(rng, mean, spread)
             need = PROMPT_TOKENS + margin.part * answer.expected_tokens
             if left < need + margin.free_tokens:
                 break
@@ -82,12 +84,12 @@
     )
 
 
-def test_short_answers_need_hardly_any_room_besides():
+def test_short_responses_need_little_headroom():
     assert _margin(500, 0.5).free_tokens < 0.04 * MEMORY_TOKENS
     assert _margin(6_000, 0.5).free_tokens > 0.05 * MEMORY_TOKENS
 
 
-def test_what_is_learned_follows_the_last_answers():
+def test_margin_follows_latest_responses():
     lengths = margins.AnswerLengths()
     needs = []
     for tokens in (1_000, 3_000):
--- a/tests/forwarding/test_ordering.py
+++ b/tests/forwarding/test_ordering.py
@@ -14,7 +14,7 @@
 writer = deployments.writer
 
 
-def _crowded():
+def _too_many_prefill_engines():
     """Returns three prefill engines where the plan wants one."""
     readers = [reader(f"p{i}") for i in range(3)]
     return [*readers, *(writer(f"d{i}") for i in range(3))]
@@ -26,52 +26,56 @@
 
     A prefill costs a fifth of a decode.
     """
-    async with deployments.deployed(*engines, names=names) as world:
-        for instance in world.instances.values():
+    async with deployments.deployed(*engines, names=names) as deployment:
+        for instance in deployment.instances.values():
             for _ in range(12):
                 instance.work.prefilled(94.0, prompt_tokens=5_200)
                 instance.work.decoded(4_000.0, memory_part=0.12)
-        yield world
+        yield deployment
 
 
-def _orders(world):
+def _received_orders(deployment):
     return [
         (backend.name, order)
-        for backend in world.backends.by_name.values()
+        for backend in deployment.backends.by_name.values()
         for order in backend.orders
     ]
 
 
-def test_the_holder_alone_gives_the_order():
+def test_only_lease_holder_orders():
     async def main():
-        async with _deployed(*_crowded(), names=("e1", "e2", "e3")) as world:
-            await world.clock.sleep_ms(8_000.0)
-            given = _orders(world)
+        async with _deployed(
+            *_too_many_prefill_engines(), names=("e1", "e2", "e3")
+        ) as deployment:
+            await deployment.clock.sleep_ms(8_000.0)
+            given = _received_orders(deployment)
             assert len(given) == 2
             assert {order.role for _, order in given} == {resources.Role.DECODE}
             assert {order.holder for _, order in given} == {"e1"}
             for name, order in given:
-                world.register(world.backends.by_name[name], role=order.role)
-            await world.clock.sleep_ms(30_000.0)
-            assert _orders(world) == given
+                deployment.register(
+                    deployment.backends.by_name[name], role=order.role
+                )
+            await deployment.clock.sleep_ms(30_000.0)
+            assert _received_orders(deployment) == given
 
     deployments.run(main())
 
 
-def test_an_engine_that_was_ordered_to_change_gets_no_prompt():
+def test_no_prompts_to_engine_with_accepted_order():
     """Requests aren't sent to an engine that accepted a role order.
 
     It refuses prompts while its registration still shows the old role.
     """
 
     async def main():
-        async with _deployed(*_crowded()) as world:
-            while not (given := _orders(world)):
-                await world.clock.sleep_ms(100.0)
-            changing = [world.backends.by_name[name] for name, _ in given]
+        async with _deployed(*_too_many_prefill_engines()) as deployment:
+            while not (given := _received_orders(deployment)):
+                await deployment.clock.sleep_ms(100.0)
+            changing = [deployment.backends.by_name[name] for name, _ in given]
             for backend in changing:
                 backend.is_changing = True
-            answers = await world.ask_all(*["/verdicts/1"] * 6)
+            answers = await deployment.ask_all(*["/verdicts/1"] * 6)
             assert all(answer.status == 200 for answer in answers)
             assert [backend.refused_readings for backend in changing] == [
                 0 for _ in changing
@@ -80,19 +84,19 @@
     deployments.run(main())
 
 
-def test_an_order_without_answer_is_left_until_it_can_not_be_late():
+def test_unacknowledged_order_blocks_further_orders():
     """An unacknowledged order may be carried out late and undo a newer one."""
 
     async def main():
-        engines = _crowded()
+        engines = _too_many_prefill_engines()
         for engine in engines:
             engine.next_fault = client.EngineFault.LOST
-        async with _deployed(*engines) as world:
+        async with _deployed(*engines) as deployment:
             given = []
             for _ in range(400):
-                await world.clock.sleep_ms(100.0)
-                if _orders(world) and not given:
-                    given.append(world.clock.now_ms())
+                await deployment.clock.sleep_ms(100.0)
+                if _received_orders(deployment) and not given:
+                    given.append(deployment.clock.now_ms())
             assert given
             # The lease is acquired after 3 s; the order is lost soon after.
             assert given[0] > 13_000.0
@@ -100,24 +104,24 @@
     deployments.run(main())
 
 
-def test_no_orders_while_the_store_is_away():
+def test_no_orders_during_store_outage():
     async def main():
-        async with _deployed(*_crowded()) as world:
-            world.endpoints.is_down = True
-            await world.clock.sleep_ms(20_000.0)
-            assert _orders(world) == []
+        async with _deployed(*_too_many_prefill_engines()) as deployment:
+            deployment.endpoints.is_down = True
+            await deployment.clock.sleep_ms(20_000.0)
+            assert _received_orders(deployment) == []
 
     deployments.run(main())
 
 
-def test_a_fenced_order_is_not_repeated_under_the_same_token():
+def test_rejected_fencing_token_is_not_reused():
     async def main():
-        engines = _crowded()
-        async with _deployed(*engines) as world:
+        engines = _too_many_prefill_engines()
+        async with _deployed(*engines) as deployment:
             for engine in engines:
                 engine.next_fault = client.EngineFault.REFUSED_FENCE
-            await world.clock.sleep_ms(30_000.0)
-            assert _orders(world) == []
+            await deployment.clock.sleep_ms(30_000.0)
+            assert _received_orders(deployment) == []
             fault = client.EngineFault.REFUSED_FENCE
             asked = [e.name for e in engines if e.next_fault is not fault]
             assert len(asked) == 1
@@ -130,179 +134,181 @@
     return [reader("p0", "a"), *(writer(f"d{i}", "b") for i in range(3))]
 
 
-def test_engines_that_vanish_for_some_seconds_cause_no_order():
+def test_short_absence_causes_no_order():
     """A short partition must not cause role changes.
 
     An order would only take effect when the engines are back.
     """
 
     async def main():
-        async with _deployed(*_balanced()) as world:
-            await world.clock.sleep_ms(8_000.0)
-            cut_off = world.backends.by_name["p0"]
+        async with _deployed(*_balanced()) as deployment:
+            await deployment.clock.sleep_ms(8_000.0)
+            cut_off = deployment.backends.by_name["p0"]
             cut_off.is_unreachable = True
-            world.endpoints.put("p0", None)
-            await world.clock.sleep_ms(5_500.0)
+            deployment.endpoints.put("p0", None)
+            await deployment.clock.sleep_ms(5_500.0)
             cut_off.is_unreachable = False
-            world.register(cut_off)
-            await world.clock.sleep_ms(20_000.0)
-            assert _orders(world) == []
+            deployment.register(cut_off)
+            await deployment.clock.sleep_ms(20_000.0)
+            assert _received_orders(deployment) == []
 
     deployments.run(main())
 
 
-def test_the_last_prefill_engine_that_leaves_is_replaced_soon():
+def test_draining_last_prefill_engine_is_replaced_at_once():
     async def main():
-        async with _deployed(*_balanced()) as world:
-            await world.clock.sleep_ms(8_000.0)
-            world.register(world.backends.by_name["p0"], drained=True)
-            await world.clock.sleep_ms(3_500.0)
-            ((_, order),) = _orders(world)
+        async with _deployed(*_balanced()) as deployment:
+            await deployment.clock.sleep_ms(8_000.0)
+            deployment.register(deployment.backends.by_name["p0"], drained=True)
+            await deployment.clock.sleep_ms(3_500.0)
+            ((_, order),) = _received_orders(deployment)
             assert order.role is resources.Role.PREFILL
 
     deployments.run(main())
 
 
-def test_one_that_stays_away_is_replaced_later():
+def test_lost_prefill_engine_is_replaced_after_timeout():
     async def main():
-        async with _deployed(*_balanced()) as world:
-            await world.clock.sleep_ms(8_000.0)
-            world.backends.by_name["p0"].is_unreachable = True
-            world.endpoints.put("p0", None)
-            await world.clock.sleep_ms(10_000.0)
-            ((_, order),) = _orders(world)
+        async with _deployed(*_balanced()) as deployment:
+            await deployment.clock.sleep_ms(8_000.0)
+            deployment.backends.by_name["p0"].is_unreachable = True
+            deployment.endpoints.put("p0", None)
+            await deployment.clock.sleep_ms(10_000.0)
+            ((_, order),) = _received_orders(deployment)
             assert order.role is resources.Role.PREFILL
 
     deployments.run(main())
 
 
-def test_what_vanished_before_an_instance_held_the_lease_counts_from_then():
+def test_absence_counts_from_before_the_lease_was_acquired():
     """The wait for a lost engine must not restart with each lease holder."""
 
     async def main():
-        async with _deployed(*_balanced()) as world:
-            await world.clock.sleep_ms(8_000.0)
-            world.groups.cut_off.add("e1")
-            await world.clock.sleep_ms(4_000.0)
-            world.backends.by_name["p0"].is_unreachable = True
-            world.endpoints.put("p0", None)
-            await world.clock.sleep_ms(5_000.0)
-            world.groups.cut_off.clear()
-            await world.clock.sleep_ms(1_000.0 + 3_000.0 + 2_500.0)
-            ((_, order),) = _orders(world)
+        async with _deployed(*_balanced()) as deployment:
+            await deployment.clock.sleep_ms(8_000.0)
+            deployment.groups.cut_off.add("e1")
+            await deployment.clock.sleep_ms(4_000.0)
+            deployment.backends.by_name["p0"].is_unreachable = True
+            deployment.endpoints.put("p0", None)
+            await deployment.clock.sleep_ms(5_000.0)
+            deployment.groups.cut_off.clear()
+            await deployment.clock.sleep_ms(1_000.0 + 3_000.0 + 2_500.0)
+            ((_, order),) = _received_orders(deployment)
             assert order.role is resources.Role.PREFILL
 
     deployments.run(main())
 
 
-def test_an_engine_that_began_anew_is_not_waited_for():
+def test_restarted_engine_is_not_awaited():
     """A crashed prefill engine is back under a new name as a decode engine.
 
     Waiting for its old name would leave the service without prefill.
     """
 
     async def main():
-        async with _deployed(*_balanced()) as world:
-            await world.clock.sleep_ms(8_000.0)
-            old = world.backends.by_name["p0"]
+        async with _deployed(*_balanced()) as deployment:
+            await deployment.clock.sleep_ms(8_000.0)
+            old = deployment.backends.by_name["p0"]
             old.is_unreachable = True
-            world.endpoints.put("p0", None)
-            await world.clock.sleep_ms(2_000.0)
+            deployment.endpoints.put("p0", None)
+            await deployment.clock.sleep_ms(2_000.0)
             again = writer("d9")
-            world.backends.by_name["d9"] = again
-            world.register(again, address=old.endpoint.address)
-            await world.clock.sleep_ms(800.0 + 500.0 + 1_000.0 + 500.0)
-            ((_, order),) = _orders(world)
+            deployment.backends.by_name["d9"] = again
+            deployment.register(again, address=old.endpoint.address)
+            await deployment.clock.sleep_ms(800.0 + 500.0 + 1_000.0 + 500.0)
+            ((_, order),) = _received_orders(deployment)
             assert order.role is resources.Role.PREFILL
 
     deployments.run(main())
 
 
-def test_an_old_entry_that_goes_after_the_new_one_came_starts_no_wait():
+def test_late_expiry_of_old_entry_starts_no_wait():
     """The old entry of a restarted engine expires after its new one appears."""
 
     async def main():
-        async with _deployed(*_balanced()) as world:
-            await world.clock.sleep_ms(8_000.0)
-            old = world.backends.by_name["p0"]
+        async with _deployed(*_balanced()) as deployment:
+            await deployment.clock.sleep_ms(8_000.0)
+            old = deployment.backends.by_name["p0"]
             old.is_unreachable = True
             again = writer("d9")
-            world.backends.by_name["d9"] = again
-            world.register(again, address=old.endpoint.address)
-            await world.clock.sleep_ms(2_000.0)
-            world.endpoints.put("p0", None)
-            await world.clock.sleep_ms(800.0 + 500.0 + 1_000.0 + 500.0)
-            ((_, order),) = _orders(world)
+            deployment.backends.by_name["d9"] = again
+            deployment.register(again, address=old.endpoint.address)
+            await deployment.clock.sleep_ms(2_000.0)
+            deployment.endpoints.put("p0", None)
+            await deployment.clock.sleep_ms(800.0 + 500.0 + 1_000.0 + 500.0)
+            ((_, order),) = _received_orders(deployment)
             assert order.role is resources.Role.PREFILL
 
     deployments.run(main())
 
 
-def test_one_that_takes_its_entry_out_and_still_answers_is_not_waited_for():
+def test_deregistered_engine_that_answers_is_not_awaited():
     """An engine that deregisters but still answers is shutting down.
 
     Unlike a crashed or partitioned engine it must be replaced at once.
     """
 
     async def main():
-        async with _deployed(*_balanced()) as world:
-            await world.clock.sleep_ms(8_000.0)
-            world.endpoints.put("p0", None)
+        async with _deployed(*_balanced()) as deployment:
+            await deployment.clock.sleep_ms(8_000.0)
+            deployment.endpoints.put("p0", None)
             with structlog.testing.capture_logs() as lines:
-                await world.clock.sleep_ms(3_500.0)
+                await deployment.clock.sleep_ms(3_500.0)
             told = [x for x in lines if x["event"] == "engine_vanished"]
             assert [(x["engine"], x["answers"]) for x in told] == [("p0", True)]
-            ((_, order),) = _orders(world)
+            ((_, order),) = _received_orders(deployment)
             assert order.role is resources.Role.PREFILL
 
     deployments.run(main())
 
 
-def test_before_costs_were_observed_the_declared_roles_stay():
+def test_declared_roles_stay_until_costs_are_known():
     """Prefill engines must not be reassigned on assumed costs."""
 
     async def main():
-        async with deployments.deployed(*_crowded()) as world:
-            await world.clock.sleep_ms(30_000.0)
-            assert _orders(world) == []
+        async with deployments.deployed(
+            *_too_many_prefill_engines()
+        ) as deployment:
+            await deployment.clock.sleep_ms(30_000.0)
+            assert _received_orders(deployment) == []
 
     deployments.run(main())
 
 
-def test_without_a_prefill_engine_one_is_ordered_before_any_cost_is_known():
+def test_missing_prefill_engine_is_ordered_without_costs():
     async def main():
         writers = [writer(f"d{i}") for i in range(3)]
-        async with deployments.deployed(*writers) as world:
-            await world.clock.sleep_ms(8_000.0)
-            ((_, order),) = _orders(world)
+        async with deployments.deployed(*writers) as deployment:
+            await deployment.clock.sleep_ms(8_000.0)
+            ((_, order),) = _received_orders(deployment)
             assert order.role is resources.Role.PREFILL
 
     deployments.run(main())
 
 
-def test_an_order_that_is_wanted_is_given_as_soon_as_the_lease_may_be_used():
+def test_settled_change_is_ordered_once_token_is_usable():
     """A change that the plan settled on earlier isn't delayed further."""
 
     async def main():
-        async with _deployed(*_crowded()) as world:
+        async with _deployed(*_too_many_prefill_engines()) as deployment:
             # 1.1 s have passed since the start.
-            await world.clock.sleep_ms(2_600.0)
-            assert _orders(world)
+            await deployment.clock.sleep_ms(2_600.0)
+            assert _received_orders(deployment)
 
     deployments.run(main())
 
 
-def test_few_engines_change_at_the_same_time():
+def test_concurrent_role_changes_are_limited():
     """A wrong cost estimate must not reassign most engines at once."""
 
     async def main():
         behind = [reader("p1"), *(writer(f"d{i}") for i in range(8))]
-        async with deployments.deployed(*behind) as world:
-            work = world.instances["e1"].work
+        async with deployments.deployed(*behind) as deployment:
+            work = deployment.instances["e1"].work
             for _ in range(20):
                 work.prefilled(2_000.0, prompt_tokens=5_200)
                 work.decoded(2_000.0, memory_part=0.12)
-            await world.clock.sleep_ms(9_000.0)
-            assert len(_orders(world)) == 3
+            await deployment.clock.sleep_ms(9_000.0)
+            assert len(_received_orders(deployment)) == 3
 
     deployments.run(main())
--- a/tests/forwarding/test_patience.py
+++ b/tests/forwarding/test_patience.py
@@ -14,7 +14,7 @@
 from tests.forwarding import deployments
 
 
-def _on_clock(test):
+def _with_policy(test):
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         work = costs.WorkCosts()
@@ -39,48 +39,48 @@
     return runs.Run(call, deployments.STREAM, deployments.ENGINES, due_ms)
 
 
-def test_what_answers_take_to_begin_is_kept_of_the_target():
-    async def test(found, work, clock):
-        unknown_ms = found.in_time_ms(_run(clock))
+def test_wait_leaves_time_for_first_event():
+    async def test(policy, work, clock):
+        unknown_ms = policy.in_time_ms(_run(clock))
         for _ in range(20):
             work.began(200.0)
-        assert found.in_time_ms(_run(clock)) == 700.0 > unknown_ms
+        assert policy.in_time_ms(_run(clock)) == 700.0 > unknown_ms
         for _ in range(80):
             work.began(5_000.0)
-        assert 0.0 < found.in_time_ms(_run(clock)) < 400.0
+        assert 0.0 < policy.in_time_ms(_run(clock)) < 400.0
 
-    _on_clock(test)
+    _with_policy(test)
 
 
-def test_one_whose_answer_cant_be_whole_in_time_doesnt_wait():
+def test_request_that_cannot_complete_in_time_does_not_wait():
     """A request that can't complete in time is refused without a wait."""
 
-    async def test(found, work, clock):
+    async def test(policy, work, clock):
         for _ in range(20):
             work.decoded(4_000.0, memory_part=0.1)
-        assert found.late_ms(_run(clock, patience_ms=9_000.0)) > 2_000.0
-        assert found.late_ms(_run(clock, patience_ms=4_000.0)) < 0.0
+        assert policy.late_ms(_run(clock, patience_ms=9_000.0)) > 2_000.0
+        assert policy.late_ms(_run(clock, patience_ms=4_000.0)) < 0.0
 
-    _on_clock(test)
+    _with_policy(test)
 
 
-def test_refused_callers_come_back_one_after_the_other():
+def test_retries_of_refused_requests_are_spaced():
     """Requests refused in a burst must not all be retried together.
 
     Retries are spaced, start late enough and stay within the timeout.
     """
 
-    async def test(found, work, clock):
+    async def test(policy, work, clock):
         for _ in range(20):
             work.decoded(3_000.0, memory_part=0.1)
         call = _run(clock).call
-        times_ms = [found.come_back_ms(call, 10) for _ in range(4)]
+        times_ms = [policy.come_back_ms(call, 10) for _ in range(4)]
         assert times_ms[0] >= 2_400.0
         apart = [b - a for a, b in itertools.pairwise(times_ms)]
         assert min(apart) > 0.0
-        more = [found.come_back_ms(call, 10) for _ in range(9)]
+        more = [policy.come_back_ms(call, 10) for _ in range(9)]
         assert max(more) <= 14_000.0 / 3
         hasty = dataclasses.replace(call, patience_ms=3_000.0)
-        assert found.come_back_ms(hasty, 10) <= 1_000.0
+        assert policy.come_back_ms(hasty, 10) <= 1_000.0
 
-    _on_clock(test)
+    _with_policy(test)
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -17,7 +17,7 @@
 FAR = [deployments.writer(f"far{n}", "b").endpoint for n in range(2)]
 
 
-def _on_pool(test):
+def _with_pool(test):
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         pool = pools.EnginePool(
@@ -33,23 +33,23 @@
     virtual_time.run(main())
 
 
-def _first(pool) -> str:
-    asked = pool.to_decode(
+def _first_candidate(pool) -> str:
+    candidates = pool.to_decode(
         [*NEAR, *FAR], tokens=8_000, memory_tokens=MEMORY, near="a"
     )
-    return asked[0].name
+    return candidates[0].name
 
 
-def test_engines_of_the_own_domain_come_first_while_load_is_alike():
+def test_engines_of_own_domain_come_first_at_equal_load():
     def test(pool, held):
         held.enter_context(pool.holding("near0", 5_000))
         held.enter_context(pool.holding("near1", 6_000))
-        assert _first(pool) == "near0"
+        assert _first_candidate(pool) == "near0"
 
-    _on_pool(test)
+    _with_pool(test)
 
 
-def test_a_burst_of_one_domain_spreads_over_the_engines_of_all():
+def test_burst_from_one_domain_spreads_over_all_engines():
     """A burst from one domain must not overfill that domain's engines.
 
     Overfilled engines preempt responses while memory elsewhere is unused.
@@ -58,9 +58,9 @@
     def test(pool, held):
         load = dict.fromkeys(("near0", "near1", "far0", "far1"), 0)
         for _ in range(12):
-            name = _first(pool)
+            name = _first_candidate(pool)
             held.enter_context(pool.holding(name, 8_000))
             load[name] += 8_000
         assert max(load.values()) - min(load.values()) <= 10_000
 
-    _on_pool(test)
+    _with_pool(test)
--- a/tests/forwarding/test_role_plan.py
+++ b/tests/forwarding/test_role_plan.py
@@ -12,8 +12,8 @@
 DECODE = resources.Role.DECODE
 
 
-def _engines(readers: int, writers: int) -> list[resources.Endpoint]:
-    roles = [PREFILL] * readers + [DECODE] * writers
+def _engines(prefill_count: int, decode_count: int) -> list[resources.Endpoint]:
+    roles = [PREFILL] * prefill_count + [DECODE] * decode_count
     return [
         deployments.engine(f"e{i}", role, "abc"[i % 3]).endpoint
         for i, role in enumerate(roles)
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("readers", "writers", "decode_ms", "expected"),
+    ("prefill_count", "decode_count", "decode_ms", "expected"),
     [
         # A prefill costs a fifth of a decode.
         (3, 3, 480.0, 1),
@@ -40,16 +40,18 @@
         (0, 1, 480.0, 0),
     ],
 )
-def test_the_pools_are_kept_equally_busy(readers, writers, decode_ms, expected):
-    engines = _engines(readers, writers)
+def test_pool_sizes_balance_load(
+    prefill_count, decode_count, decode_ms, expected
+):
+    engines = _engines(prefill_count, decode_count)
     changes = role_plan.changes(engines, prefill_ms=90.0, decode_ms=decode_ms)
     more = sum(c.role is PREFILL for c in changes)
     less = sum(c.role is DECODE for c in changes)
-    assert readers + more - less == expected
+    assert prefill_count + more - less == expected
     assert not (more and less)
 
 
-def test_readers_are_spread_over_domains():
+def test_prefill_engines_are_spread_over_domains():
     engines = [
         deployments.reader("p1", "a").endpoint,
         deployments.reader("p2", "a").endpoint,
@@ -62,14 +64,14 @@
 
 
 @pytest.mark.parametrize(
-    ("readers", "writers", "expected"),
+    ("prefill_count", "decode_count", "expected"),
     [(3, 6, 3), (0, 6, 1), (6, 0, 5), (0, 1, 0), (1, 0, 0)],
 )
-def test_unknown_costs_change_no_more_than_an_empty_pool(
-    readers, writers, expected
+def test_without_costs_only_empty_pools_change(
+    prefill_count, decode_count, expected
 ):
-    engines = _engines(readers, writers)
+    engines = _engines(prefill_count, decode_count)
     changes = role_plan.changes(engines, prefill_ms=None, decode_ms=400.0)
     more = sum(c.role is PREFILL for c in changes)
     less = sum(c.role is DECODE for c in changes)
-    assert readers + more - less == expected
+    assert prefill_count + more - less == expected
--- a/tests/forwarding/test_sharing.py
+++ b/tests/forwarding/test_sharing.py
@@ -8,7 +8,7 @@
 from jujubewharf.standins import tables
 
 
-def _on_clock(test):
+def _with_members(test):
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         groups = tables.StandInGroups(clock)
@@ -27,15 +27,15 @@
     virtual_time.run(main())
 
 
-def test_the_shares_of_all_are_one_whole():
+def test_shares_add_up_to_one():
     async def test(clock, groups, members):
         await clock.sleep_ms(3_000.0)
         assert sum(m.fraction for m in members.values()) == 1.0
 
-    _on_clock(test)
+    _with_members(test)
 
 
-def test_one_may_give_orders_and_only_after_the_one_before_is_out():
+def test_fencing_token_requires_expiry_of_previous_holder():
     """Engines never see two holders within one time to live.
 
     The old holder's lease expires before the new holder's token is usable.
@@ -65,10 +65,10 @@
         assert begins_ms is not None
         assert begins_ms - last_ms >= groups.ttl_ms
 
-    _on_clock(test)
+    _with_members(test)
 
 
-def test_one_that_is_cut_off_takes_the_small_share():
+def test_partitioned_instance_uses_default_share():
     async def test(clock, groups, members):
         await clock.sleep_ms(3_000.0)
         groups.cut_off.add("a")
@@ -76,20 +76,20 @@
         assert members["a"].fraction == 0.01
         assert not members["a"].lease.is_current
 
-    _on_clock(test)
+    _with_members(test)
 
 
-def test_a_fence_that_was_refused_is_not_used_again():
+def test_rejected_fencing_token_is_not_reused():
     async def test(clock, groups, members):
         await clock.sleep_ms(8_000.0)
         fence = members["a"].lease.fence
         members["a"].lease.fenced(fence)
         assert members["a"].lease.fence is None
 
-    _on_clock(test)
+    _with_members(test)
 
 
-def test_one_that_leaves_is_replaced_without_waiting():
+def test_leaving_member_is_replaced_without_expiry():
     async def test(clock, groups, members):
         await clock.sleep_ms(8_000.0)
         await members["a"].leave()
@@ -97,10 +97,10 @@
         await clock.sleep_ms(1_500.0 + groups.ttl_ms)
         assert members["b"].lease.fence is not None
 
-    _on_clock(test)
+    _with_members(test)
 
 
-def test_a_lease_that_ran_out_is_waited_for_again():
+def test_expired_lease_requires_new_wait():
     """A member whose lease expired must wait again before it gives orders.
 
     Another member held the lease in the meantime.
@@ -122,10 +122,10 @@
         assert back_ms is not None
         assert clock.now_ms() - back_ms >= groups.ttl_ms - 200.0
 
-    _on_clock(test)
+    _with_members(test)
 
 
-def test_many_instances_that_lose_the_group_take_no_more_than_the_whole():
+def test_partitioned_instances_share_at_most_the_total():
     """Partitioned instances must not take more than the total in sum.
 
     Each takes the smaller of its last share and the default.
@@ -140,4 +140,4 @@
         assert not any(m.lease.is_current for m in members.values())
         assert sum(m.fraction for m in members.values()) <= 1.0
 
-    _on_clock(test)
+    _with_members(test)
