--- a/src/jujubewharf/leadership/__init__.py
+++ b/src/jujubewharf/leadership/__init__.py
@@ -1,12 +1,12 @@
-"""One instance that sees all: it reads the store and places requests for all.
+"""Leader election, and request placement by the leader for all instances.
 
-The load this answers: hundreds of instances before a few dozen engines. Each
-sees one request in hundreds, so none could know which engine has room, what
-requests cost or how long a refused caller should stay away; and each of them
-reading the platform's store for itself would cost more than what they serve.
+With hundreds of instances and a few dozen engines each instance sees only a
+small fraction of all requests. A single instance can't tell which engine has
+free memory, what requests cost or which retry-after a refused caller should
+get, and the platform's store could not bear hundreds of readers.
 
-The instances elect a leader by a group on the platform's store and keep one
-link to it. Nothing depends on it for safety: what the leader says is checked
-by engines themselves, and an instance without a link reads the store and
-places its requests by itself.
+The instances therefore elect a leader through a group on the platform's store,
+and each keeps one link to it. Safety doesn't depend on the leader: engines
+check its placements themselves, and an instance without a link reads the store
+and places its requests on its own.
 """
--- a/src/jujubewharf/leadership/account_feed.py
+++ b/src/jujubewharf/leadership/account_feed.py
@@ -1,4 +1,4 @@
-"""What the leader tells of accounts that have little left."""
+"""A follower's copy of the accounts that the leader reported as low."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 
 
 class AccountFeed:
-    """What accounts may still use by the leader's word.
+    """Remaining quota of the accounts that the leader reported as low.
 
-    An account that isn't named has enough left. Of one that is, what is gained
-    since is added and what is admitted here taken off, until the next word.
+    Accounts that were not reported have enough quota left. For a reported
+    account, quota refilled since the report is added and local admissions are
+    subtracted, until the next report.
 
     Args:
-        clock: Time.
+        clock: Clock.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -26,28 +27,28 @@
 
     @property
     def low(self) -> frozenset[str]:
-        """Accounts that have little left."""
+        """Names of the accounts that were reported as low."""
         return self._ledger.names
 
     def begin(self) -> None:
-        """Forgets what another leader has told."""
+        """Discards what the previous leader reported."""
         self._ledger.forget()
 
     def told(self, left: Iterable[quota_messages.AccountLeft]) -> None:
-        """Learns which accounts have little left."""
+        """Replaces the low accounts by those of a new report."""
         self._ledger.forget()
         now_ms = self._clock.now_ms()
         for account in left:
             self._ledger.put(account.account, account.units, now_ms)
 
     def left(self, name: str, quota: accounts.Quota) -> float:
-        """What an account that has little left has now."""
+        """Returns the units that a low account has left now."""
         return self._ledger.left(name, quota, self._clock.now_ms())
 
     def take(
         self, name: str, quota: accounts.Quota, units: float, *, debt: float
     ) -> float:
-        """Takes units here; see ``quotas.QuotaLedger.take``."""
+        """Takes units of a low account; see ``quotas.QuotaLedger.take``."""
         if not self._ledger.knows(name):
             return 0.0
         now_ms = self._clock.now_ms()
--- a/src/jujubewharf/leadership/account_pace.py
+++ b/src/jujubewharf/leadership/account_pace.py
@@ -1,4 +1,4 @@
-"""How much accounts use at an instance, and what part of all that is."""
+"""Recent use of accounts at an instance, and its share of their total use."""
 
 from __future__ import annotations
 
@@ -8,31 +8,38 @@
 from jujubewharf.forwarding import recent
 from jujubewharf.peers import messages
 
-# Time over which a pace is measured. Requests of a big account come several
-# times a second at an instance, those of a small one every few seconds.
+# Window over which use is summed.
 PACE_MS = 10_000.0
 
 
 class AccountPace:
-    """What accounts have used lately."""
+    """Units that each account has used within the last ``PACE_MS``."""
 
     def __init__(self) -> None:
         self._sums: dict[str, recent.RecentSum] = {}
 
     def add(self, account: str, units: float, now_ms: float) -> None:
-        """Adds what an account uses now."""
+        """Adds units that an account uses now."""
         found = self._sums.get(account)
         if found is None:
             found = self._sums[account] = recent.RecentSum(PACE_MS)
         found.add(now_ms, units)
 
     def total(self, account: str, now_ms: float) -> float:
-        """What an account has used lately."""
+        """Returns the units that an account has used within the window."""
         found = self._sums.get(account)
         return 0.0 if found is None else found.total(now_ms)
 
     def parts_of(self, whole: AccountPace, now_ms: float) -> dict[str, float]:
-        """What part of another pace this one is, for accounts in use."""
+        """Returns the share of each active account's use in another total.
+
+        Args:
+            whole: Use that includes this use.
+            now_ms: Current time in ms.
+
+        Returns:
+            Shares, 0 to 1, by account.
+        """
         parts: dict[str, float] = {}
         for account, found in list(self._sums.items()):
             used = found.total(now_ms)
@@ -46,12 +53,12 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class FollowerUse:
-    """What accounts use at one follower.
+    """Recent use of accounts at one follower.
 
     Attributes:
         peer: Name of the follower.
-        tell: Sends it a message.
-        pace: What its callers' accounts have used lately.
+        tell: Sends a message to the follower.
+        pace: Recent use by the follower's callers.
     """
 
     peer: str
--- a/src/jujubewharf/leadership/crash_follower.py
+++ b/src/jujubewharf/leadership/crash_follower.py
@@ -1,9 +1,10 @@
-"""Reads what the platform's store keeps of requests that crash engines.
+"""Reads the crash reports in the platform's store.
 
-Whoever starts reads it whole, since a restart of all leaves nobody to tell it.
-After that a follower is told by its leader. The leader and who has none go on
-reading: a cut between them hides from each what the others see, and the store
-may be what they all still reach.
+Each instance reads the whole table at start, since no leader may be left after
+a restart of all instances. After that, followers get the reports from their
+leader. The leader and instances without one keep reading: if the network
+between them is partitioned, the store may be the only place that all of them
+reach.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 from jujubewharf.platform import record_errors
 from jujubewharf.platform import tables
 
-# Names the table in log lines.
+# Name of the table in log lines.
 _TABLE = "crashes"
-# A read waits so long at the store for news: few calls while there are none.
+# Long poll of a read, which keeps calls rare while there are no changes.
 _WAIT_MS = 5_000.0
-# Pause between two looks of a follower whether it still has a leader.
+# Interval at which a follower checks that it still has a leader.
 _LOOK_MS = 250.0
 
 OnRecord = Callable[[str, fingerprints.Fingerprint], None]
@@ -39,15 +40,15 @@
     *,
     on_record: OnRecord,
 ) -> follower.TableFollower[bytes]:
-    """Makes the service that reads the table.
+    """Creates the service that reads the table of crash reports.
 
     Args:
         table: The store's table.
-        fleet: The leader of this instance, or its followers.
-        spread: Learns what the store has, and tells it to the others.
-        clock: Time.
-        rng: Spreads the readings.
-        on_record: Told of each record that is there.
+        fleet: Role of this instance.
+        spread: Applies the reports and broadcasts them.
+        clock: Clock.
+        rng: Random jitter of reads.
+        on_record: Called with the key and fingerprint of each record.
     """
     return follower.TableFollower(
         _TABLE,
@@ -61,9 +62,9 @@
 
 
 class _UnledTable:
-    """A table whose changes a follower leaves for later.
+    """A table that returns no changes while this instance follows a leader.
 
-    They are read from where it stopped as soon as it has no leader.
+    Reading resumes at the same offset once there is no leader.
     """
 
     def __init__(
@@ -77,13 +78,13 @@
         self._clock = clock
 
     async def newest(self) -> tables.TablePage[bytes]:
-        """The newest record of each key; see ``tables.Table``."""
+        """Returns the newest record of each key; see ``tables.Table``."""
         return await self._table.newest()
 
     async def changes(
         self, from_offset: int, *, wait_ms: float
     ) -> tables.TablePage[bytes]:
-        """Later records, none for a follower; see ``tables.Table``."""
+        """Returns later records, none for a follower; see ``tables.Table``."""
         if self._fleet.role is fleets.Role.FOLLOWING:
             await self._clock.sleep_ms(_LOOK_MS)
             return tables.TablePage((), from_offset)
@@ -91,7 +92,7 @@
 
 
 class _Reports:
-    """Takes over the reports of a page."""
+    """Applies the crash reports of table pages."""
 
     def __init__(
         self,
@@ -105,7 +106,7 @@
         self._errors = record_errors.RecordErrors(_TABLE)
 
     def take(self, page: tables.TablePage[bytes], is_whole: bool) -> None:
-        """Learns what a page tells."""
+        """Applies the reports of a page."""
         wall_ms = self._clock.wall_ms()
         for record in page.records:
             if record.value is None:
--- a/src/jujubewharf/leadership/crash_keeper.py
+++ b/src/jujubewharf/leadership/crash_keeper.py
@@ -1,9 +1,10 @@
-"""Keeps what is known of requests that crash engines in the platform's store.
+"""Writes the crash history of requests to the platform's store.
 
-A loss of power everywhere would else let each of them crash three engines more.
-The leader writes for all, and so does who has no leader; ``crash_follower``
-reads. Each writer has keys of its own, so that none overwrites what another one
-knows, and reports join in any order.
+Without it, each crashing request could crash three more engines after a restart
+of all instances. The leader writes on behalf of its followers; an instance
+without a leader writes its own reports. ``crash_follower`` reads them. Each
+writer uses its own keys, so writers never overwrite each other, and reports can
+be merged in any order.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 from jujubewharf.platform import log
 from jujubewharf.platform import tables
 
-# What changes within this time is written together.
+# Changes within this time are written in one batch.
 _GATHER_MS = 50.0
-# Pause between two looks where nothing changes, and after a failed call.
+# Interval between checks without changes, and pause after a failed write.
 _LOOK_MS = 250.0
-# What a follower has told its leader is written by that one, unless it has
-# fallen silent meanwhile; the follower knows that after less than this time.
+# Time after which a follower drops reports that it sent to its leader. A leader
+# that could not write them has been detected as lost before.
 _LEADER_WRITES_MS = 5_000.0
-# Records of requests that nobody remembers are removed this often.
+# Interval at which records of expired requests are deleted.
 _CLEAN_MS = 60_000.0
 _WRITER_BYTES = 6
 
@@ -42,10 +43,10 @@
 
     Args:
         table: The store's table.
-        fleet: The leader of this instance, or its followers.
-        history: What this instance knows.
-        spread: Tells what has become known here.
-        clock: Time.
+        fleet: Role of this instance.
+        history: Crash history of this instance.
+        spread: Reports changes of the history.
+        clock: Clock.
     """
 
     def __init__(
@@ -62,14 +63,15 @@
         self._history = history
         self._spread = spread
         self._clock = clock
-        # Another one for each start, which must not overwrite the one before.
+        # Unique per process start, so that a restart doesn't overwrite earlier
+        # records.
         self._writer = secrets.token_hex(_WRITER_BYTES)
         self._numbers = itertools.count(1)
         self._own_keys: dict[fingerprints.Fingerprint, str] = {}
         self._logger = structlog.get_logger()
         self._role: fleets.Role | None = None
         self._keys: dict[str, fingerprints.Fingerprint] = {}
-        # What is to be written, and since when.
+        # Time in ms of each change that has not been written yet.
         self._unwritten: dict[fingerprints.Fingerprint, float] = {}
         self._cleaned_ms = 0.0
         self._changed = asyncio.Event()
@@ -80,7 +82,7 @@
         self._changed.set()
 
     def found(self, key: str, fingerprint: fingerprints.Fingerprint) -> None:
-        """Learns that the table has a record under a key."""
+        """Records that the table has a record under a key."""
         self._keys[key] = fingerprint
 
     @mode.Service.task
@@ -107,15 +109,14 @@
         await self._clock.sleep_ms(_GATHER_MS)
 
     async def _look(self) -> None:
-        """Does what is due in the role that this instance has now."""
+        """Writes and cleans as the current role requires."""
         role, was = self._fleet.role, self._role
         self._role = role
         if role is fleets.Role.FOLLOWING:
             self._leave_to_leader()
             return
         if role is fleets.Role.LEADING and was is not role:
-            # Whoever led before may have failed to write, or written what it
-            # could tell nobody.
+            # The previous leader may have failed to write its reports.
             now_ms = self._clock.now_ms()
             self._unwritten = dict.fromkeys(self._history.known(), now_ms)
         if self._unwritten:
@@ -124,14 +125,14 @@
             await self._clean()
 
     def _leave_to_leader(self) -> None:
-        """Forgets what the leader has been told, once it must have written."""
+        """Drops changes that the leader has had enough time to write."""
         oldest_ms = self._clock.now_ms() - _LEADER_WRITES_MS
         for fingerprint, since_ms in list(self._unwritten.items()):
             if since_ms < oldest_ms:
                 del self._unwritten[fingerprint]
 
     async def _write(self) -> None:
-        # What changes during the call is written by the next one.
+        # Changes that arrive during the write go into the next batch.
         written, self._unwritten = self._unwritten, {}
         try:
             await self._write_all(written)
@@ -152,7 +153,7 @@
             await self._table.write(values)
 
     def _own_key(self, fingerprint: fingerprints.Fingerprint) -> str:
-        """The key under which this writer keeps a request; it tells nothing."""
+        """Returns this writer's opaque key for a request."""
         key = self._own_keys.get(fingerprint)
         if key is None:
             key = f"{self._writer}-{next(self._numbers)}"
--- a/src/jujubewharf/leadership/crash_services.py
+++ b/src/jujubewharf/leadership/crash_services.py
@@ -1,4 +1,4 @@
-"""The services between crash reports and the platform's store, together."""
+"""Creates the services that synchronize crash reports with the store."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
     clock: clocks.Clock,
     rng: random.Random,
 ) -> tuple[mode.Service, ...]:
-    """Makes what writes the table and what reads it.
+    """Creates the writer and the reader of the table of crash reports.
 
     Args:
-        table: The store's table; ``None`` where nothing is kept.
-        fleet: The leader of this instance, or its followers.
-        history: What this instance knows.
-        spread: Tells it to the others.
-        clock: Time.
-        rng: Spreads the readings.
+        table: The store's table; ``None`` disables persistence.
+        fleet: Role of this instance.
+        history: Crash history of this instance.
+        spread: Broadcasts changes of the history.
+        clock: Clock.
+        rng: Random jitter of reads.
     """
     if table is None:
         return ()
--- a/src/jujubewharf/leadership/feeds.py
+++ b/src/jujubewharf/leadership/feeds.py
@@ -1,4 +1,4 @@
-"""The store's tables as a leader tells them, and by itself without one."""
+"""Store tables received from the leader, with the store as fallback."""
 
 from __future__ import annotations
 
@@ -18,22 +18,23 @@
 
 
 class Feed(Generic[T]):
-    """What the leader has told of one table.
+    """Records of one table, as received from the leader.
 
     Args:
-        clock: Time.
-        fresh_ms: Age up to which the leader's word is as good as a reading.
+        clock: Clock.
+        fresh_ms: Age in ms up to which the leader's confirmation counts as a
+            read of the store.
 
     Attributes:
-        fetch: Has the leader send what it left to be read at the store; tells
-            whether it did.
+        fetch: Requests the records that the leader did not send; returns
+            whether they arrived.
     """
 
     def __init__(self, clock: clocks.Clock, *, fresh_ms: float) -> None:
         self.fetch: Callable[[], Awaitable[bool]] | None = None
         self._clock = clock
         self._fresh_ms = fresh_ms
-        # Offset of the newest record that the leader has read and not sent.
+        # Offset of the newest record that the leader has read but not sent.
         self._unsent: int | None = None
         self._records: dict[str, tables.TableRecord[T]] = {}
         self._end: int | None = None
@@ -42,7 +43,7 @@
 
     @property
     def is_fresh(self) -> bool:
-        """Whether its word may be relied on now."""
+        """Whether the records are recent enough to skip the store."""
         return self._end is not None and self._left_ms > 0.0
 
     @property
@@ -50,15 +51,20 @@
         return self._confirmed_ms + self._fresh_ms - self._clock.now_ms()
 
     def begin(self) -> None:
-        """Forgets what another leader has told."""
+        """Discards what the previous leader sent."""
         self._records.clear()
         self._unsent = None
         self._end = None
 
     def confirm(self, end: int, *, age_ms: float) -> None:
-        """Learns how far the leader has read, and how long ago."""
+        """Extends freshness to a confirmed end offset.
+
+        Args:
+            end: Offset up to which the leader has read the table.
+            age_ms: Time in ms since that read.
+        """
         if self._end is None:
-            # The records come first.
+            # The first records have not arrived yet.
             return
         self._confirmed_ms = self._clock.now_ms() - age_ms
         if end > self._end:
@@ -66,7 +72,7 @@
             self._wake()
 
     def take(self, records: Iterable[tables.TableRecord[T]], end: int) -> None:
-        """Learns changed records."""
+        """Applies changed records."""
         if self._end is None:
             self._confirmed_ms = self._clock.now_ms()
         for record in records:
@@ -77,7 +83,7 @@
         self._wake()
 
     def take_unsent(self, offset: int, end: int) -> None:
-        """Learns of a record that has to be read at the store."""
+        """Notes a record that must be read from the store."""
         self._unsent = max(offset, self._unsent or 0)
         self.take((), end)
 
@@ -86,7 +92,7 @@
         news.set()
 
     async def freshened(self, within_ms: float) -> None:
-        """Waits a while for a leader's word."""
+        """Waits up to ``within_ms`` until the records are fresh."""
         until_ms = self._clock.now_ms() + within_ms
         while not self.is_fresh:
             left_ms = until_ms - self._clock.now_ms()
@@ -97,10 +103,10 @@
     async def after(
         self, offset: int, *, wait_ms: float
     ) -> tables.TablePage[T] | None:
-        """Records from an offset on, waiting a while when there is none.
+        """Returns records from an offset on, waiting up to ``wait_ms`` for one.
 
         Returns:
-            ``None`` where the store must be asked.
+            ``None`` if the store must be read instead.
         """
         until_ms = self._clock.now_ms() + wait_ms
         while self.is_fresh:
@@ -114,7 +120,7 @@
         return None
 
     def _lacks(self, offset: int) -> bool:
-        """Whether a record from an offset on wasn't sent."""
+        """Whether a record from an offset on was not sent."""
         return self._unsent is not None and self._unsent >= offset
 
     def _page(self, offset: int) -> tables.TablePage[T]:
@@ -130,14 +136,14 @@
 
 
 class LeaderTable(Generic[T]):
-    """Implements ``tables.Table`` from the leader's word, or the store.
+    """Implements ``tables.Table`` with the leader's records, or the store.
 
     Args:
         table: The store's table.
-        feed: What the leader tells of it.
-        clock: Time.
-        pause_ms: Tells the time between two readings of a table that others
-            write all the time; a reading of one without it waits for news.
+        feed: Records received from the leader.
+        clock: Clock.
+        pause_ms: Returns the time in ms between reads of a table that changes
+            all the time; without it, reads are long polls.
     """
 
     def __init__(
@@ -155,14 +161,14 @@
         self._read_ms: float | None = None
 
     async def newest(self) -> tables.TablePage[T]:
-        """The newest record of each key; see ``tables.Table``."""
+        """Returns the newest record of each key; see ``tables.Table``."""
         self._read_ms = self._clock.now_ms()
         return await self._table.newest()
 
     async def changes(
         self, from_offset: int, *, wait_ms: float
     ) -> tables.TablePage[T]:
-        """Later records; see ``tables.Table``."""
+        """Returns later records; see ``tables.Table``."""
         page = await self._feed.after(from_offset, wait_ms=wait_ms)
         if page is not None:
             return page
@@ -176,11 +182,11 @@
         return await self._read(from_offset, wait_ms=0.0)
 
     async def _read_unsent(self, from_offset: int) -> tables.TablePage[T]:
-        """Reads what the leader has read and not sent.
+        """Reads records that the leader has read but not sent.
 
-        The store may turn this instance away while it serves the leader. A
-        caller's key that was withdrawn would go on to be taken here, so the
-        leader is asked then.
+        The store may refuse this instance while it serves the leader. The
+        records are then requested from the leader: otherwise a withdrawn API
+        key would still be accepted here.
         """
         try:
             return await self._read(from_offset, wait_ms=0.0)
--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -1,4 +1,4 @@
-"""One instance's part in leading and following, put together."""
+"""The leader and follower sides of one instance."""
 
 from __future__ import annotations
 
@@ -25,17 +25,18 @@
 from jujubewharf.peers import link_messages
 from jujubewharf.peers import messages
 
-# Parts of the times within which a change must count, up to which a leader's
-# reading is taken for this instance's own: what is left must do for a reading
-# of its own when the leader falls silent.
+# Shares of the time limits for a change to take effect during which the
+# leader's read counts as this instance's own. The rest leaves time for an own
+# read of the store when the leader becomes unreachable.
 _CONFIGURATION_PART = 0.75
 _ENDPOINTS_PART = 0.5
-# Mean stays of an answer after which nearly all that ran before have ended.
+# Multiple of the mean time an answer holds memory, after which nearly all
+# earlier answers have ended.
 _ENDED_AFTER_STAYS = 2.0
 
 
 class Role(enum.Enum):
-    """Who counts what the fleet shares."""
+    """Role of an instance: who counts what the fleet shares."""
 
     LEADING = "leading"
     FOLLOWING = "following"
@@ -43,23 +44,25 @@
 
 
 class Fleet:
-    """What an instance knows of its leader, or of its followers.
+    """The link of an instance to its leader, or to its followers.
 
     Args:
-        registry: Tells engines by their names.
-        work: What this instance has observed of costs.
-        knowledge: What all instances must know alike.
-        endpoints_end: Tells how far this instance has read endpoints.
-        clock: Time.
-        in_force_within_ms: Time within which a configuration must be in force.
-        leaving_within_ms: Time after which an endpoint that leaves may get no
-            more work.
-        count_within_ms: Time for which followers count after their links ended.
+        registry: Known engines by name.
+        work: Costs observed by this instance.
+        knowledge: State that all instances share.
+        endpoints_end: Returns the offset up to which this instance has read the
+            endpoints.
+        clock: Clock.
+        in_force_within_ms: Time limit in ms for a configuration to take effect.
+        leaving_within_ms: Time limit in ms after which a leaving endpoint may
+            get no new work.
+        count_within_ms: Time in ms for which followers are counted after their
+            links ended.
 
     Attributes:
-        feeds: What the leader tells of the store.
+        feeds: Data received from the leader.
         link: The link to the leader.
-        followers: Those who follow this instance; ``None`` where it can't lead.
+        followers: Followers of this instance; ``None`` if it can't lead.
     """
 
     def __init__(
@@ -104,16 +107,16 @@
 
     @property
     def role(self) -> Role:
-        """Whether this instance leads, follows or is alone."""
+        """Whether this instance leads, follows or has no leader."""
         if self.is_leading:
             return Role.LEADING
         return Role.FOLLOWING if self.link.is_open else Role.ALONE
 
     def tell(self, message: messages.Message) -> None:
-        """Tells the followers something, or the leader.
+        """Sends a message to all followers, or to the leader.
 
-        Nobody where there is neither: each side of a link that begins tells all
-        that it knows.
+        The message is dropped if there is neither: both sides of a new link
+        exchange their whole state first.
         """
         match self.role:
             case Role.LEADING:
@@ -126,7 +129,7 @@
 
     @property
     def instances(self) -> int | None:
-        """Instances that are led together; ``None`` for one without leader."""
+        """Number of instances under the leader; ``None`` without one."""
         if self.is_leading:
             assert self.followers is not None
             return self.followers.instances
@@ -134,10 +137,11 @@
 
     @property
     def counts_all(self) -> bool:
-        """Whether this instance has placed all that engines hold now.
+        """Whether this instance has placed all requests that engines run now.
 
-        A new leader doesn't know what was placed before it led until that has
-        ended; and nobody knows how long that takes before it was observed.
+        Placements made before this instance led are unknown to it until they
+        have ended, and how long that takes is unknown until it has been
+        observed.
         """
         stay_ms = self._work.stay_ms
         if self.followers is None or stay_ms is None:
@@ -145,14 +149,15 @@
         return self.followers.led_ms > stay_ms * _ENDED_AFTER_STAYS
 
     def retry_share(self, window_ms: float) -> float:
-        """Part of the fleet's retries that this instance may make, 0 to 1.
+        """Returns the share, 0 to 1, of the fleet's retries for this instance.
 
-        The leader counts its followers, those that it lost within the window
-        too. Without it an instance keeps its share for so long; after that it
-        has none, since those that are left may have all of it by then.
+        The leader counts its followers, including those lost within the window.
+        Without a leader an instance keeps its last share for one window. After
+        that it has none, since the other instances may have divided all of it
+        by then.
 
         Args:
-            window_ms: Time over which retries are counted.
+            window_ms: Window in ms over which retries are counted.
         """
         share = self.equal_share()
         if self._clock.now_ms() - self._counted_ms > window_ms:
@@ -160,9 +165,9 @@
         return share
 
     def equal_share(self) -> float:
-        """This instance's part among all that were counted last, 0 to 1.
+        """Returns this instance's share among those counted last, 0 to 1.
 
-        0 for one that has never had a leader.
+        0 if it has never had a leader.
         """
         instances = self.instances
         if instances is not None:
@@ -181,16 +186,16 @@
         *,
         cores: float,
     ) -> leadership.Leadership:
-        """The service that elects, leads and follows.
+        """Creates the service that elects, leads and follows.
 
         Args:
             name: Name of this instance.
             domain: Its failure domain.
-            peers: Reaches other instances.
-            lease: The right to lead.
-            new_placement_server: Makes the server of one follower.
-            rng: Spreads elections.
-            cores: Usual cores that this instance's processor is worth.
+            peers: Connects to other instances.
+            lease: Lease of the leader.
+            new_placement_server: Creates the placement server of one follower.
+            rng: Random jitter of elections.
+            cores: Processor capacity of this instance, in reference cores.
         """
         hello = link_messages.Hello(
             name, domain, peers.address, rng.getrandbits(_INCARNATION_BITS)
@@ -218,7 +223,7 @@
         )
 
 
-# Two starts under one name never draw the same.
+# Wide enough that two starts of one instance never draw the same value.
 _INCARNATION_BITS = 48
 
 
@@ -232,7 +237,7 @@
     crashes: servers.FollowerCrashes,
     clock: clocks.Clock,
 ) -> servers.NewPlacementServer:
-    """Makes a server for each follower that comes."""
+    """Returns a function that creates the placement server of a follower."""
     return lambda peer, tell: servers.PlacementServer(
         places,
         observations,
--- a/src/jujubewharf/leadership/fleet_crashes.py
+++ b/src/jujubewharf/leadership/fleet_crashes.py
@@ -1,10 +1,12 @@
-"""Has all instances know which requests crash engines.
+"""Shares the crash history of requests between all instances.
 
-The leader also lets one try of each through, where that is to tell.
+A request that crashed an engine may be retried at any instance. An instance
+that observes a crash, or a complete answer after one, reports it to the leader,
+which broadcasts it. An instance without a leader uses its own history and sends
+it when its next link opens.
 
-A request that crashed an engine comes again to any instance. Who sees a crash,
-or a whole answer after one, tells the leader, who tells all. An instance
-without a leader goes by what it knows, and tells it as its next link begins.
+The leader also grants trials: single attempts of quarantined requests, which
+show whether the request is the cause of the crashes.
 """
 
 from __future__ import annotations
@@ -19,22 +21,23 @@
 from jujubewharf.leadership import fleet as fleets
 from jujubewharf.peers import crash_messages
 
-# An engine crashes under dozens of requests at once; what is seen within this
-# time is told together, and is known everywhere before a caller comes back.
+# Delay that batches the reports of one crash, which concerns dozens of
+# requests. Short enough that all instances know of it before a caller can
+# retry.
 _TELL_AFTER_MS = 15.0
 
 
 class FleetCrashes:
-    """Spreads what is known of requests that crash engines.
+    """Shares the crash history between the leader and its followers.
 
     Args:
         fleet: The leader of this instance, or its followers.
-        history: What this instance knows.
-        clock: Time.
+        history: Crash history of this instance.
+        clock: Clock.
 
     Attributes:
-        on_change: Told which request more is known of, unless the leader or the
-            store told it.
+        on_change: Called with the fingerprint of each request whose history
+            changed, unless the change came from the leader or the store.
     """
 
     def __init__(
@@ -52,24 +55,24 @@
         history.on_seen = self._spread
 
     async def take(self, call: calls.Call) -> bool:
-        """Whether this try is let through; see ``crashes.Trials``."""
+        """Returns whether a trial is granted; see ``crashes.Trials``."""
         fingerprint = fingerprints.Fingerprint.from_call(call)
         if self._fleet.role is fleets.Role.FOLLOWING:
             return await self._fleet.link.trial(fingerprint)
         return self.grant(fingerprint)
 
     def grant(self, fingerprint: fingerprints.Fingerprint) -> bool:
-        """Lets one try of a request through that is in quarantine here."""
+        """Grants a trial of a request that is quarantined here."""
         return self._history.begin_trial(fingerprint)
 
     def told(self, message: crash_messages.CrashesKnown) -> None:
-        """Learns from a follower, and tells the others what is new."""
+        """Applies a follower's reports, and broadcasts what is new."""
         for report in message.reports:
             if self._history.learn(report):
                 self._spread(report.fingerprint)
 
     def found(self, report: crash_reports.CrashReport) -> None:
-        """Learns what the store has kept, and tells the others what is new."""
+        """Applies a report from the store, and broadcasts it if it is new."""
         if self._history.learn(report):
             self._tell_soon(report.fingerprint)
 
--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -1,14 +1,14 @@
-"""Keeps all instances together to the rate limits that endpoints name.
+"""Enforces the rate limits of endpoints across all instances.
 
-Who hears an endpoint's terms tells the leader, who tells all. The leader counts
-the requests to limited endpoints, and followers ask it for a permit before
-each. Limits are a few requests a second, so that costs a few messages, whatever
-the number of instances.
+An instance that receives an endpoint's terms reports them to the leader, which
+broadcasts them. The leader counts the requests to limited endpoints, and
+followers request a permit from it before each one. Limits are a few requests
+per second, so the number of messages stays small regardless of the number of
+instances.
 
-An instance without a leader can't know what the others send. It gives out half
-of an equal part by itself. With a part of the fleet cut off the others go on to
-use the whole limit; all of it and half of it is what users bear for the length
-of a cut.
+An instance without a leader can't know what the others send. It grants half of
+an equal share by itself. The instances on the leader's side of a partition go
+on to use the whole limit, so at most one and a half times the limit is sent.
 """
 
 from __future__ import annotations
@@ -24,21 +24,22 @@
 from jujubewharf.leadership import fleet as fleets
 from jujubewharf.peers import limit_messages
 
-# Of an equal part of each limit, what an instance uses that has no leader.
+# Share of its equal share that an instance without a leader may use.
 _ALONE_PART = 0.5
-# After a leader that didn't answer. By then its link has ended, or it answers.
+# Retry delay when the leader did not answer. By then its link has been closed,
+# or the leader answers again.
 _ASK_AGAIN_MS = 300.0
 
 
 class FleetLimits:
-    """Implements ``limits.Permits`` over all instances.
+    """Implements ``limits.Permits`` across all instances.
 
     Args:
         fleet: The leader of this instance, or its followers.
-        restraints: What endpoints want.
-        share: Equal part of what the fleet shares, 0 to 1.
-        clock: Time.
-        rng: Spreads what instances without a leader give out.
+        restraints: Limits and backoffs of endpoints.
+        share: Returns this instance's equal share of the fleet, 0 to 1.
+        clock: Clock.
+        rng: Random jitter of permits without a leader.
     """
 
     def __init__(
@@ -76,11 +77,10 @@
         return is_granted
 
     def grant(self, endpoint: str) -> float:
-        """Gives out a permit that is counted here.
+        """Grants a permit from the count of this instance.
 
         Returns:
-            0 where there was one; else the time in ms until it is worth to ask
-            again.
+            0 if granted; otherwise the time in ms until a retry can succeed.
         """
         limit_per_s = self._restraints.rate_limit_per_s(endpoint)
         if limit_per_s is None:
@@ -95,11 +95,12 @@
         return self._ledger.take(endpoint, limit_per_s, now_ms, part=part)
 
     def _begin(self, role: fleets.Role) -> None:
-        """Counts anew in another role.
+        """Starts a new count for a new role.
 
-        Who leads now knows nothing of what was sent, and begins with nothing.
-        Instances that have just lost their leader would each send one request
-        at once; they begin with a drawn part of one.
+        A new leader doesn't know how many requests were sent before and starts
+        with empty buckets. Instances that lose their leader at the same time
+        would each send one request immediately, so they start with a random
+        fraction of a permit.
         """
         self._role = role
         is_leading = role is fleets.Role.LEADING
@@ -108,7 +109,7 @@
         )
 
     def told(self, message: limit_messages.TermsKnown) -> None:
-        """Learns terms from a follower, and tells the others."""
+        """Applies terms from a follower, and broadcasts what is new."""
         for terms in message.terms:
             if self._restraints.told(terms, is_news=message.is_news):
                 self._spread(terms)
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -1,16 +1,16 @@
-"""Quotas of accounts over the whole fleet.
-
-The leader counts what accounts use. It places all model requests, so of these
-it knows before they run; of plain ones its followers tell it a little later,
-and it tells them which accounts have little left. So no request waits for a
-question to the leader, and what runs beyond a quota is what comes in the time
-between two messages.
-
-The leader also tells each follower which part of an account's use comes there.
-An instance without a leader grants that part of the quota; all of them together
-then grant the whole, wherever the account's callers are connected. Equal parts
-for all instances would refuse nearly everything of an account whose few
-connections end at a few instances.
+"""Enforces the quotas of accounts across the whole fleet.
+
+The leader counts the use of accounts. It places all model requests and
+therefore counts them before they run. Followers admit plain requests on their
+own, report them shortly afterwards, and learn from the leader which accounts
+are low. No plain request waits for the leader; a quota can be exceeded only by
+what is admitted between two messages.
+
+The leader also tells each follower its share of each account's use. An instance
+without a leader grants that share of the quota, so that all of them together
+grant the whole quota wherever the account's callers are connected. Equal shares
+would refuse nearly all requests of an account whose few connections end at a
+few instances.
 """
 
 from __future__ import annotations
@@ -37,49 +37,46 @@
 from jujubewharf.peers import messages
 from jujubewharf.peers import quota_messages
 
-# Time for which use is gathered before it is told. What plain requests may
-# exceed a quota by grows with it; a tenth of a second's use is a hundredth of
-# what an account may use in ten seconds.
+# Interval at which use is batched before it is reported. What plain requests
+# can exceed a quota by grows with it.
 _GATHER_MS = 100.0
-# An account with less than this part of its burst left is told to followers.
+# Share of its burst below which an account is reported as low.
 _LOW_PART = 0.25
-# Time between two words on which part of an account's use comes to a follower.
+# Interval at which followers are sent their shares of accounts' use.
 _PARTS_EVERY_MS = 1_000.0
-# A change of role is noticed within this time though no request comes: what
-# accounts gain counts from then on.
+# Upper bound for noticing a change of role while no requests arrive; buckets
+# refill from then on.
 _ROLE_SEEN_WITHIN_MS = 1_000.0
-# Time for which the part of a follower that was lost is kept for it: it may be
-# cut off and grant that part by itself. Longer than most cuts.
+# Time for which the share of a lost follower stays reserved: it may be
+# partitioned and grant that share by itself. Longer than most partitions.
 _KEPT_FOR_LOST_MS = 10_000.0
-# A request of no more than this part of an account's burst may run in debt. A
-# large one leaves a debt of some tenths of a second, in which all of the
-# account's small ones would be refused though they hardly count.
+# Largest request, as a share of its account's burst, that may run in debt. A
+# large request leaves a debt of some tenths of a second, during which all small
+# requests of the account would otherwise be refused.
 _SMALL_PART = 1 / 50
-# A large request is taken to have this part of its account's burst where none
-# was seen: with a burst of a second and requests of a tenth of one.
+# Assumed size of a large request, as a share of its account's burst, while none
+# has been observed.
 _LARGE_PART = 1 / 8
-# Part of what operators tolerate beyond a quota that small requests may owe.
-# The rest is for what instances without a leader grant by themselves. Large
-# ones may owe nothing: where those of callers that came back, or that found
-# engines free, could, they used it up, and of 6,000 small requests in a day of
-# one account's flood 374 were refused instead of 2.
+# Share of the configured slack that small requests may use as debt. The rest is
+# left for what instances without a leader grant by themselves. Large requests
+# get no debt, since they would use up all of it.
 _DEBT_PART = 0.25
-# Part of each quota at an instance that knows neither a leader nor how many
-# instances there are: a start of all at once, for the seconds until one leads.
+# Smallest share of a quota at an instance that has never had a leader, as after
+# a start of all instances at the same time.
 _LEAST_PART = 1 / 64
 
 
 class FleetQuotas(mode.Service):
-    """Implements ``quotas.Quotas`` over all instances.
+    """Implements ``quotas.Quotas`` across all instances.
 
     Args:
         fleet: The leader of this instance, or its followers.
-        source: Tells the accounts in force.
-        share: Part of what the fleet shares that is this instance's while it
-            has no leader, 0 to 1.
+        source: The configured accounts.
+        share: Returns this instance's share of the fleet, 0 to 1, for use
+            without a leader.
         tolerated: What may be used beyond quotas.
-        clock: Time.
-        rng: Spreads what instances grant that lost their leader together.
+        clock: Clock.
+        rng: Random jitter of admissions after the leader was lost.
     """
 
     def __init__(
@@ -101,37 +98,37 @@
         self._role = fleets.Role.ALONE
         self._led = quotas.QuotaLedger(clock.now_ms())
         self._alone = quotas.QuotaLedger(clock.now_ms())
-        # Use that the leader hasn't been told of.
+        # Units per account that have not been reported to the leader.
         self._untold: dict[str, float] = collections.defaultdict(float)
         self._has_news = asyncio.Event()
-        # Of this instance's own callers, and as the leader of all.
+        # Use by this instance's callers, and by all callers for a leader.
         self._own_pace = account_pace.AccountPace()
         self._whole_pace = account_pace.AccountPace()
-        # Units of the largest request of each account here.
+        # Units of the largest request per account at this instance.
         self._largest: dict[str, float] = {}
-        # Part of each account's use that comes to this instance.
+        # This instance's share of each account's use.
         self._parts: dict[str, float] = {}
         self._parts_told_ms = 0.0
         self._followers: set[account_pace.FollowerUse] = set()
-        # Until when which parts are kept for followers that were lost.
+        # Expiry in ms and reserved shares per lost follower.
         self._lost: dict[str, tuple[float, dict[str, float]]] = {}
         fleet.link.on_account_parts = self.parts_told
 
     @property
     def role(self) -> fleets.Role:
-        """Who counts now."""
+        """Current role of this instance."""
         role = self._fleet.role
         if role is not self._role:
             self._begin(role)
         return role
 
     def _begin(self, role: fleets.Role) -> None:
-        """Counts in another role from now on.
+        """Switches the count to a new role.
 
-        Who followed until now has the leader's word of which accounts had
-        little left, and goes on from it. All others have their part of the
-        burst, so that callers within their quota notice nothing of the seconds
-        without a leader.
+        A former follower knows from the leader which accounts are low and
+        continues from that. All other accounts start with this instance's share
+        of the burst, so that callers within their quota are not refused during
+        the seconds without a leader.
         """
         now_ms = self._clock.now_ms()
         had_word = self._role is fleets.Role.FOLLOWING
@@ -146,7 +143,7 @@
                 self._ledger.put(name, level, now_ms)
 
     def _first_level(self, name: str, quota: accounts.Quota) -> float:
-        """What an account begins with, by the leader's last word."""
+        """Returns the initial units of an account in the current role."""
         feed = self._fleet.feeds.accounts
         is_low = name in feed.low
         if self._role is fleets.Role.LEADING:
@@ -155,19 +152,17 @@
         return saved - self._rng.random() * self._large(name, quota)
 
     def _large(self, name: str, quota: accounts.Quota) -> float:
-        """Units of a large request of an account.
+        """Returns the units of a large request of an account.
 
-        Without a leader each instance would admit one at once, as there is no
-        debt yet: twenty instances, twenty requests, and in one case 360,146
-        tokens ran where 346,833 were allowed. From a debt drawn up to one
-        request each admits its first one as its part of the quota allows, some
-        sooner and some later.
+        When the leader is lost there is no debt yet, and each instance would
+        admit one large request at the same time. A random initial debt of up to
+        one large request spreads these first admissions.
         """
         return max(self._largest.get(name, 0.0), quota.burst * _LARGE_PART)
 
     @property
     def _ledger(self) -> quotas.QuotaLedger:
-        """What is counted here in the present role."""
+        """Ledger of the current role."""
         return self._led if self._role is fleets.Role.LEADING else self._alone
 
     def take(self, run: runs.Run) -> None:
@@ -181,7 +176,7 @@
         self._has_news.set()
 
     def give_back(self, run: runs.Run) -> None:
-        """Takes back what was counted; see ``quotas.Quotas``."""
+        """Refunds a counted request; see ``quotas.Quotas``."""
         if run.account is None or run.account.quota is None:
             return
         if not run.is_counted:
@@ -191,7 +186,7 @@
         self._has_news.set()
 
     def admitted(self, run: runs.Run) -> None:
-        """Learns that a request of this instance's own callers runs."""
+        """Records an admitted request of this instance's callers."""
         if run.account is None or run.account.quota is None:
             return
         now_ms = self._clock.now_ms()
@@ -203,14 +198,14 @@
     def follower(
         self, peer: str, tell: Callable[[messages.Message], object]
     ) -> account_pace.FollowerUse:
-        """Begins to count for a follower."""
+        """Starts to count the use at a follower."""
         self._lost.pop(peer, None)
         use = account_pace.FollowerUse(peer, tell)
         self._followers.add(use)
         return use
 
     def follower_lost(self, use: account_pace.FollowerUse) -> None:
-        """Keeps its part for a follower whose link ended."""
+        """Reserves the share of a follower whose link ended."""
         self._followers.discard(use)
         now_ms = self._clock.now_ms()
         parts = use.pace.parts_of(self._whole_pace, now_ms)
@@ -220,7 +215,7 @@
     def follower_admitted(
         self, use: account_pace.FollowerUse, run: runs.Run
     ) -> None:
-        """Learns that a model request of a follower was placed."""
+        """Records a placed model request of a follower."""
         if run.account is not None and run.account.quota is not None:
             self._note(use, run.account.name, run.units)
 
@@ -229,7 +224,7 @@
         use: account_pace.FollowerUse,
         uses: Iterable[quota_messages.AccountUse],
     ) -> None:
-        """Learns what a follower has admitted by itself."""
+        """Counts the use that a follower has admitted on its own."""
         if self.role is not fleets.Role.LEADING:
             return
         for told in uses:
@@ -248,7 +243,7 @@
         self._whole_pace.add(account, units, now_ms)
 
     def forget_others(self) -> None:
-        """Forgets accounts that are no longer configured."""
+        """Removes accounts that are no longer configured."""
         names = self._source.accounts.by_name
         self._led.keep_only(names)
         self._alone.keep_only(names)
@@ -278,11 +273,11 @@
         self._ledger.charge(name, here, units, self._clock.now_ms())
 
     def _part_of(self, name: str, quota: accounts.Quota) -> accounts.Quota:
-        """What this instance may grant of a quota by itself."""
+        """Returns the part of a quota that this instance may grant."""
         return quota.part(self._part(name))
 
     def _part(self, name: str) -> float:
-        """Which part of a quota that is."""
+        """Returns this instance's share of an account's quota, 0 to 1."""
         match self._role:
             case fleets.Role.LEADING:
                 part = 1.0 - self._lost_part(name)
@@ -293,7 +288,7 @@
         return max(part, _LEAST_PART)
 
     def _lost_part(self, name: str) -> float:
-        """What followers that were lost may grant by themselves."""
+        """Returns the share that lost followers may grant by themselves."""
         now_ms = self._clock.now_ms()
         part = 0.0
         for peer, (until_ms, parts) in list(self._lost.items()):
@@ -324,7 +319,7 @@
                     self._tell_used()
 
     async def _news(self) -> None:
-        """Waits for use, and gathers what follows at once."""
+        """Waits for use, then for the batching interval."""
         with contextlib.suppress(TimeoutError):
             async with self._clock.timeout_ms(_ROLE_SEEN_WITHIN_MS):
                 await self._has_news.wait()
@@ -364,5 +359,5 @@
             use.tell(quota_messages.AccountParts.from_parts(parts))
 
     def parts_told(self, parts: dict[str, float]) -> None:
-        """Learns which part of each account's use comes to this instance."""
+        """Sets this instance's share of each account's use."""
         self._parts = parts
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -1,4 +1,4 @@
-"""The leader's side: its followers, and what it tells them."""
+"""The leader's links to its followers, and what it sends to them."""
 
 from __future__ import annotations
 
@@ -24,14 +24,13 @@
 from jujubewharf.peers import streams
 from jujubewharf.platform import tables
 
-# A configuration goes to all followers at once, over a link of some Mbit/s: one
-# of this size reaches hundreds of them within a second. A larger one they read
-# at the store.
+# Size limit in bytes of a configuration that is sent to all followers at once
+# over a link of some Mbit/s. Followers read larger ones from the store.
 _MAX_CONFIGURATION_BYTES = 6_000
 
 
 class _Progress:
-    """How far a table was read, and when that was confirmed last."""
+    """End offset up to which a table was read, and the time of that read."""
 
     def __init__(self) -> None:
         self.end = 0
@@ -43,15 +42,16 @@
 
 
 class Followers:
-    """Accepts instances that follow this one while it leads.
+    """Accepts the links of followers while this instance leads.
 
     Args:
-        hello: What this instance says of itself.
-        new_placement_server: Makes the server of one follower.
-        counts: Where to count.
-        clock: Time.
-        knowledge: What all instances must know alike.
-        count_within_ms: Time for which a follower counts after its link ended.
+        hello: Identity of this instance.
+        new_placement_server: Creates the placement server of one follower.
+        counts: Counters of links.
+        clock: Clock.
+        knowledge: State that all instances share.
+        count_within_ms: Time in ms for which a follower is counted after its
+            link ended.
 
     Attributes:
         is_leading: Whether followers are accepted.
@@ -77,11 +77,12 @@
         self._clock = clock
         self._knowledge = knowledge
         self._links: set[links.Link] = set()
-        # How far followers had read the endpoints that weren't told since.
+        # Offset up to which each follower has read the endpoints, for followers
+        # that have not been sent the later changes yet.
         self._untold: dict[links.Link, int] = {}
-        # Followers that have been told of endpoints, so that news go on.
+        # Followers that are sent each change of endpoints.
         self._told: set[links.Link] = set()
-        # Followers that wait for the first configuration.
+        # Followers that have not been sent a configuration yet.
         self._unconfigured: set[links.Link] = set()
         self._configuration: leader_messages.ConfigurationNews | None = None
         self._endpoints: dict[str, leader_messages.EndpointRecord] = {}
@@ -94,7 +95,7 @@
 
     @property
     def instances(self) -> int:
-        """This instance and its followers, those lost lately included."""
+        """Number of instances, including recently lost followers."""
         oldest_ms = self._clock.now_ms() - self._count_within_ms
         for name, lost_ms in list(self._lost_ms.items()):
             if lost_ms < oldest_ms:
@@ -104,7 +105,7 @@
 
     @property
     def led_ms(self) -> float:
-        """How long this instance has led."""
+        """Time in ms for which this instance has led; 0 if it doesn't lead."""
         if not self.is_leading:
             return 0.0
         return self._clock.now_ms() - self._led_since_ms
@@ -112,7 +113,7 @@
     async def on_stream(
         self, reader: asyncio.StreamReader, writer: streams.StreamWriter
     ) -> None:
-        """Serves a stream that came in until it ends."""
+        """Serves an incoming stream until it ends."""
         greeting = handshake.Handshake(
             reader, writer, self._hello, _no_incarnation, self._counts
         )
@@ -184,7 +185,7 @@
             server.close()
 
     def begin_leading(self) -> None:
-        """Accepts followers; what was read before may be another's word."""
+        """Starts to accept followers, with no tables confirmed as read yet."""
         self._endpoints_read.confirmed_ms = None
         self._configurations_read.confirmed_ms = None
         self._left = quota_messages.AccountsLeft(())
@@ -192,7 +193,7 @@
         self._led_since_ms = self._clock.now_ms()
 
     def stop_leading(self) -> None:
-        """Sends all followers away."""
+        """Closes the links of all followers."""
         self.is_leading = False
         reason = link_messages.Goodbye.STOPPING.value
         for link in list(self._links):
@@ -201,17 +202,17 @@
     def tell_left(
         self, accounts: tuple[quota_messages.AccountLeft, ...]
     ) -> None:
-        """Tells all followers which accounts have little left."""
+        """Sends all followers the accounts that are low."""
         if accounts or self._left.accounts:
             self._left = quota_messages.AccountsLeft(accounts)
             self._tell(self._left, self._links)
 
     def tell_all(self, message: messages.Message) -> None:
-        """Tells all followers something."""
+        """Sends a message to all followers."""
         self._tell(message, self._links)
 
     def beat(self) -> None:
-        """Tells all followers how far the store was read."""
+        """Sends all followers a heartbeat with the store's read offsets."""
         self._tell(self._seen(), self._links)
 
     def configurations_read(
@@ -221,7 +222,7 @@
         ],
         end: int,
     ) -> None:
-        """Learns what this instance has read of configurations."""
+        """Records configurations that were read, and broadcasts a new one."""
         known = self._configuration
         news = None
         for record in records:
@@ -267,9 +268,10 @@
         *,
         is_whole: bool,
     ) -> None:
-        """Learns what this instance has read of endpoints.
+        """Records endpoints read from the store, and broadcasts changed ones.
 
-        Engines write anew every second or so; followers are told what differs.
+        Engines rewrite their records about every second; unchanged ones are not
+        sent.
         """
         now = [_record(record) for record in records]
         if is_whole:
@@ -290,7 +292,7 @@
     def _missing(
         self, present: set[str], end: int
     ) -> list[leader_messages.EndpointRecord]:
-        """Removals that a whole table shows, and no change did."""
+        """Returns removals that show only in a read of the whole table."""
         return [
             leader_messages.EndpointRecord(key, end - 1, None)
             for key, known in self._endpoints.items()
@@ -309,7 +311,7 @@
         )
 
     def _follows(self, link: links.Link, endpoints_end: int) -> None:
-        """Takes a follower in that has read endpoints up to an offset."""
+        """Starts to send endpoint changes from an offset on to a follower."""
         if link not in self._links:
             return
         self._untold[link] = endpoints_end
@@ -317,12 +319,10 @@
             self._tell_since(link)
 
     def _tell_since(self, link: links.Link) -> None:
-        """Tells a follower what has changed since it read the table.
+        """Sends a follower the endpoint changes since it read the table.
 
-        The whole table to each would fill the leader's link for minutes when
-        hundreds of followers come together before thousands of endpoints: at
-        100 and 1,000 the leader held 103 MB, and served 6.5 s after a restart
-        of all.
+        Sending the whole table would saturate the leader's link when hundreds
+        of followers connect at the same time.
         """
         since = self._untold.pop(link)
         self._told.add(link)
@@ -349,7 +349,7 @@
         return int(self._clock.now_ms() - progress.confirmed_ms)
 
 
-# Age of a table that was never read; older than any that counts.
+# Age in ms that stands for a table that was never read; older than any limit.
 _NEVER_MS = 2**31
 
 
--- a/src/jujubewharf/leadership/knowledge.py
+++ b/src/jujubewharf/leadership/knowledge.py
@@ -1,4 +1,4 @@
-"""What one instance sees of endpoints and requests, and all must know."""
+"""State about endpoints and requests that all instances share."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Knowledge:
-    """What an instance knows that it shares with its leader or followers.
+    """State that an instance shares with its leader or followers.
 
     Attributes:
-        restraints: What endpoints want.
-        history: Which engines crashed under which requests.
+        restraints: Limits, backoffs and leaving notices of endpoints.
+        history: Engines that crashed while running which requests.
     """
 
     restraints: restraints.Restraints
     history: crashes.CrashHistory
 
     def greeting(self) -> tuple[messages.Message, ...]:
-        """All of it, which each side tells the other as a link begins."""
+        """Returns the messages that each side of a new link sends first."""
         terms = limit_messages.TermsKnown(self.restraints.terms, is_news=False)
         reports = self.history.reports()
         if not reports:
@@ -32,7 +32,7 @@
         return (terms, crash_messages.CrashesKnown(reports))
 
     def told_by_leader(self, message: messages.Message) -> None:
-        """Learns what the leader tells."""
+        """Applies a message from the leader."""
         match message:
             case limit_messages.TermsKnown():
                 for terms in message.terms:
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -1,4 +1,4 @@
-"""A follower's link to its leader: what it hears, what it asks."""
+"""A follower's link to its leader: requests, reports and received data."""
 
 from __future__ import annotations
 
@@ -32,26 +32,26 @@
 from jujubewharf.peers import quota_messages
 from jujubewharf.platform import tables
 
-# A leader tells how far it has read twice a second. After three that are
-# missing it is taken for gone, and what it was asked is done without it.
+# Interval of the leader's heartbeats, and the silence after which a follower
+# closes the link and continues without a leader (three missed heartbeats).
 BEAT_MS = 500.0
 SILENT_MS = 1_700.0
-# While an answer is awaited the leader is asked this often whether it is there,
-# and taken for gone without a word for the second time: so a request that waits
-# loses half a second to a frozen leader, which most targets allow.
+# Interval and timeout of liveness checks while an answer is pending. They bound
+# what a waiting request loses to a frozen leader to half a second, which most
+# latency targets allow.
 _CHECK_MS = 150.0
 _CHECKED_WITHIN_MS = 350.0
-# A request that needs the leader's leave waits so long for it, be it a permit
-# of an endpoint that names a limit: another endpoint may serve it sooner, and
-# the targets of plain requests are some tenths of a second.
+# Timeout for a permit or trial. Another endpoint may serve the request sooner,
+# and latency targets of plain requests are some tenths of a second.
 _GRANTED_WITHIN_MS = 100.0
-# A whole configuration is some tens of kilobytes, over links of some Mbit/s.
+# Timeout for a whole configuration: some tens of kilobytes over a link of some
+# Mbit/s.
 _FETCHED_WITHIN_MS = 1_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Feeds:
-    """What a leader tells of the store's tables, and of accounts' use."""
+    """Tables of the store and low accounts, as received from the leader."""
 
     configurations: all_feeds.Feed[routes.RoutingConfiguration | None]
     endpoints: all_feeds.Feed[resources.Endpoint]
@@ -59,19 +59,22 @@
 
 
 class LeaderLink:
-    """An open link to the leader.
+    """The link to the leader, while there is one.
 
     Args:
-        feeds: Learn what the leader has read.
-        registry: Tells engines by their names.
-        work: What this instance has observed of costs.
-        knowledge: What all instances must know alike.
-        endpoints_end: Tells how far this instance has read endpoints.
-        clock: Time.
+        feeds: Store the data received from the leader.
+        registry: Known engines by name.
+        work: Costs observed by this instance.
+        knowledge: State that all instances share.
+        endpoints_end: Returns the offset up to which this instance has read the
+            endpoints.
+        clock: Clock.
 
     Attributes:
-        instances: Instances that the leader has, itself included.
-        on_account_parts: Told which part of each account's use comes here.
+        instances: Number of instances under the leader, including itself;
+            ``None`` before its first heartbeat.
+        on_account_parts: Called with this instance's share of each account's
+            use.
     """
 
     def __init__(
@@ -97,11 +100,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the leader may be asked."""
+        """Whether there is an open link to a leader."""
         return self._link is not None and not self._link.is_closed
 
     async def run(self, link: links.Link) -> None:
-        """Follows a leader until the link ends or falls silent."""
+        """Follows a leader until the link closes or heartbeats stop."""
         self._link = link
         self.forget()
         link.tell(leader_messages.Following(self._endpoints_end()))
@@ -131,7 +134,7 @@
             self.instances = None
 
     def forget(self) -> None:
-        """Relies no longer on what a leader has told."""
+        """Discards all data received from a leader."""
         self._feeds.configurations.begin()
         self._feeds.endpoints.begin()
         self._feeds.accounts.begin()
@@ -139,7 +142,7 @@
     async def handle(
         self, peer: str, message: messages.Message
     ) -> messages.Message | None:
-        """Takes what the leader tells."""
+        """Handles a message from the leader."""
         match message:
             case leader_messages.StoreSeen():
                 self._seen(message)
@@ -179,10 +182,10 @@
         )
 
     async def fetch_configuration(self) -> bool:
-        """Has the leader send the newest configuration, however large.
+        """Fetches the newest configuration from the leader, whatever its size.
 
         Returns:
-            Whether it came.
+            Whether it arrived.
         """
         link = self._link
         if link is None:
@@ -198,11 +201,11 @@
         return news.configuration is not None
 
     async def permit(self, endpoint: str) -> float | None:
-        """Asks the leader whether an endpoint's limit allows a request.
+        """Requests a permit for one request to a rate-limited endpoint.
 
         Returns:
-            0 where it does, else the time in ms until it is worth to ask
-            again; ``None`` where the leader didn't answer.
+            0 if granted, otherwise the time in ms until a retry can succeed;
+            ``None`` if the leader did not answer.
         """
         answer = await self._granted(limit_messages.PermitAsk(endpoint))
         if not isinstance(answer, limit_messages.Permit):
@@ -210,10 +213,10 @@
         return answer.wait_ms
 
     async def trial(self, fingerprint: fingerprints.Fingerprint) -> bool:
-        """Asks the leader to let one try of a request through.
+        """Requests a trial of a quarantined request.
 
         Returns:
-            Whether it does; no where it didn't answer.
+            Whether it was granted; false if the leader did not answer.
         """
         answer = await self._granted(crash_messages.TrialAsk(fingerprint))
         return isinstance(answer, crash_messages.Trial) and answer.is_granted
@@ -221,7 +224,7 @@
     async def _granted(
         self, question: messages.Message
     ) -> messages.Message | None:
-        """The leader's word on what a request must not wait for long."""
+        """Returns the leader's answer; ``None`` after the timeout."""
         if self._link is None:
             return None
         try:
@@ -230,7 +233,7 @@
             return None
 
     def tell(self, message: messages.Message) -> None:
-        """Tells the leader something, if there is one."""
+        """Sends a message to the leader, if there is one."""
         if self._link is not None:
             self._link.tell(message)
 
@@ -238,14 +241,14 @@
     async def place(
         self, run: runs.Run
     ) -> AsyncIterator[all_places.Place | None]:
-        """Has the leader find memory, and holds it for the block.
+        """Reserves memory through the leader, and holds it for the block.
 
         Yields:
-            ``None`` where the leader didn't answer, or named an engine that
-            isn't known here.
+            ``None`` if the leader did not answer, or chose an engine that is
+            unknown here.
 
         Raises:
-            WharfError: There is none.
+            WharfError: The leader refused the request.
         """
         number = next(self._numbers)
         place: all_places.Place | None = None
@@ -273,7 +276,7 @@
         waited_ms = self._clock.now_ms() - began_ms
         match answer:
             case leader_messages.Placed():
-                # The leader has counted it.
+                # The leader counted the request against its quota.
                 run.is_counted = True
                 place = self._place(number, answer)
                 if place is None:
@@ -298,14 +301,14 @@
     async def _answer(
         self, link: links.Link, number: int, run: runs.Run
     ) -> messages.Message:
-        """The leader's answer, while it is seen to be there.
+        """Waits for the leader's answer, with liveness checks.
 
-        Requests wait in its line for as long as they can meet their target. A
-        leader that is frozen or cut off would cost them that time, and then
-        they would only begin to look for memory by themselves.
+        Requests stay in the leader's wait queue for as long as they can meet
+        their latency target. Without the checks, a frozen or unreachable leader
+        would cost them all of that time before they are placed locally.
 
         Raises:
-            PeerError: The leader has fallen silent, or refuses.
+            PeerError: The leader does not respond, or refuses the message.
         """
         left_ms = max(1.0, run.left_ms(self._clock))
         question = self._question(number, run)
@@ -320,7 +323,8 @@
             raise
         finally:
             asking.cancel()
-            # It may have failed with the link as well; nobody else looks.
+            # Retrieve its exception, since it may have failed along with the
+            # link.
             await asyncio.gather(asking, return_exceptions=True)
         return asking.result()
 
@@ -354,7 +358,7 @@
     ) -> all_places.Place | None:
         engine = self._registry.get(placed.engine)
         if engine is None:
-            # Registered so lately that this instance hasn't heard of it, or
+            # The engine was registered too recently to be known here, or it has
             # left since.
             return None
         place = all_places.Place(
--- a/src/jujubewharf/leadership/leadership.py
+++ b/src/jujubewharf/leadership/leadership.py
@@ -1,9 +1,10 @@
-"""Who leads: elected by a group on the platform's store, followed by links.
+"""Elects a leader through a group on the platform's store.
 
-An instance without a link asks the group who holds its first part and dials
-it. Where nobody holds it the instance joins; whoever is dealt the first part
-leads, and the others leave the group again, so that their coming and going
-deals nothing anew. A leader that can't renew its lease stops by itself.
+An instance without a link asks the group which member holds the first part, and
+connects to it. If no member holds it, the instance joins the group. The member
+that is assigned the first part leads; the others leave the group again, so that
+their joins and leaves cause no reassignments. A leader that can't renew its
+lease steps down.
 """
 
 from __future__ import annotations
@@ -26,37 +27,37 @@
 from jujubewharf.platform import groups
 from jujubewharf.platform import log
 
-# Instances start together; the first ones to look find nobody and join, and
-# each that joins and isn't dealt the first part has to leave again.
+# Upper bound of the delay before the first attempt. Without it, instances that
+# start at the same time would all join the group and leave it again.
 _FIRST_LOOK_MS = 600.0
-# Between two looks while there is no leader, or it can't be reached. Serving
-# goes on meanwhile, so there is no hurry that would be worth a fleet's calls
-# at once.
+# First and longest pause between attempts while no leader is reachable.
+# Requests are still served meanwhile, so a load peak on the store is the
+# greater risk.
 _LOOK_AGAIN_MS = 500.0
 _LONGEST_PAUSE_MS = 1_500.0
 _DIAL_MS = 1_000.0
-# An instance with no more than this is among the last to look.
+# Instances with at most this many cores are among the last to attempt.
 _WEAK_CORES = 0.5
-# Part of the time between looks that is drawn, so that equal ones don't meet.
+# Random share of a delay, so that equal instances don't coincide.
 _DRAWN_PART = 0.25
-# After a renewal that got no answer: most of the lease may be over by then.
+# Pause after a failed renewal: most of the lease may have passed by then.
 _RENEW_AGAIN_MS = 100.0
 
 
 class Leadership(mode.Service):
-    """Leads, follows, or looks for a leader.
+    """Leads, follows a leader, or looks for one.
 
     Args:
-        group: The group of those who may lead; its contacts are addresses.
+        group: Group of the candidates; its contacts are addresses.
         transport: Dials and listens.
-        hello: What this instance says of itself.
-        followers: Its followers while it leads.
-        leader: Its link while it follows.
-        lease: The right to lead.
-        counts: Where to count.
-        clock: Time.
-        rng: Spreads the looks.
-        cores: Usual cores that this instance's processor is worth.
+        hello: Identity of this instance.
+        followers: Followers of this instance while it leads.
+        leader: Link to the leader while this instance follows.
+        lease: Lease of the leader.
+        counts: Counters of links.
+        clock: Clock.
+        rng: Random jitter of election attempts.
+        cores: Processor capacity of this instance, in reference cores.
     """
 
     def __init__(
@@ -74,8 +75,8 @@
         cores: float,
     ) -> None:
         super().__init__()
-        # Strong instances look first, and so mostly lead: on half a core the
-        # leader of 70 engines had no processor left in a burst.
+        # Instances with more cores attempt first and so mostly lead: leading
+        # needs more processor time than following.
         self._delay_part = min(1.0, _WEAK_CORES / cores)
         self._group = group
         self._transport = transport
@@ -95,13 +96,13 @@
         self._listener = await self._transport.listen(self._followers.on_stream)
 
     async def on_stop(self) -> None:
-        """Sends followers away."""
+        """Closes the links of followers."""
         self._followers.stop_leading()
         if self._listener is not None:
             await self._listener.close()
 
     async def leave(self) -> None:
-        """Stops leading for good, so that another one begins at once."""
+        """Resigns for good, so that another instance can lead at once."""
         self._is_leaving = True
         was_leading = self._followers.is_leading
         if self._lease.holds_first or was_leading:
@@ -125,23 +126,23 @@
             await self._clock.sleep_ms(pause_ms * (0.5 + self._late_part()))
 
     def _late_part(self) -> float:
-        """Part of the time in which all look, 0 to 1; the weak come last."""
+        """Returns a delay, 0 to 1; instances with many cores get short ones."""
         drawn = self._rng.random()
         return (1.0 - _DRAWN_PART) * self._delay_part + _DRAWN_PART * drawn
 
     async def _look(self) -> bool:
-        """Follows or leads as long as that lasts.
+        """Follows or leads for as long as that lasts.
 
         Returns:
-            Whether there was a leader for a while.
+            Whether there was a leader for some time.
         """
         contacts = await self._group.contacts()
         address = contacts.get(leases.FIRST_PART)
         if address is not None and address != self._hello.address:
             return await self._follow(address)
         if address is not None:
-            # The process before this one led and was killed. Its lease would
-            # leave the whole fleet without a leader until it has run out.
+            # The previous process at this address led and was killed. Until its
+            # lease expires the fleet would have no leader.
             await self._group.evict(address)
         await self._lease.renew()
         if self._is_leaving:
@@ -159,8 +160,8 @@
         )
         self._leader.forget()
         self._followers.begin_leading()
-        # A renewal that gets no answer takes a second and a half. Followers
-        # would take a leader that is silent for so long for gone.
+        # Renewals run beside the heartbeats: a renewal that gets no answer
+        # takes longer than followers wait for a heartbeat.
         renewing = asyncio.ensure_future(self._renew())
         try:
             while self._lease.holds_first and not self.should_stop:
@@ -172,8 +173,8 @@
         self._logger.info("leading_ended", followers=len(self._followers))
         self._followers.stop_leading()
         if not self._is_leaving and self._lease.is_current:
-            # Others were dealt the first part; a member that doesn't lead
-            # would only have parts dealt anew by its comings and goings.
+            # Another member was assigned the first part. Members that don't
+            # lead leave, since each join or leave reassigns the parts.
             await self._lease.leave()
 
     async def _renew(self) -> None:
--- a/src/jujubewharf/leadership/led.py
+++ b/src/jujubewharf/leadership/led.py
@@ -1,4 +1,4 @@
-"""Placement and observations with the leader's help, where there is one."""
+"""Placement and observations that use the leader if there is one."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class FleetPlaces:
-    """Implements ``all_places.Places`` with the leader's help if there is one.
+    """Implements ``all_places.Places`` through the leader if there is one.
 
     Args:
-        leader: The link to it.
-        alone: Places requests without a leader, or as the leader.
+        leader: The link to the leader.
+        alone: Local placement, for the leader and without a leader.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
             if self._leader.is_open:
                 led = self._leader.place(run)
                 place = await led.__aenter__()
-                # Ended at once where it is of no use here.
+                # Release a placement that can't be used here.
                 if place is None:
                     await led.__aexit__(None, None, None)
                 else:
@@ -50,11 +50,11 @@
 
 
 class FleetObservations:
-    """Tells the leader what this instance observes, and learns it itself.
+    """Records observations locally and reports them to the leader.
 
     Args:
-        leader: The link to it.
-        local: Learns it here, for when there is no leader.
+        leader: The link to the leader.
+        local: Local observations, for use without a leader.
     """
 
     def __init__(
--- a/src/jujubewharf/leadership/packing.py
+++ b/src/jujubewharf/leadership/packing.py
@@ -1,8 +1,8 @@
-"""Configurations in few bytes, for links that carry them to all followers.
+"""Compresses configurations for the links to followers.
 
-Routes and accounts of one configuration look alike: 44 routes and 16 accounts
-take 13 KB as they are and 3 KB packed. So a leader can send to all what each
-of hundreds of followers would else read at the store, after every change.
+Routes and accounts of a configuration are repetitive and compress well. Small
+messages let the leader send each change to hundreds of followers, which would
+otherwise all read it from the store.
 """
 
 from __future__ import annotations
@@ -14,15 +14,16 @@
 
 
 def pack(news: leader_messages.ConfigurationNews) -> bytes:
-    """News with its configuration, packed."""
+    """Encodes and compresses a message with its configuration."""
     frame = codec.Frame(codec.FrameKind.TELL, 0, news)
     return zlib.compress(codec.body_of(codec.encode(frame)))
 
 
 def unpack(packed: bytes) -> leader_messages.ConfigurationNews | None:
-    """What ``pack`` was given; ``None`` for anything else.
+    """Decompresses the output of ``pack``; ``None`` for invalid input.
 
-    What is unpacked is bounded, so that a few bytes can't fill the memory.
+    The decompressed size is bounded, so that a small message can't exhaust
+    memory.
     """
     unpacking = zlib.decompressobj()
     try:
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -1,4 +1,4 @@
-"""The leader places requests of other instances beside its own."""
+"""Places the requests of followers at the leader."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 
 
 class FollowerQuotas(Protocol):
-    """Counts what accounts use at followers."""
+    """Counts the use of accounts at followers."""
 
     def follower(
         self, peer: str, tell: Callable[[messages.Message], object]
     ) -> account_pace.FollowerUse:
-        """Begins to count for a follower."""
+        """Starts to count the use at a follower."""
         ...
 
     def follower_lost(self, use: account_pace.FollowerUse) -> None:
-        """Keeps its part for a follower whose link ended."""
+        """Reserves the share of a follower whose link ended."""
         ...
 
     def follower_admitted(
         self, use: account_pace.FollowerUse, run: runs.Run
     ) -> None:
-        """Learns that a model request of a follower was placed."""
+        """Records a placed model request of a follower."""
         ...
 
     def follower_used(
@@ -52,41 +52,41 @@
         use: account_pace.FollowerUse,
         uses: Iterable[quota_messages.AccountUse],
     ) -> None:
-        """Learns what a follower has admitted by itself."""
+        """Counts the use that a follower has admitted on its own."""
         ...
 
 
 class FollowerLimits(Protocol):
-    """Counts what followers send to endpoints that name limits."""
+    """Counts the requests of followers to rate-limited endpoints."""
 
     def told(self, message: limit_messages.TermsKnown) -> None:
-        """Learns terms from a follower."""
+        """Applies terms from a follower."""
         ...
 
     def grant(self, endpoint: str) -> float:
-        """Gives out a permit; 0, or the time until it is worth to ask."""
+        """Grants a permit; returns 0, or the time in ms until a retry."""
         ...
 
 
 class FollowerCrashes(Protocol):
-    """Knows which requests crash engines."""
+    """Crash history of requests, and trials of quarantined ones."""
 
     def told(self, message: crash_messages.CrashesKnown) -> None:
-        """Learns it from a follower."""
+        """Applies a follower's crash reports."""
         ...
 
     def grant(self, fingerprint: fingerprints.Fingerprint) -> bool:
-        """Lets one try of such a request through, if none was."""
+        """Grants a trial of a quarantined request, if none was granted yet."""
         ...
 
 
 class _UnfinishedError(Exception):
-    """The answer for which a place was held broke off."""
+    """The answer for which a placement was held did not complete."""
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class _Held:
-    """One place that another instance waits for or holds."""
+    """A placement that a follower waits for or holds."""
 
     task: asyncio.Task[None] | None = None
     place: all_places.Place | None = None
@@ -96,18 +96,18 @@
 
 
 class PlacementServer:
-    """Answers what one follower asks of the leader.
+    """Handles the messages of one follower.
 
     Args:
         places: The leader's placement.
-        observations: Learns what the follower observes.
-        source: The configuration in force.
-        fleet_costs: Learns what the follower had observed before.
-        quotas: Count what accounts use.
-        limits: Count what endpoints get that name limits.
-        crashes: Knows which requests crash engines.
-        clock: Time.
-        use: What accounts use at the follower.
+        observations: Records the follower's observations.
+        source: The current configuration.
+        fleet_costs: Records the costs that the follower observed before.
+        quotas: Counts the use of accounts.
+        limits: Counts requests to rate-limited endpoints.
+        crashes: Crash history of requests.
+        clock: Clock.
+        use: Recent use of accounts at the follower.
     """
 
     def __init__(
@@ -135,9 +135,9 @@
         self._held: dict[int, _Held] = {}
 
     def close(self) -> None:
-        """Gives up whatever the follower waits for or holds.
+        """Releases all placements that the follower waits for or holds.
 
-        Its engines count for themselves what it still runs there.
+        Engines still count what the follower runs on them.
         """
         self._quotas.follower_lost(self._use)
         for held in list(self._held.values()):
@@ -147,7 +147,7 @@
     async def handle(
         self, peer: str, message: messages.Message
     ) -> messages.Message | None:
-        """Answers one message; ``None`` refuses an ask."""
+        """Handles one message; ``None`` for a request refuses it."""
         match message:
             case leader_messages.PlaceAsk():
                 return await self._place(message)
@@ -235,7 +235,8 @@
                 refusal = leader_messages.NotPlaced(come_back_ms, is_over_quota)
                 _tell(answer, refusal)
         except _UnfinishedError:
-            # Its time says nothing of how long answers take.
+            # The duration of an incomplete answer must not count as an
+            # observation.
             pass
         finally:
             _tell(answer, None)
@@ -255,7 +256,7 @@
         if held is None:
             return
         if held.place is None:
-            # It gave up while it waited in line.
+            # The follower gave up while the request was in the wait queue.
             if held.task is not None:
                 held.task.cancel()
         elif not held.ending.done():
@@ -270,15 +271,15 @@
         try:
             fault = client.EngineFault(message.fault)
         except ValueError:
-            # A fault that only newer instances know.
+            # A fault kind that this version doesn't know.
             return
         if fault is not client.EngineFault.UNREACHABLE:
-            # Who can't reach an engine may be cut off itself.
+            # An instance that can't reach an engine may be partitioned itself.
             error = client.EngineError(fault, message.engine)
             self._observations.failed(error)
 
     def _run_of(self, ask: leader_messages.PlaceAsk) -> runs.Run | None:
-        """The request as if it had come here; ``None`` if it can't be known."""
+        """Builds a follower's run; ``None`` if its route is unknown."""
         current = self._source.current
         if current is None:
             return None
@@ -350,7 +351,8 @@
     )
 
 
-# Makes the server of a follower, from its name and a way to tell it something.
+# Creates the placement server of a follower, from the follower's name and a
+# function that sends it a message.
 NewPlacementServer = Callable[
     [str, Callable[[messages.Message], object]], PlacementServer
 ]
--- a/src/jujubewharf/leaving/__init__.py
+++ b/src/jujubewharf/leaving/__init__.py
@@ -1,1 +1,1 @@
-"""Leaving: endpoints that get no new work, and an instance's shutdown."""
+"""Draining: endpoints that get no new work, and an instance's shutdown."""
--- a/src/jujubewharf/leaving/departures.py
+++ b/src/jujubewharf/leaving/departures.py
@@ -1,10 +1,11 @@
-"""Evidence that endpoints leave, from whichever source speaks first.
-
-The list lags, an engine's own word reaches only who asks it, and an operator
-may act on one side of a partition. Each source alone would let some instance
-send new work for long after another knew better. So any evidence counts at
-once here, and is told to all instances as a fact that expires unless it is
-renewed: evidence that nobody has any more does not keep an endpoint out.
+"""Detects leaving endpoints from all available sources.
+
+The platform's list lags behind, an endpoint's own notice reaches only the
+instances that call it, and an operator may act on one side of a partition. With
+a single source some instances would keep sending new work after others knew
+better. Notices from any source therefore count at once and are published to all
+instances as facts that expire unless renewed, so a notice that no instance can
+confirm any longer doesn't exclude an endpoint.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class Source(enum.Enum):
-    """Who said first, as far as this instance knows."""
+    """Source of the first notice, as far as this instance knows."""
 
     LIST = "list"
     ENDPOINT = "endpoint"
@@ -44,19 +45,20 @@
 
 
 class Departures(mode.Service):
-    """Which endpoints get no new work since somebody says they leave.
+    """Endpoints that get no new work because some source reports them leaving.
 
-    An operator's drain is not kept here: it is part of the configuration,
-    which every instance follows by itself.
+    Drains by operators are not included: they are part of the configuration,
+    which every instance reads itself.
 
     Args:
-        facts: Tells and hears other instances.
-        listed: Endpoints on the platform's list.
-        say_leaving: Endpoints that lately said so themselves.
-        clock: Time.
+        facts: Facts shared with other instances.
+        listed: Returns the endpoints on the platform's list.
+        say_leaving: Returns the endpoints that recently announced that they
+            leave.
+        clock: Clock.
 
     Attributes:
-        listed: Endpoints on the platform's list.
+        listed: Returns the endpoints on the platform's list.
     """
 
     def __init__(
@@ -83,7 +85,7 @@
         return self._is_told(endpoint)
 
     def check(self) -> None:
-        """Gathers first-hand evidence now, and tells what is news."""
+        """Collects first-hand notices now, and publishes changes."""
         found = self._find()
         for name in sorted(self._first_hand.keys() - found.keys()):
             self._tell(name, _TAKEN_BACK)
@@ -120,10 +122,10 @@
         return fact is not None and fact.value != _TAKEN_BACK
 
     def _is_told_for_long(self, endpoint: str) -> bool:
-        """Whether others have renewed the fact of late.
+        """Whether another instance has renewed the fact recently.
 
-        It keeps a fleet that reads the same list from telling the same fact
-        once an instance.
+        Avoids that each instance of a fleet that reads the same list publishes
+        the same fact.
         """
         topic = all_facts.Topic.ENDPOINT_LEAVING
         fact = self._facts.get(topic, endpoint)
--- a/src/jujubewharf/leaving/process.py
+++ b/src/jujubewharf/leaving/process.py
@@ -1,4 +1,4 @@
-"""Runs the daemon's services until a signal, and drains before the end."""
+"""Runs the daemon's services until a signal, then drains and stops them."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the process ends with.
+    """Exit codes of the process.
 
-    ``CUT`` says that requests were still in flight at the end, since the
-    bound passed or a second signal came.
+    ``CUT`` means that requests were still in flight at the end, because the
+    drain limit passed or a second signal arrived.
     """
 
     DRAINED = 0
@@ -32,10 +32,10 @@
 
 
 class Daemon(Protocol):
-    """What is drained; the first of the services."""
+    """The service that is drained; the first of the services."""
 
     def new_shutdown(self) -> shutdown.Shutdown:
-        """A shutdown that empties the daemon."""
+        """Creates a shutdown that drains the daemon."""
         ...
 
 
@@ -44,12 +44,12 @@
     telemetry: models.TelemetrySettings,
     identity: metrics.Identity,
 ) -> ExitCode:
-    """Runs a daemon, and its metrics, until it has drained.
+    """Runs a daemon and its metrics until the daemon has drained.
 
     Args:
-        daemon: What serves callers.
-        telemetry: Where metrics go.
-        identity: Names the instance in them.
+        daemon: Service that handles callers' requests.
+        telemetry: Settings of the metrics export.
+        identity: Identity of the instance in metrics.
     """
     logs.handle_loop_errors(asyncio.get_running_loop())
     services: list[mode.Service] = [cast(mode.Service, daemon)]
@@ -63,8 +63,8 @@
     """Starts services, waits for SIGTERM or SIGINT, drains and stops.
 
     Args:
-        daemon: What is drained.
-        services: Everything to start, in order.
+        daemon: The service to drain.
+        services: All services to start, in order.
     """
 
     def __init__(
@@ -76,9 +76,9 @@
         self._shutdown: shutdown.Shutdown | None = None
 
     async def run(self) -> ExitCode:
-        """Runs to the end.
+        """Runs until the process should exit.
 
-        A first signal drains; a second one hastens the end.
+        The first signal drains; the second one skips the rest of the drain.
         """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -97,7 +97,7 @@
                 await service.stop()
 
     async def _wait(self) -> bool:
-        """Waits for a signal; tells whether a service crashed first."""
+        """Waits for a signal; returns whether a service crashed first."""
         waits = [
             asyncio.create_task(service.wait(self._asked.wait()))
             for service in self._services
--- a/src/jujubewharf/leaving/shutdown.py
+++ b/src/jujubewharf/leaving/shutdown.py
@@ -1,9 +1,10 @@
-"""A graceful shutdown: no request in flight is cut off, within a bound.
+"""Graceful shutdown of an instance, with an upper bound on its duration.
 
-In this order: the balancer is told and peers are given the roles; after a
-short grace, in which the balancer's last requests are still served, new ones
-are refused; what runs here, for callers or for other instances that pull
-from here, ends by itself; only then does the process stop.
+First the readiness check fails and roles are handed over to peers. During a
+short grace period requests that the balancer still sends are served. Then new
+requests are refused, and the instance waits for the requests in flight, both
+its callers' and those that other instances pull from here, before the process
+stops.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 from jujubewharf import errors
 
 _POLL_MS = 100.0
-# Any other instance takes the request, so there is nothing to wait for.
+# Another instance can take the request at once.
 _RETRY_AFTER_MS = 50.0
 
 
 class AdmissionState:
-    """Whether the instance takes requests, and how many it has.
+    """Whether the instance admits requests, and how many are in flight.
 
     Attributes:
-        is_ready: False asks the balancer to send no more.
-        is_accepting: False refuses new requests.
-        in_flight: Requests that were admitted and have not ended.
+        is_ready: Readiness for the balancer; false asks it to send no more.
+        is_accepting: Whether new requests are admitted.
+        in_flight: Admitted requests that have not ended.
     """
 
     def __init__(self) -> None:
@@ -39,7 +40,7 @@
         self.in_flight = 0
 
     def check(self) -> None:
-        """Refuses a new request while the instance shuts down.
+        """Refuses new requests while the instance shuts down.
 
         Raises:
             WharfError: ``SHUTTING_DOWN``; nothing ran.
@@ -50,7 +51,7 @@
 
     @contextlib.asynccontextmanager
     async def admitted(self) -> AsyncIterator[None]:
-        """Counts a request for the block.
+        """Counts a request as in flight for the block.
 
         Raises:
             WharfError: ``SHUTTING_DOWN``; nothing ran.
@@ -65,12 +66,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """How a shutdown went.
+    """Result of a shutdown.
 
     Attributes:
-        cut: Requests that were still in flight when the bound passed or a
-            second signal came.
-        duration_ms: How long it took.
+        cut: Requests that were still in flight when the drain limit passed or a
+            second signal arrived.
+        duration_ms: Duration of the shutdown in ms.
     """
 
     cut: int
@@ -78,15 +79,16 @@
 
 
 class Shutdown:
-    """Empties one instance.
+    """Drains one instance.
 
     Args:
-        admission: Where requests come in.
-        running: Answers being written here, also for other instances.
-        hand_over: Gives roles and records to others.
-        clock: Time.
-        grace_ms: How long new requests are still served.
-        drain_ms: Upper bound of the whole.
+        admission: Admission of new requests.
+        running: Returns the number of answers being written, including those
+            for other instances.
+        hand_over: Hands roles and records over to other instances.
+        clock: Clock.
+        grace_ms: Time in ms for which new requests are still served.
+        drain_ms: Upper bound in ms of the whole shutdown.
     """
 
     def __init__(
@@ -109,11 +111,11 @@
         self._logger = structlog.get_logger()
 
     def hasten(self) -> None:
-        """Ends the waiting at once; what is in flight is cut."""
+        """Skips the rest of the wait; requests in flight are cut off."""
         self._hastened.set()
 
     async def run(self) -> Summary:
-        """Waits until the instance is empty, the bound or ``hasten``."""
+        """Waits until the instance is idle, the limit passes or ``hasten``."""
         began_ms = self._clock.now_ms()
         until_ms = began_ms + self._drain_ms
         self._logger.info("shutdown_began", in_flight=self._busy())
