--- a/tests/leadership/test_backoff.py
+++ b/tests/leadership/test_backoff.py
@@ -1,11 +1,7 @@
-"""An endpoint that asks an instance to back off gets nothing from it.
-
-An endpoint that is overloaded refuses a request and says for how many seconds
-it wants nothing from that instance. Instances took that for a refusal like any
-other and came back with one of their next requests, so that an endpoint that
-asked for three seconds of rest was asked again in the first. Only the instance
-that was answered owes this; but another one places its requests, and has to be
-told.
+"""Guards against requests to an endpoint during its backoff period.
+
+An overloaded endpoint asks a single instance to back off. Another instance
+places that instance's requests, so the leader has to learn of the backoff.
 """
 
 from __future__ import annotations
@@ -25,7 +21,7 @@
 
 NAMES = ("e1", "e2", "e3", "e4")
 BACKOFF_MS = 3_000.0
-# Requests that were on their way when the answer came.
+# Allowance in ms for requests that were already being sent.
 ON_THE_WAY_MS = 500.0
 
 
@@ -34,7 +30,7 @@
 
 
 def _too_soon(backend, backoff_ms: float = BACKOFF_MS) -> list:
-    """Requests of instances that it had asked to back off, within that time."""
+    """Requests within the backoff period of the instance that sent them."""
     found = []
     for asked in (*backend.asked, *backend.asked_memory):
         told_ms = backend.told_ms.get(asked.instance)
@@ -49,8 +45,8 @@
     ("path", "busy"),
     [("/sale/1", "s1"), ("/lookup/1", "s1"), ("/verdicts/1", "d1")],
 )
-def test_who_was_asked_to_back_off_does(path, busy):
-    """Nothing reaches it before its time is over; it takes work after that."""
+def test_no_requests_during_backoff(path, busy):
+    """No requests arrive during the period, and some arrive after it."""
 
     async def main():
         async with _deployed(*deployments.of_both_kinds()) as world:
@@ -63,8 +59,8 @@
             answers = await flood
             assert weak.told_ms
             assert _too_soon(weak) == []
-            # A sale has one attempt, which the refusal uses up: one caller of
-            # each instance at most, and told the truth.
+            # A sale has a single attempt, which the refusal uses up: at most
+            # one caller of each instance fails, with an error that nothing ran.
             refused = [a.error for a in answers if a.error is not None]
             assert len(refused) <= (len(NAMES) if path == "/sale/1" else 0)
             assert all(error.ran is errors.Ran.NO for error in refused)
@@ -74,8 +70,8 @@
     deployments.run(main())
 
 
-def test_readers_are_not_asked_by_who_is_to_back_off():
-    """The leader names it as a reader to all; each heeds what it was told."""
+def test_no_prefill_calls_during_backoff():
+    """The leader offers the engine to all; each checks its own backoff."""
 
     async def main():
         weak = reader("p1")
@@ -97,11 +93,11 @@
     deployments.run(main())
 
 
-def test_the_leader_places_nobody_where_he_is_to_back_off():
-    """A follower's own run was refused; the leader was never told.
+def test_leader_respects_backoffs_of_followers():
+    """A follower's backoff reaches the leader with its placement request.
 
-    It would go on to reserve memory there for that follower, which then would
-    have to break its word or lose the place.
+    Otherwise the leader would keep reserving memory that the follower must not
+    use.
     """
 
     async def main():
@@ -111,7 +107,7 @@
         async with _deployed(*behind) as world:
             await world.clock.sleep_ms(2_000.0)
             follower = next(n for n in NAMES if n != world.leader)
-            # What its own sending had told it.
+            # The follower received a backoff for its own request.
             instance = world.instances[follower]
             instance.restraints.heard(
                 behind[1].endpoint,
@@ -129,8 +125,8 @@
 
 
 @pytest.mark.parametrize("path", ["/sale/1", "/lookup/1"])
-def test_callers_are_refused_at_once_while_all_want_none(path):
-    """They are told when the first endpoint takes requests again."""
+def test_callers_are_refused_at_once_while_all_endpoints_back_off(path):
+    """Retry-after is the time until the first backoff ends."""
 
     async def main():
         behind = [shop("s1", backoff_ms=2_000.0)]
@@ -149,7 +145,7 @@
     deployments.run(main())
 
 
-def test_a_stream_is_refused_at_once_while_all_engines_want_none():
+def test_stream_is_refused_at_once_while_all_engines_back_off():
     async def main():
         behind = [reader("p1"), writer("d1", backoff_ms=5_000.0)]
         async with _deployed(*behind) as world:
@@ -166,10 +162,10 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_history_brings_it_requests_too_soon(seed):
-    """Endpoints ask to back off in turn, some lose answers meanwhile.
+def test_random_faults_respect_backoffs(seed):
+    """Random backoffs, while some endpoints lose answers.
 
-    Repeats, and requests that wait for memory, go elsewhere as well.
+    Retries and requests in the wait queue must respect backoffs as well.
     """
 
     async def main():
--- a/tests/leadership/test_crash_keeper.py
+++ b/tests/leadership/test_crash_keeper.py
@@ -1,4 +1,4 @@
-"""What is known of crashing requests outlives all instances."""
+"""Guards against losing the crash history in a restart of all instances."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 CRASHING = b"crashes each engine that runs it"
 NAMES = ("e1", "e2", "e3")
-# Within this all instances have to know, with or without a leader.
+# Time in ms until all instances must know, with or without a leader.
 SETTLED_MS = 3_000.0
 
 
@@ -35,7 +35,7 @@
     await world.clock.sleep_ms(2_000.0)
 
 
-def test_a_restart_of_all_reads_it_again():
+def test_history_survives_restart_of_all():
     async def main():
         async with _world() as world:
             _crash(world, "a", "b", "c")
@@ -46,7 +46,7 @@
     deployments.run(main())
 
 
-def test_starts_of_one_instance_do_not_overwrite_each_other():
+def test_restarts_do_not_overwrite_earlier_records():
     async def main():
         async with _world() as world:
             for number in range(4):
@@ -60,8 +60,8 @@
     deployments.run(main())
 
 
-def test_a_store_that_is_away_gets_it_later():
-    """Nobody can be told while the store is away; what is known waits."""
+def test_reports_are_written_after_store_outage():
+    """Reports of an outage of the store are written after it."""
 
     async def main():
         async with _world() as world:
@@ -76,8 +76,8 @@
     deployments.run(main())
 
 
-def test_what_changes_during_a_write_is_written_as_well():
-    """The call takes a while, and another engine crashes meanwhile."""
+def test_changes_during_a_write_are_written():
+    """Another engine crashes while a slow write is in progress."""
 
     async def main():
         async with _world() as world:
@@ -98,7 +98,7 @@
     deployments.run(main())
 
 
-def test_instances_that_start_while_it_is_away_read_it_later():
+def test_history_is_read_after_start_during_store_outage():
     async def main():
         async with _world() as world:
             _crash(world, "a", "b", "c")
@@ -113,8 +113,8 @@
     deployments.run(main())
 
 
-def test_a_whole_answer_is_kept_as_well():
-    """An innocent request would else be refused after the next restart."""
+def test_acquittal_survives_restart_of_all():
+    """Otherwise an innocent request would be refused after a restart."""
 
     async def main():
         async with _world() as world:
@@ -130,7 +130,7 @@
     deployments.run(main())
 
 
-def test_nothing_is_kept_longer_than_it_counts():
+def test_expired_records_are_deleted():
     async def main():
         async with _world() as world:
             _crash(world, "a", "b", "c")
@@ -140,8 +140,8 @@
     deployments.run(main())
 
 
-def test_a_calm_fleet_reads_seldom_and_writes_nothing():
-    """One call in two seconds at most, for all instances together."""
+def test_idle_fleet_rarely_reads_and_never_writes():
+    """At most one read in two seconds for all instances together."""
 
     async def main():
         async with _world() as world:
@@ -154,7 +154,7 @@
     deployments.run(main())
 
 
-def test_a_record_of_another_writer_is_left_aside():
+def test_unreadable_record_is_skipped():
     async def main():
         async with _world() as world:
             _crash(world, "a", "b", "c")
@@ -166,8 +166,8 @@
     deployments.run(main())
 
 
-def test_instances_without_a_leader_hear_of_each_other_by_the_store():
-    """All domains are cut from each other, and each still reaches the store."""
+def test_instances_without_a_leader_share_reports_through_the_store():
+    """All domains are partitioned from each other, but reach the store."""
 
     async def main():
         behind = [deployments.shop("s1")]
@@ -177,7 +177,7 @@
         for first, second in ("ab", "ac", "bc"):
             world.network.cut(first, second)
         await world.clock.sleep_ms(500.0)
-        # The links look open still; whoever is told this way isn't told.
+        # The links still appear open, but messages on them are lost.
         _crash(world, "a", "b", "c")
         await world.clock.sleep_ms(SETTLED_MS)
         assert _counts(world) == {3}
@@ -186,8 +186,8 @@
     deployments.run(main())
 
 
-def test_instances_without_a_leader_for_long_read_now_and_then():
-    """In a cut that is a call a second at most, and none that writes."""
+def test_instances_without_a_leader_rarely_read():
+    """At most one read per second and instance, and no writes."""
 
     async def main():
         world = deployments.Deployment(deployments.shop("s1"))
--- a/tests/leadership/test_crashing_requests.py
+++ b/tests/leadership/test_crashing_requests.py
@@ -1,14 +1,7 @@
-"""A request that crashes engines is sent to no engine after the third.
-
-A caller sent a model request again and again, to any instance, with a new id
-each time, and each decode engine that began to run it crashed: 12 and 17
-engines ended under two such requests, and with them what ran beside. Runs
-broke at all six instances, 13 to 54 at each, so no instance knew what it had
-seen itself; one try was resumed at a second engine 160 ms after the first had
-ended, and crashed it 80 ms later. Connections to a crashed engine were refused
-within 4 ms, while prefill engines that read the same prompt lived on. The cause
-was that nothing was remembered of a request beyond its own try, neither where
-an engine had crashed under it nor anywhere else.
+"""Guards against a request that crashes every engine that runs it.
+
+After three crashes the request is quarantined at all instances, also for
+retries at other instances with new request ids.
 """
 
 from __future__ import annotations
@@ -29,15 +22,16 @@
 
 CRASHING = b"crashes each engine that runs it"
 NAMES = ("e1", "e2", "e3", "e4", "e5", "e6")
-# Crashes after which a request is known for what it is.
+# Crashes after which a request is quarantined.
 MOST_CRASHES = 3
-# One more try is let through: only a run tells an innocent request that was
-# beside three crashes from this one. Users allow three.
+# One trial is granted, since only another run distinguishes an innocent request
+# from the cause of the crashes. The requirement allows three.
 TRIALS = 1
-# Within this all instances have heard of a crash; a try that was already under
-# way may still end in one.
+# Time in ms until all instances know of a crash; an attempt that is already in
+# flight may still end in one.
 SPREAD_MS = 200.0
-# Users allow three more tries, sent later than this after the third crash.
+# Attempts that the requirement allows later than this many ms after the third
+# crash.
 SETTLED_MS = 3_000.0
 MOST_LATER = 3
 
@@ -67,7 +61,7 @@
 async def _insist(
     world, path: str, *, for_ms: float, every_ms: float = 300.0, body=CRASHING
 ) -> list[deployments.Answer]:
-    """Sends the same request to one instance after the other."""
+    """Sends the same request to the instances in turn."""
     asked: list[asyncio.Task] = []
     until_ms = world.clock.now_ms() + for_ms
     while world.clock.now_ms() < until_ms:
@@ -84,7 +78,7 @@
 
 
 def _arrivals(world, *, after_ms: float, body=CRASHING) -> list:
-    """Sendings of a request that reached engines later than that."""
+    """Calls of a request that reached engines after a time."""
     return [
         asked
         for backend in world.backends.by_name.values()
@@ -94,13 +88,13 @@
 
 
 def _tries(world, *, after_ms: float, body=CRASHING) -> set[str]:
-    """Tries that reached engines later than that."""
+    """Ids of the attempts that reached engines after a time."""
     later = _arrivals(world, after_ms=after_ms, body=body)
     return {asked.request_id for asked in later}
 
 
 def _third_ms(world, body=CRASHING) -> float:
-    """When the third engine had crashed under a request."""
+    """Time of the third crash of a request."""
     times = _crashed_ms(world, body)
     return times[MOST_CRASHES - 1] if len(times) >= MOST_CRASHES else 1e12
 
@@ -111,7 +105,7 @@
 
 
 def _crash_elsewhere(world) -> None:
-    """Has another instance see three engines crash under the request."""
+    """Records three crashes of the request at another instance."""
     call = world.call("/verdicts/1", body=CRASHING)
     for engine in ("x1", "x2", "x3"):
         world.instances["e3"].crashes.crashed(call, engine, stage="run")
@@ -121,8 +115,8 @@
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_no_instance_sends_it_on_after_three_crashes(path):
-    """Streams and plain requests, those that may be sent again and others."""
+def test_request_is_quarantined_after_three_crashes(path):
+    """Streams and plain requests, idempotent or not."""
 
     async def main():
         async with _deployed() as world:
@@ -142,7 +136,7 @@
     deployments.run(main())
 
 
-def test_an_instance_alone_keeps_to_it_by_itself():
+def test_single_instance_quarantines_by_itself():
     async def main():
         async with deployments.deployed(*_behind()) as world:
             world.backends.crashing.add(CRASHING)
@@ -154,7 +148,7 @@
     deployments.run(main())
 
 
-def test_an_instance_that_starts_hears_it_of_the_others():
+def test_new_instance_learns_of_quarantine():
     async def main():
         async with _deployed() as world:
             await _insist(world, "/verdicts/1", for_ms=5_000.0)
@@ -168,8 +162,8 @@
     deployments.run(main())
 
 
-def test_a_restart_of_all_instances_does_not_forget_it():
-    """Power is lost everywhere; only what the store keeps is left."""
+def test_quarantine_survives_restart_of_all():
+    """Only the records in the store are left."""
 
     async def main():
         async with _deployed() as world:
@@ -184,8 +178,8 @@
     deployments.run(main())
 
 
-def test_what_waits_for_memory_is_not_placed():
-    """Memory comes free just after the third engine has crashed."""
+def test_waiting_attempt_is_not_placed():
+    """Memory becomes free just after the third crash."""
 
     async def main():
         async with _deployed() as world:
@@ -208,10 +202,10 @@
 
 
 @pytest.mark.parametrize("instance", NAMES[:2])
-def test_what_waits_for_memory_is_told_at_once(instance):
-    """A try that stands in the line of an instance or its leader is hopeless.
+def test_waiting_attempt_is_refused_at_once(instance):
+    """Attempts in the wait queue of an instance or the leader are refused.
 
-    Its caller would wait for seconds, for an answer that can only be a refusal.
+    Otherwise the caller would wait for seconds for a certain refusal.
     """
 
     async def main():
@@ -239,10 +233,10 @@
 
 @pytest.mark.parametrize("are_alike", [True, False])
 @pytest.mark.parametrize("path", PATHS)
-def test_innocent_requests_beside_it_are_served(path, are_alike):
-    """An engine ends under all that it runs; one of them is to blame.
+def test_other_requests_on_crashed_engines_are_served(path, are_alike):
+    """Requests that ran on a crashed engine are not to blame.
 
-    Many callers send the same body, or each one of its own.
+    Many callers send the same body, or each one a body of its own.
     """
 
     async def main():
@@ -256,7 +250,7 @@
             assert _quarantined(beside) == []
             await insisting
             await world.clock.sleep_ms(SETTLED_MS)
-            # The same requests as before: all that ran beside it is cleared.
+            # The same requests as before: none of them may stay in quarantine.
             answers = await world.flood(
                 path, for_ms=2_000.0, are_alike=are_alike
             )
@@ -265,8 +259,8 @@
     deployments.run(main())
 
 
-def test_a_popular_request_is_served_though_engines_crash_under_it():
-    """The same body runs on each engine that is lost, to a cause of its own."""
+def test_popular_request_is_served_despite_unrelated_crashes():
+    """The same body runs on each engine that crashes for other reasons."""
 
     async def main():
         async with _deployed() as world:
@@ -286,10 +280,10 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_history_of_cuts_and_restarts_crashes_more_engines(seed):
-    """Instances are killed, cut off and unlinked while callers insist.
+def test_random_faults_respect_quarantine(seed):
+    """Random kills, partitions and lost links under repeated requests.
 
-    Tries of an instance that was in trouble lately aren't bounded.
+    Attempts by instances that were disturbed recently don't count.
     """
 
     async def main():
@@ -330,7 +324,7 @@
 
 
 async def _trouble(world, rng: random.Random) -> list[str]:
-    """Does something to instances; returns those that it was done to."""
+    """Disturbs instances at random and returns their names."""
     names = sorted(world.instances)
     name = rng.choice(names)
     match rng.choice(["kill", "kill_all", "leader", "cut", "unlink", "heal"]):
--- a/tests/leadership/test_endpoint_limits.py
+++ b/tests/leadership/test_endpoint_limits.py
@@ -1,12 +1,7 @@
-"""An endpoint that names a rate limit gets no more from all instances.
-
-Two of four endpoints of a plain service named limits of 1.8 and 1.5 requests a
-second in all their answers, and went on to get some ten a second from instances
-that had passed such answers on: 48 and 23 requests in four seconds. An
-endpoint in need would be pushed further by what it had asked to be spared. The
-first fault was that no instance read the word: arrivals were 1 to 13 a second
-before and 2 to 14 after, and no log line told of a limit. An instance that
-kept to the limit by itself would still let six times as much through.
+"""Guards against exceeding an endpoint's rate limit across all instances.
+
+A limit that each instance enforced on its own would be exceeded by a factor of
+the number of instances.
 """
 
 from __future__ import annotations
@@ -25,30 +20,30 @@
 
 NAMES = ("e1", "e2", "e3", "e4", "e5", "e6")
 WINDOW_MS = 4_000.0
-# An instance that was told heeds it from then on.
+# Time in ms until an instance must respect a limit that it received.
 HEEDED_AFTER_MS = 500.0
 
 
 def _allowed(limit_per_s: float) -> float:
-    """What users allow in a window: half as much again, and five more."""
+    """Requirement: 1.5 times the limit plus five requests per window."""
     return 1.5 * limit_per_s * WINDOW_MS / 1_000.0 + 5
 
 
 def _most(times: list[float]) -> int:
-    """The most requests within a window that slides."""
+    """The largest number of requests in any sliding window."""
     return max(
         (sum(t <= u < t + WINDOW_MS for u in times) for t in times), default=0
     )
 
 
 def _of_all(backend) -> list[float]:
-    """Requests of all instances, from when the first one has to heed it."""
+    """Requests of all instances since the first one must know the limit."""
     since_ms = min(backend.told_ms.values()) + HEEDED_AFTER_MS
     return [a.at_ms for a in backend.asked if a.at_ms >= since_ms]
 
 
 def _of_told(backend) -> list[float]:
-    """Requests of those instances that were told in time."""
+    """Requests of instances that had received the limit in time."""
     return [
         asked.at_ms
         for asked in backend.asked
@@ -62,7 +57,7 @@
 
 
 @pytest.mark.parametrize("path", ["/lookup/1", "/sale/1"])
-def test_endpoints_that_name_limits_get_no_more_from_all_instances(path):
+def test_limit_holds_across_instances(path):
     async def main():
         weak, weaker = shop("s3"), shop("s4")
         async with _deployed(shop("s1"), shop("s2"), weak, weaker) as w:
@@ -79,12 +74,8 @@
 
 
 @pytest.mark.parametrize("limited", ["p1", "d1"])
-def test_engines_that_name_limits_get_no_more_prompts_and_answers(limited):
-    """An engine in need isn't spared by being asked for its memory first.
-
-    Prompts are read at one engine and answers written at another; who places
-    a request is the leader, who sends it another instance.
-    """
+def test_limit_of_engine_holds_for_prefill_and_decode(limited):
+    """Prefill and decode calls are limited, whichever instance places them."""
 
     async def main():
         engines = [reader("p1"), reader("p2"), writer("d1"), writer("d2")]
@@ -103,11 +94,10 @@
     deployments.run(main())
 
 
-def test_what_was_placed_before_the_limit_needs_a_permit_too():
-    """Prompts are being read for a second when the engine names its limit.
+def test_limit_holds_for_requests_placed_before_it():
+    """The engine sends its limit while placed requests are in prefill.
 
-    Their runs were placed without a permit, and would all reach the engine
-    after every instance knows of the limit.
+    Their decode calls were placed without a permit and all come later.
     """
 
     async def main():
@@ -129,12 +119,8 @@
     deployments.run(main())
 
 
-def test_second_tries_count_as_well():
-    """The endpoints that are well lose answers, and repeats look elsewhere.
-
-    Each repeat that went to the limited endpoint would be one more than its
-    limit, just while it is the only one that answers.
-    """
+def test_retries_count_against_limit():
+    """Retries go to the limited endpoint when the others lose answers."""
 
     async def main():
         weak = shop("s3", "c", rate_limit_per_s=1.5)
@@ -148,11 +134,11 @@
     deployments.run(main())
 
 
-def test_callers_that_no_endpoint_may_take_are_told_when_to_come_back():
-    """With limits at all endpoints most callers are refused, at once.
+def test_excess_callers_get_different_retry_after_times():
+    """With limits at all endpoints, excess requests are refused at once.
 
-    They are told different times, so that they don't come back together, and
-    what the endpoints take is used up.
+    Retry-after values differ, so that callers don't retry at the same time, and
+    the limits are used up.
     """
 
     async def main():
@@ -165,7 +151,7 @@
             for backend in weak:
                 assert _most(_of_all(backend)) <= _allowed(5.0)
             served = sum(a.status == 200 for a in answers)
-            # Both together take ten a second.
+            # Both endpoints together allow ten requests per second.
             assert served >= 0.7 * 100
             refused = [a for a in answers if a.error is not None]
             assert refused
@@ -178,8 +164,8 @@
     deployments.run(main())
 
 
-def test_a_stream_that_no_engine_may_take_is_refused_at_once():
-    """A caller isn't kept waiting for a permit that comes after its target."""
+def test_stream_over_limit_is_refused_at_once():
+    """A caller must not wait for a permit that comes after its target."""
 
     async def main():
         engines = [reader("p1"), writer("d1", rate_limit_per_s=0.5)]
@@ -197,7 +183,7 @@
     deployments.run(main())
 
 
-def test_a_limit_ends_when_the_endpoint_no_longer_names_it():
+def test_limit_ends_when_endpoint_withdraws_it():
     async def main():
         weak = shop("s1", rate_limit_per_s=1.5)
         async with _deployed(weak) as world:
@@ -212,7 +198,7 @@
     deployments.run(main())
 
 
-def test_endpoints_without_a_limit_come_first_among_equals():
+def test_endpoints_without_limit_are_preferred():
     """Callers don't wait for a permit while another endpoint is free."""
 
     async def main():
@@ -230,7 +216,7 @@
     deployments.run(main())
 
 
-def test_an_instance_that_starts_knows_the_limits_of_the_others():
+def test_new_instance_respects_known_limits():
     async def main():
         weak = shop("s1", rate_limit_per_s=1.5)
         async with _deployed(weak, shop("s2")) as world:
@@ -244,8 +230,8 @@
     deployments.run(main())
 
 
-def test_a_new_leader_knows_the_limits():
-    """No request more than the bound when the leader dies with what it knew."""
+def test_new_leader_respects_known_limits():
+    """The limit holds when the leader dies with its count of requests."""
 
     async def main():
         weak = shop("s1", rate_limit_per_s=3.0)
@@ -267,12 +253,12 @@
 
 @pytest.mark.parametrize("limited", [2, 3])
 @pytest.mark.parametrize("seed", range(8))
-def test_no_history_of_cuts_and_restarts_exceeds_a_limit(seed, limited):
-    """Instances are cut off, killed and started anew, in any order.
+def test_random_faults_keep_within_limits(seed, limited):
+    """Random partitions, kills and lost links keep within the limits.
 
-    Limits change and end meanwhile. Whoever was told half a second before
-    counts, a process that was started anew only from its own first answer on.
-    With limits at all three endpoints nobody has another one to go to.
+    Requests count from half a second after their instance received the limit; a
+    restarted process counts from its own first answer on. With ``limited`` 3 no
+    endpoint is without a limit.
     """
 
     async def main():
@@ -297,7 +283,7 @@
 
 
 async def _trouble(world, rng: random.Random) -> None:
-    """Something befalls the instances."""
+    """Disturbs an instance at random."""
     name = rng.choice(sorted(world.instances))
     match rng.choice(["kill", "cut", "store", "unlink", "heal"]):
         case "kill":
--- a/tests/leadership/test_feeds.py
+++ b/tests/leadership/test_feeds.py
@@ -1,4 +1,4 @@
-"""A table as the leader tells it, and by oneself when it doesn't."""
+"""Tests of tables that the leader sends, with the store as fallback."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return platform_tables.TableRecord(key, offset, value)
 
 
-def test_what_the_leader_tells_needs_no_reading():
+def test_records_from_leader_need_no_read():
     async def test(clock, table, feed, fed):
         feed.take([_record(0)], 1)
         page = await fed.changes(0, wait_ms=500.0)
@@ -37,7 +37,7 @@
     _run(test)
 
 
-def test_news_end_a_wait_at_once():
+def test_new_record_ends_long_poll():
     async def test(clock, table, feed, fed):
         feed.take([], 1)
         waiting = asyncio.ensure_future(fed.changes(1, wait_ms=1_500.0))
@@ -50,11 +50,10 @@
     _run(test)
 
 
-def test_a_leader_that_falls_silent_is_not_waited_for():
-    """A change is read in time though nobody tells of it any more.
+def test_stale_data_ends_long_poll():
+    """A change is read from the store once the leader's data is stale.
 
-    The leader's last word grows too old in the middle of a wait; the store is
-    read then, and not when the wait is over.
+    The data becomes stale in the middle of a long poll.
     """
 
     async def test(clock, table, feed, fed):
@@ -68,8 +67,8 @@
     _run(test)
 
 
-def test_an_old_word_is_no_fresh_one():
-    """The leader is there but hasn't read the store for a while."""
+def test_freshness_depends_on_confirmed_age():
+    """The leader is connected but has not read the store recently."""
 
     async def test(clock, table, feed, fed):
         feed.take([_record(0)], 1)
@@ -82,12 +81,8 @@
     _run(test)
 
 
-def test_a_record_that_was_not_sent_is_read():
-    """A configuration too large for all links at once is in force all the same.
-
-    The leader tells only where it lies; an instance that already has it reads
-    nothing.
-    """
+def test_unsent_record_is_read_from_store():
+    """A configuration that is too large to be sent is read once."""
 
     async def test(clock, table, feed, fed):
         table.put("k", "large")
@@ -102,11 +97,10 @@
     _run(test)
 
 
-def test_what_the_store_wont_tell_is_asked_of_the_leader():
-    """The store turns this instance away while it serves the leader.
+def test_unsent_record_is_fetched_when_store_refuses():
+    """The leader's copy is fetched when the store refuses the read.
 
-    Operators have withdrawn a key. The new configuration was too large to be
-    sent to all at once, so this instance has to read it, and can't.
+    Otherwise a withdrawn API key would still be accepted here.
     """
 
     async def test(clock, table, feed, fed):
@@ -125,7 +119,7 @@
     _run(test)
 
 
-def test_what_another_leader_told_is_forgotten():
+def test_data_of_previous_leader_is_discarded():
     async def test(clock, table, feed, fed):
         feed.take([_record(0)], 1)
         feed.begin()
@@ -136,7 +130,7 @@
     _run(test)
 
 
-def test_alone_readings_of_a_busy_table_are_paced():
+def test_reads_of_a_busy_table_are_paced_without_leader():
     async def test(clock, table, feed, fed):
         paced = feeds.LeaderTable(table, feed, clock, pause_ms=lambda: 800.0)
         for _ in range(5):
--- a/tests/leadership/test_fleet_quotas.py
+++ b/tests/leadership/test_fleet_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of accounts over a fleet, with leaders that come and go."""
+"""Guards against exceeding account quotas, also when the leader changes."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 SMALL = accounts.Quota(20_000.0, 20_000.0, accounts.QuotaUnit.TOKENS, 200.0)
 USUAL = dataclasses.replace(SMALL, rate_per_s=90_000.0, burst=90_000.0)
 LARGE = dataclasses.replace(SMALL, rate_per_s=1e9, burst=1e9)
-# Tokens that the users allow besides, whatever the quota.
+# Tokens that the requirement allows beyond any quota.
 SLACK = 120_000.0
 WINDOW_MS = 8_000.0
-# One request of the model's.
+# One model request.
 WORK = calls.ModelWork(3_000, 2_000, 1_000)
 
 
@@ -58,7 +58,7 @@
 
 
 def _most_in_a_window(world, account: str, units: float) -> float:
-    """The most that an account has run within a window that slides."""
+    """The most units that an account has run in any sliding window."""
     times = [r.at_ms for r in world.backends.runs if r.account == account]
     return max(
         (
@@ -70,7 +70,7 @@
 
 
 async def _flood(world, account, path, *, for_ms, every_ms, units_work=None):
-    """Sends requests to all instances in turn; the answers are returned."""
+    """Sends requests to all instances in turn; returns the answers."""
     asked = []
     until_ms = world.clock.now_ms() + for_ms
     count = 0
@@ -94,7 +94,7 @@
 
 
 def _allowed(quota: accounts.Quota, slack: float = 0.0) -> float:
-    """What the users' bound allows over a window: a tenth more than it."""
+    """Requirement: 1.1 times the quota per window, plus slack."""
     whole = quota.rate_per_s * WINDOW_MS / 1_000.0 + quota.burst
     return whole * 1.1 + slack
 
@@ -103,11 +103,10 @@
     ("path", "work", "units"),
     [("/sale/1", None, 200.0), ("/verdicts/1", WORK, 5_000.0)],
 )
-def test_a_flood_gets_its_quota_and_no_more(path, work, units):
-    """An account asks for five times its quota, over all instances.
+def test_flood_is_limited_to_quota(path, work, units):
+    """An account sends five times its quota, to all instances.
 
-    What it gets is close to its quota, and what it doesn't get is refused at
-    once with a time to come back.
+    It gets nearly its quota; the rest is refused at once with a retry-after.
     """
 
     async def main():
@@ -137,7 +136,7 @@
     deployments.run(main())
 
 
-def test_a_flood_costs_other_accounts_nothing():
+def test_flood_does_not_affect_other_accounts():
     async def main():
         async with deployments.deployed(
             *_shops(), *_engines(), names=NAMES, is_led=True
@@ -167,7 +166,7 @@
     deployments.run(main())
 
 
-def test_a_caller_that_comes_back_when_told_is_served():
+def test_caller_is_served_after_retry_after():
     async def main():
         async with deployments.deployed(
             *_shops(), names=NAMES, is_led=True
@@ -186,11 +185,10 @@
     deployments.run(main())
 
 
-def test_a_request_that_finds_no_engine_is_not_counted():
-    """A quota is for what runs; a refusal for want of memory uses none.
+def test_request_without_engine_is_not_counted():
+    """A refusal for lack of memory must not use up the quota.
 
-    Otherwise a burst that finds all engines full would use up the quota of
-    callers that got nothing, and they would be refused once more.
+    Otherwise callers that got nothing would be refused a second time.
     """
 
     async def main():
@@ -217,7 +215,7 @@
     deployments.run(main())
 
 
-def test_a_stream_that_goes_on_elsewhere_is_counted_once():
+def test_resumed_stream_is_counted_once():
     async def main():
         async with deployments.deployed(
             deployments.reader("p1"),
@@ -250,12 +248,8 @@
     deployments.run(main())
 
 
-def test_small_requests_dont_wait_for_a_large_ones_debt():
-    """One account has streams and lookups; it is a little over its quota.
-
-    Each of its streams leaves a debt of tenths of a second. Its lookups hardly
-    count, and are served all the same as far as operators tolerate.
-    """
+def test_small_requests_are_served_during_debt():
+    """Lookups are served while streams of the same account are in debt."""
 
     async def main():
         async with deployments.deployed(
@@ -284,11 +278,11 @@
     deployments.run(main())
 
 
-def test_an_instance_without_a_leader_grants_the_pace_it_saw():
-    """An account's few connections end at one instance, which is cut off.
+def test_instance_without_leader_grants_observed_share():
+    """An account's connections end at one instance, which loses its leader.
 
-    With an equal part of the quota it could run one request in eight; its
-    caller, far within its quota, would be refused although engines are free.
+    With an equal share of the quota its caller would be refused although it is
+    far within its quota.
     """
 
     async def main():
@@ -310,12 +304,11 @@
     deployments.run(main())
 
 
-def test_an_account_that_is_low_gets_no_request_an_instance_more():
-    """The leader is gone, and an account is at its quota on all instances.
+def test_low_account_gets_no_extra_request_per_instance():
+    """The leader stops while an account is at its quota.
 
-    Each instance has its part of the rate and no debt yet. If each admitted a
-    request at once, a fleet would run as many requests beyond the quota as it
-    has instances, whenever its leader changes.
+    If each instance admitted one request at once, the excess would grow with
+    the number of instances.
     """
 
     async def main():
@@ -345,17 +338,18 @@
                 if since_ms <= run.at_ms <= until_ms
             ]
             await flood
-            # A second of the rate is four requests; eleven instances are left.
+            # The rate allows four requests per second; eleven instances are
+            # left.
             assert len(ran) <= 8
 
     deployments.run(main())
 
 
-def test_a_flood_without_a_leader_gets_no_request_an_instance():
-    """An account that was calm floods all instances while they have no leader.
+def test_flood_without_leader_gets_no_request_per_instance():
+    """An idle account floods all instances while there is no leader.
 
-    Each has a twelfth of its burst, less than one request. If each admitted
-    one in debt, the fleet would run as many at once as it has instances.
+    Each instance has a twelfth of the burst, less than one request, and must
+    not admit a whole one in debt.
     """
 
     async def main():
@@ -381,19 +375,15 @@
             )
             await flood
             ran = [r for r in world.backends.runs if r.at_ms >= since_ms]
-            # Burst and rate of a second are eight requests.
+            # The burst and the rate of one second are eight requests.
             assert len(ran) <= 8
 
     deployments.run(main())
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_history_of_leaders_exceeds_the_quota(seed):
-    """Leaders are killed, instances cut off and started anew, in any order.
-
-    An account floods all instances meanwhile. Over any window it gets no more
-    than the users' bound allows.
-    """
+def test_random_leader_changes_keep_within_quota(seed):
+    """The bound holds in a flood with random leader stops and lost links."""
 
     async def main():
         rng = random.Random(seed)
--- a/tests/leadership/test_innocent_requests.py
+++ b/tests/leadership/test_innocent_requests.py
@@ -1,4 +1,4 @@
-"""A request under which engines end for another reason is still served."""
+"""Guards against refusing a request whose engines ended for other reasons."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     behind += [deployments.shop(f"s{n}", "abc"[n % 3]) for n in range(6)]
     for backend in behind:
         backend.memory_tokens = 400_000
-        # Long enough for whatever ends an engine to end it meanwhile.
+        # Long enough for the engine to end while the request runs.
         backend.work_ms = 300.0
         backend.event_ms = 60.0
     world = deployments.Deployment(*behind)
@@ -38,7 +38,7 @@
 
 
 def _runs_innocent(world):
-    """The engine that runs the innocent request now, by its latest arrival."""
+    """The engine that runs the innocent request, by its latest arrival."""
     return max(
         world.backends.by_name.values(),
         key=lambda b: max(
@@ -49,7 +49,7 @@
 
 
 async def _ended_under_it(world, path: str, end) -> None:
-    """One try of the innocent request, whose engine ends while it runs."""
+    """Sends the innocent request once and ends its engine while it runs."""
     trying = asyncio.ensure_future(
         world.ask(path, instance="e1", body=INNOCENT)
     )
@@ -57,7 +57,7 @@
     await end(world, _runs_innocent(world))
     answer = await trying
     assert answer.error is not None
-    # Engines are back.
+    # Wait until the engines have restarted.
     await world.clock.sleep_ms(4_000.0)
 
 
@@ -68,7 +68,7 @@
 
 
 async def _by_the_crashing_request(world, engine) -> None:
-    """Has the crashing request run where the innocent one runs."""
+    """Crashes the engine by the crashing request."""
     call = world.call("/crashing", body=CRASHING)
     history = world.instances["e3"].crashes
     world.backends.crash(engine)
@@ -94,8 +94,8 @@
 @pytest.mark.parametrize(
     "end", [_by_the_crashing_request, _alone, _with_its_domain]
 )
-def test_it_is_served_after_three_engines_have_ended_under_it(path, end):
-    """Beside a crashing request, killed, or lost with their domain."""
+def test_request_is_served_after_three_unrelated_crashes(path, end):
+    """Engines crash under another request, alone or with their domain."""
 
     async def main():
         async with _deployed() as world:
@@ -106,8 +106,8 @@
     deployments.run(main())
 
 
-def test_a_stream_goes_on_at_another_engine_after_the_third():
-    """Its caller has a part of the answer, and comes back with no other try."""
+def test_stream_resumes_after_third_crash():
+    """The caller has part of the answer and can't retry."""
 
     async def main():
         async with _deployed() as world:
@@ -128,8 +128,8 @@
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_it_is_served_after_its_engines_were_cut_off_three_times(path):
-    """Nobody can tell whether an engine behind a cut still lives."""
+def test_request_is_served_after_three_partitions(path):
+    """A partitioned engine may still run, so it doesn't count as crashed."""
 
     async def main():
         async with _deployed() as world:
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -1,4 +1,4 @@
-"""Who leads, and what the others do without a leader."""
+"""Tests of the election, of following a leader and of serving without one."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 writer = deployments.writer
 
 NAMES = ("e1", "e2", "e3", "e4")
-# Time until all instances have found a leader: the lease of one that is gone
-# lasts three seconds, and looks are up to some seconds apart.
+# Time in ms until all instances have found a new leader: the old lease lasts
+# three seconds, and election attempts are up to some seconds apart.
 SETTLED_MS = 9_000.0
 
 
@@ -29,7 +29,7 @@
     return [i for n, i in world.instances.items() if n != world.leader]
 
 
-def test_one_leads_and_all_others_follow_it():
+def test_one_instance_leads_and_others_follow():
     async def main():
         async with _led(reader("p1"), writer("d1")) as world:
             await world.clock.sleep_ms(2_000.0)
@@ -48,11 +48,8 @@
     deployments.run(main())
 
 
-def test_followers_hardly_read_the_store():
-    """What a fleet reads grows no longer with its instances.
-
-    Each instance by itself reads two tables about once a second.
-    """
+def test_followers_rarely_read_the_store():
+    """Reads of the store must not grow with the number of instances."""
 
     async def main():
         async with _led(reader("p1"), writer("d1")) as world:
@@ -72,11 +69,8 @@
     deployments.run(main())
 
 
-def test_a_change_reaches_followers_at_once():
-    """A route that operators added is known everywhere within a second.
-
-    The leader reads it and tells; followers then read it once themselves.
-    """
+def test_configuration_reaches_followers_within_a_second():
+    """A new configuration is in force everywhere within a second."""
 
     async def main():
         async with _led(reader("p1"), writer("d1")) as world:
@@ -91,7 +85,7 @@
     deployments.run(main())
 
 
-def test_an_engine_that_leaves_gets_no_work_from_followers():
+def test_followers_send_no_work_to_leaving_engine():
     async def main():
         gone = writer("d1")
         async with _led(reader("p1"), gone, writer("d2")) as world:
@@ -105,12 +99,10 @@
     deployments.run(main())
 
 
-def test_a_reader_that_leaves_gets_no_prompt_though_the_leader_names_it():
-    """A prompt reaches no engine later than it may after that said it leaves.
+def test_no_prompt_reaches_leaving_engine_of_stale_leader():
+    """No prompt reaches a leaving prefill engine that a stale leader offers.
 
-    The leader is cut off from the store and still names the engine. A request
-    waits in its line meanwhile; its own instance has read the store by then,
-    and what it knows at the moment of sending counts.
+    The instance that sends the prompt has read the store since.
     """
 
     async def main():
@@ -132,11 +124,11 @@
     deployments.run(main())
 
 
-def test_without_the_leader_everything_goes_on_and_another_leads():
-    """Callers of the others notice nothing when the leader dies.
+def test_requests_are_served_until_another_instance_leads():
+    """Callers of other instances are served when the leader dies.
 
-    Its links break, so each reads the store and places requests by itself,
-    until another has been dealt the lease.
+    Instances read the store and place requests themselves until another one
+    leads.
     """
 
     async def main():
@@ -161,12 +153,8 @@
     deployments.run(main())
 
 
-def test_a_leader_that_was_killed_and_is_back_leads_at_once():
-    """A restart of all instances doesn't leave them alone for a whole lease.
-
-    The leader is killed without giving its lease back, and started again at
-    its address. It knows that the process before it is gone.
-    """
+def test_restarted_leader_leads_at_once():
+    """A restarted leader must not wait for its previous lease to expire."""
 
     async def main():
         async with _led(reader("p1"), writer("d1")) as world:
@@ -185,12 +173,11 @@
     deployments.run(main())
 
 
-def test_a_leader_that_is_cut_off_is_passed_by():
-    """A caller is served in time though the leader has just fallen silent.
+def test_partitioned_leader_delays_no_caller():
+    """A partition from the leader during a placement delays no caller.
 
-    The leader stands in another failure domain, and a cut begins while it is
-    asked. No reset tells; the follower asks whether it is still there, hears
-    nothing and looks for memory by itself.
+    No connection reset arrives; the liveness check fails and the follower
+    places the request itself.
     """
 
     async def main():
@@ -210,12 +197,10 @@
     deployments.run(main())
 
 
-def test_a_question_that_is_lost_with_its_link_leaves_no_error_behind():
-    """The log stays free of errors that nobody can act on.
+def test_lost_link_leaves_no_unretrieved_exception():
+    """Guards against unretrieved exceptions when a link breaks.
 
-    A request waits in the leader's line and its instance asks whether the
-    leader is still there when the link breaks. Both questions fail; the second
-    failure was raised, and the first one was reported as never retrieved.
+    Both the placement request and its liveness check fail then.
     """
 
     async def main():
@@ -246,8 +231,8 @@
     deployments.run(main())
 
 
-def test_a_leader_without_the_store_stops_leading():
-    """Nobody relies on a view of the store that its owner can't renew."""
+def test_leader_without_store_steps_down():
+    """Followers must not rely on a leader that can't read the store."""
 
     async def main():
         async with _led(reader("p1"), writer("d1")) as world:
@@ -264,12 +249,8 @@
     deployments.run(main())
 
 
-def test_a_renewal_without_answer_costs_the_leader_no_follower():
-    """Followers stay while a call of the leader to the store hangs.
-
-    Its connection to the store has fallen silent, which it learns after a
-    second and a half. It goes on telling that it is there meanwhile.
-    """
+def test_hanging_renewal_loses_no_follower():
+    """Heartbeats continue while a lease renewal hangs."""
 
     async def main():
         async with _led(reader("p1"), writer("d1")) as world:
@@ -290,11 +271,10 @@
     deployments.run(main())
 
 
-def test_retries_of_a_led_fleet_are_one_whole():
-    """An instance that was dealt no part can repeat a request all the same.
+def test_retry_shares_add_up_to_one():
+    """The leader divides the retry budget among all instances.
 
-    A group has 24 parts here; with more instances some hold none. Half of the
-    whole is split by the leader.
+    A group has 24 parts here, so some of 30 instances hold none.
     """
 
     async def main():
@@ -309,8 +289,8 @@
 
 
 @pytest.mark.parametrize("route", ["/verdicts/1", "/once/1"])
-def test_a_caller_that_leaves_the_line_leaves_nothing_behind(route: str):
-    """No memory stays reserved for a caller that left while it waited."""
+def test_abandoned_request_releases_its_reservation(route: str):
+    """No memory stays reserved for a caller that left the wait queue."""
 
     async def main():
         small = writer("d1", memory_tokens=16_000, event_ms=200.0)
@@ -330,12 +310,8 @@
     deployments.run(main())
 
 
-def test_a_full_fleet_tells_each_caller_another_time():
-    """Callers of different instances don't come back at the same moment.
-
-    Each is told by the one line that all of them wait in, whatever instance
-    took them.
-    """
+def test_callers_get_different_retry_after_times():
+    """Callers of different instances get different retry-after times."""
 
     async def main():
         full = writer("d1", memory_tokens=100)
@@ -354,8 +330,8 @@
     deployments.run(main())
 
 
-def test_a_configuration_that_is_told_is_not_read_by_all():
-    """What a change costs the store doesn't grow with the instances."""
+def test_followers_do_not_read_configuration_from_store():
+    """Followers don't read a configuration that the leader sends."""
 
     async def main():
         async with _led(reader("p1"), writer("d1")) as world:
@@ -365,13 +341,14 @@
             world.configurations.put("config", deployments.configuration(9))
             await world.clock.sleep_ms(600.0)
             assert all(f.source.current.version == 9 for f in followers)
-            # The leader alone: one reading that tells, one that waits.
+            # The leader's reads: one that returns the change, and the next
+            # poll.
             assert world.configurations.reads - before <= 2
 
     deployments.run(main())
 
 
-def test_a_large_configuration_is_read_by_each():
+def test_large_configuration_is_in_force_everywhere():
     async def main():
         async with _led(reader("p1"), writer("d1")) as world:
             await world.clock.sleep_ms(2_000.0)
@@ -391,11 +368,10 @@
     deployments.run(main())
 
 
-def test_a_follower_is_told_only_what_it_has_not_read():
-    """Hundreds that come together don't fill the leader's link.
+def test_new_follower_gets_only_unread_changes():
+    """New followers get only the endpoint changes since their own read.
 
-    Each has read the table when it finds the leader. What changed since is
-    told, also while the leader has read nothing itself yet.
+    Guards the leader's link when hundreds of followers connect at once.
     """
 
     async def main():
@@ -404,7 +380,7 @@
             await world.clock.sleep_ms(2_000.0)
             leader = world.leader
             sent = world.network.bytes_sent[leader]
-            # All of them would be some 9 KB a follower.
+            # All endpoints would be about 9 KB per follower.
             assert sent / (len(NAMES) - 1) < 4_000
             (other, *_) = sorted(set(world.instances) - {leader})
             world.network.drop_streams(other)
@@ -417,8 +393,8 @@
     deployments.run(main())
 
 
-def test_the_strongest_leads():
-    """The line of a fleet is kept by who has the most processor for it."""
+def test_instance_with_most_cores_leads():
+    """The instance with the most cores wins the election."""
 
     async def main():
         world = deployments.Deployment(reader("p1"), writer("d1"))
--- a/tests/leadership/test_leaving_endpoints.py
+++ b/tests/leadership/test_leaving_endpoints.py
@@ -1,11 +1,7 @@
-"""An endpoint that says in its answers that it leaves gets no new work.
-
-While the store was away an endpoint said in all its answers that it leaves,
-and its entry went on to say that it is ready. An instance that had passed such
-an answer on sent it requests 2.2 s and 2.7 s later, where 2 s are allowed; the
-caller's answer would be cut by the endpoint's end. They reached it 2 and 3 ms
-after their callers had sent them, so they had not waited anywhere; another
-instance's request_sent in the same outage had registry_age_ms of 4135 and 5514.
+"""Guards against new work for an endpoint that announced that it leaves.
+
+Its answers announce it before the store does, or while the store is
+unavailable. The endpoint's end would cut off the answers of later requests.
 """
 
 from __future__ import annotations
@@ -24,9 +20,9 @@
 writer = deployments.writer
 
 NAMES = ("e1", "e2", "e3", "e4")
-# Within this an instance that has heard it sends no more.
+# Time in ms after which an informed instance must send no more requests.
 HEEDED_MS = 2_000.0
-# Within this all instances have heard it of each other.
+# Time in ms until all instances know of the notice.
 SPREAD_MS = 100.0
 
 
@@ -42,8 +38,8 @@
     ("path", "leaving"),
     [("/sale/1", "s1"), ("/verdicts/1", "p1"), ("/verdicts/1", "d1")],
 )
-def test_no_instance_sends_it_more_once_one_has_heard(path, leaving):
-    """Plain requests, prompts and answers go to the others from then on."""
+def test_no_instance_sends_work_after_first_notice(path, leaving):
+    """Plain, prefill and decode calls go to other endpoints from then on."""
 
     async def main():
         async with _deployed(*deployments.of_both_kinds()) as world:
@@ -58,7 +54,7 @@
     deployments.run(main())
 
 
-def test_an_instance_without_a_leader_heeds_it_by_itself():
+def test_single_instance_respects_notice():
     async def main():
         gone = shop("s1")
         async with deployments.deployed(gone, shop("s2")) as world:
@@ -69,12 +65,8 @@
     deployments.run(main())
 
 
-def test_what_waits_for_memory_is_not_sent_to_it():
-    """A request in line was to be placed there when the word came.
-
-    Its memory came free just before the engine said that it leaves; the word
-    is heard while the prompt is read elsewhere.
-    """
+def test_waiting_request_is_not_sent_to_leaving_engine():
+    """The notice arrives after placement, during prefill elsewhere."""
 
     async def main():
         gone = writer("d1")
@@ -92,7 +84,7 @@
     deployments.run(main())
 
 
-def test_callers_are_refused_at_once_when_the_last_one_leaves():
+def test_callers_are_refused_at_once_when_last_endpoint_leaves():
     async def main():
         gone = shop("s1")
         async with _deployed(gone) as world:
@@ -110,8 +102,8 @@
     deployments.run(main())
 
 
-def test_the_store_does_not_take_its_word_back():
-    """Its heartbeat, written before it knew, arrives after its answer."""
+def test_later_heartbeat_does_not_revoke_notice():
+    """A heartbeat written before the notice arrives after it."""
 
     async def main():
         gone = shop("s1")
@@ -128,8 +120,8 @@
     deployments.run(main())
 
 
-def test_an_instance_that_starts_hears_it_of_the_others():
-    """A process that knows nothing finds the entry that says ready."""
+def test_new_instance_learns_of_notice():
+    """The record that a new process reads still says ready."""
 
     async def main():
         gone = shop("s1")
@@ -147,11 +139,11 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_history_of_cuts_and_restarts_brings_it_work(seed):
-    """Endpoints leave one by one while the store is away and links break.
+def test_random_faults_bring_leaving_endpoints_no_work(seed):
+    """Endpoints leave during random partitions, kills and lost links.
 
-    An instance that was told sends nothing later than users allow; a process
-    that was started anew counts from its own first answer on.
+    Requests count from the notice that their instance received; a restarted
+    process counts from its own first answer on.
     """
 
     async def main():
@@ -189,7 +181,7 @@
                 link.close()
         case "entry":
             backend = rng.choice(behind)
-            # It lapses, and comes back as it was.
+            # The record expires and is registered again unchanged.
             world.endpoints.put(backend.name, None)
             await world.clock.sleep_ms(rng.uniform(0.0, 1_500.0))
             world.register(backend)
@@ -197,8 +189,8 @@
             world.network.heal()
 
 
-def test_another_start_under_its_key_takes_work():
-    """What was said by one start says nothing of the next."""
+def test_next_start_of_endpoint_takes_work():
+    """A notice applies to one start of an endpoint, not to the next."""
 
     async def main():
         gone = shop("s1")
--- a/tests/leadership/test_orders.py
+++ b/tests/leadership/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders of the leader, from what all instances have observed of costs."""
+"""Tests of the leader's orders, based on costs observed by all instances."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 reader = deployments.reader
 writer = deployments.writer
 
-# Until all instances follow another leader, which may use its lease by then.
+# Time in ms until all instances follow a leader that may use its lease.
 SETTLED_MS = 9_000.0
 
 
@@ -47,11 +47,10 @@
         instance.work.decoded(4_000.0, memory_part=0.12)
 
 
-def test_what_all_have_seen_together_is_enough():
-    """Pools are put right although no instance has seen enough by itself.
+def test_observations_of_all_instances_count_together():
+    """Pools are rebalanced from the observations of all instances together.
 
-    Callers are spread over three instances, four each. The leader alone would
-    wait for twelve.
+    Three instances have four observations each; an order needs twelve.
     """
 
     async def main():
@@ -73,11 +72,10 @@
     deployments.run(main())
 
 
-def test_what_followers_had_seen_is_known_to_a_new_leader():
-    """A leader that has just started can order, from what others had seen.
+def test_new_leader_uses_observations_of_followers():
+    """A new leader can give orders from its followers' observations.
 
-    The other instance served while it couldn't reach the leader, and tells
-    what it had observed as soon as it follows.
+    The follower observed costs while it could not reach the leader.
     """
 
     async def main():
@@ -97,7 +95,7 @@
     deployments.run(main())
 
 
-def test_an_instance_alone_goes_by_what_it_has_seen():
+def test_single_instance_uses_its_own_observations():
     async def main():
         async with deployments.deployed(*_crowded()) as world:
             _observe(world.instances["e1"], 12)
@@ -107,7 +105,7 @@
     deployments.run(main())
 
 
-def test_reports_weigh_by_what_they_rest_on():
+def test_reports_are_weighted_by_sample_count():
     fleet = costs.FleetCosts.from_reports(
         [
             costs.CostReport(30, 100.0, 30, 400.0),
--- a/tests/leadership/test_packing.py
+++ b/tests/leadership/test_packing.py
@@ -1,4 +1,4 @@
-"""Configurations packed for the links, and what isn't one."""
+"""Tests of the compressed configurations that the leader sends."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 NEWS = leader_messages.ConfigurationNews("config", 3, 4, LARGE)
 
 
-def test_a_configuration_comes_through_in_a_fraction_of_its_size():
+def test_configuration_round_trip_is_compressed():
     packed = packing.pack(NEWS)
     whole = codec.encode(codec.Frame(codec.FrameKind.TELL, 0, NEWS))
     assert packing.unpack(packed) == NEWS
@@ -51,16 +51,15 @@
         packing.pack(NEWS)[:-20],
     ],
 )
-def test_what_is_no_configuration_is_none(packed):
+def test_invalid_input_unpacks_to_none(packed):
     assert packing.unpack(packed) is None
 
 
-def test_followers_need_no_store_for_a_large_configuration():
-    """Operators change a configuration of many routes and accounts.
+def test_only_leader_reads_large_configuration():
+    """A large configuration is in force everywhere, read by the leader only.
 
-    The leader alone reads it, and it is in force everywhere: each of hundreds
-    of followers would else read it at the store, which may turn some away; a
-    withdrawn key would go on to be taken there.
+    The store may refuse some of hundreds of readers, which would then still
+    accept withdrawn API keys.
     """
 
     async def main():
--- a/tests/leaving/test_process.py
+++ b/tests/leaving/test_process.py
@@ -1,8 +1,7 @@
-"""SIGTERM on a real process: what is in flight ends, then it exits with 0.
+"""Guards against requests cut off by SIGTERM, in a real process.
 
-A till's call is under way when the platform replaces the instance. The caller
-gets its whole answer; only then does the process end. A second signal says
-that nobody waits any longer: the call is cut, and the exit code tells so.
+The request in flight completes and the process exits with 0. A second signal
+cuts the request off, and the exit code shows it.
 """
 
 from __future__ import annotations
@@ -30,7 +29,7 @@
     "signals, exit_code",
     [(1, process.ExitCode.DRAINED), (2, process.ExitCode.CUT)],
 )
-async def test_a_call_in_flight(tmp_path, signals, exit_code):
+async def test_request_in_flight_on_sigterm(tmp_path, signals, exit_code):
     async with (
         processes.Processes(tmp_path) as running,
         aiohttp.ClientSession() as session,
@@ -100,7 +99,7 @@
 
 
 async def _port(child: processes.Child) -> int:
-    """The caller edge's port, from the log line that tells it."""
+    """Returns the port for callers from the process's log."""
     for _ in range(300):
         for line in child.log_path.read_text().splitlines():
             event = json.loads(line)
