--- a/src/jujubewharf/requests/plain_endpoints.py
+++ b/src/jujubewharf/requests/plain_endpoints.py
@@ -17,7 +17,7 @@
 
 _SUSPECT_MS = 2_000.0
 
-Tells = Callable[[str], bool]
+EndpointPredicate = Callable[[str], bool]
 
 
 def nobody(endpoint: str) -> bool:
@@ -45,8 +45,8 @@
         domain: str,
         clock: clocks.Clock,
         *,
-        is_leaving: Tells = nobody,
-        is_limited: Tells = nobody,
+        is_leaving: EndpointPredicate = nobody,
+        is_limited: EndpointPredicate = nobody,
     ) -> None:
         self._domain = domain
         self._clock = clock
