--- a/src/jujubewharf/requests/plain_endpoints.py
+++ b/src/jujubewharf/requests/plain_endpoints.py
@@ -20,7 +20,7 @@
 EndpointPredicate = Callable[[str], bool]
 
 
-def nobody(endpoint: str) -> bool:
+def never(endpoint: str) -> bool:
     """Returns False; used when no endpoint states are available."""
     return False
 
@@ -45,8 +45,8 @@
         domain: str,
         clock: clocks.Clock,
         *,
-        is_leaving: EndpointPredicate = nobody,
-        is_limited: EndpointPredicate = nobody,
+        is_leaving: EndpointPredicate = never,
+        is_limited: EndpointPredicate = never,
     ) -> None:
         self._domain = domain
         self._clock = clock
