--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -191,7 +191,7 @@
             after_event=run.call.last_event,
         )
         async with contextlib.AsyncExitStack() as attempt:
-            attempt.enter_context(self._chooser.counted(endpoint))
+            attempt.enter_context(self._chooser.track_call(endpoint))
             try:
                 async with self._clock.timeout_ms(patience_ms):
                     reply = await attempt.enter_async_context(
--- a/src/jujubewharf/requests/plain.py
+++ b/src/jujubewharf/requests/plain.py
@@ -252,7 +252,7 @@
             body=body.read(),
         )
         async with contextlib.AsyncExitStack() as attempt:
-            attempt.enter_context(self._chooser.counted(endpoint))
+            attempt.enter_context(self._chooser.track_call(endpoint))
             was_sent = progress.may_have_run
             progress.may_have_run = True
             try:
--- a/src/jujubewharf/requests/plain_endpoints.py
+++ b/src/jujubewharf/requests/plain_endpoints.py
@@ -106,7 +106,7 @@
         return not self._is_leaving(endpoint)
 
     @contextlib.contextmanager
-    def counted(self, endpoint: resources.Endpoint) -> Iterator[None]:
+    def track_call(self, endpoint: resources.Endpoint) -> Iterator[None]:
         """Counts a call to an endpoint for the duration of the block."""
         self._outstanding[endpoint.name] += 1
         try:
