--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -206,7 +206,7 @@
             is_leaving=self._is_shut,
             is_limited=self.restraints.is_limited,
         )
-        self.registry.listen(chooser.take_over)
+        self.registry.listen(chooser.set_endpoints)
         engines = pool.EnginePool(self.work, self.restraints, clock, rng)
         lengths = margins.AnswerLengths()
         self.registry.listen(engines.take_over)
--- a/src/jujubewharf/requests/plain_endpoints.py
+++ b/src/jujubewharf/requests/plain_endpoints.py
@@ -64,9 +64,9 @@
         for entry in state.of_kind(resources.Kind.ENDPOINT):
             assert isinstance(entry.resource, resources.Endpoint)
             endpoints.append(entry.resource)
-        self.take_over(endpoints)
+        self.set_endpoints(endpoints)
 
-    def take_over(self, endpoints: Iterable[resources.Endpoint]) -> None:
+    def set_endpoints(self, endpoints: Iterable[resources.Endpoint]) -> None:
         """Replaces the endpoints; only those with the plain role are used."""
         self._by_service = {}
         names: set[str] = set()
