--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -116,7 +116,7 @@
             if not await self._limits.take(endpoint.name):
                 # The endpoint is now deferred and not selected again.
                 continue
-            if self._chooser.may_get_work(endpoint.name):
+            if self._chooser.accepts_work(endpoint.name):
                 # It may have started to drain while the leader was asked.
                 return endpoint
 
--- a/src/jujubewharf/requests/plain_endpoints.py
+++ b/src/jujubewharf/requests/plain_endpoints.py
@@ -101,7 +101,7 @@
         """Whether ``choose`` would return an endpoint."""
         return bool(self._usable(service, excluded))
 
-    def may_get_work(self, endpoint: str) -> bool:
+    def accepts_work(self, endpoint: str) -> bool:
         """Whether an endpoint currently accepts new work."""
         return not self._is_leaving(endpoint)
 
