--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -228,7 +228,7 @@
             )
             for _ in range(2)
         )
-        chooser = plain_endpoints.Chooser(
+        chooser = plain_endpoints.EndpointChooser(
             settings.domain, clock, is_leaving=self.departures.is_leaving
         )
         self.configuration.listen(chooser.on_configuration)
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -200,7 +200,7 @@
     ) -> forwarder.Forwarder:
         clock = self._clock
         backends = adapters.backends
-        chooser = plain_endpoints.Chooser(
+        chooser = plain_endpoints.EndpointChooser(
             self._settings.domain,
             clock,
             is_leaving=self._is_shut,
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -53,7 +53,7 @@
         self,
         backends: ports.Backends,
         registry: registries.Registry,
-        chooser: plain_endpoints.Chooser,
+        chooser: plain_endpoints.EndpointChooser,
         budget: budgets.FleetBudget,
         limits: all_limits.Permits,
         restraints: all_restraints.Restraints,
--- a/src/jujubewharf/requests/plain.py
+++ b/src/jujubewharf/requests/plain.py
@@ -124,7 +124,7 @@
     def __init__(
         self,
         endpoints: endpoint_client.EndpointClient,
-        chooser: plain_endpoints.Chooser,
+        chooser: plain_endpoints.EndpointChooser,
         clock: clocks.Clock,
         *,
         claims: Claims | None = None,
--- a/src/jujubewharf/requests/plain_endpoints.py
+++ b/src/jujubewharf/requests/plain_endpoints.py
@@ -25,7 +25,7 @@
     return False
 
 
-class Chooser:
+class EndpointChooser:
     """Tracks plain endpoints and this instance's calls to them.
 
     Chooses the endpoint with the fewest calls in flight and prefers those in
