--- a/src/jujubewharf/experiments/callers.py
+++ b/src/jujubewharf/experiments/callers.py
@@ -113,7 +113,9 @@
                 if come_backs == 0 or not _may_come_back(refused):
                     return
                 come_backs -= 1
-                wait_ms = refused.retry_after_ms or retries.COME_BACK_MS
+                wait_ms = (
+                    refused.retry_after_ms or retries.DEFAULT_RETRY_AFTER_MS
+                )
                 wait_ms *= 1 + self._rng.random() / 2
                 outcome.retries[refused.kind.value] += 1
             if self._clock.now_ms() + wait_ms > give_up_at_ms:
--- a/src/jujubewharf/requests/claims.py
+++ b/src/jujubewharf/requests/claims.py
@@ -374,6 +374,6 @@
     return errors.WharfError(
         errors.ErrorKind.CLAIM_UNAVAILABLE,
         "" if is_new else _DID_NOT_RUN_DETAIL,
-        retry_after_ms=retries.COME_BACK_MS,
+        retry_after_ms=retries.DEFAULT_RETRY_AFTER_MS,
         ran=errors.Ran.NO if is_new else errors.Ran.UNKNOWN,
     )
--- a/src/jujubewharf/requests/life.py
+++ b/src/jujubewharf/requests/life.py
@@ -223,7 +223,7 @@
         return errors.WharfError(
             errors.ErrorKind.ENGINE_FAILED,
             error.fault.value,
-            retry_after_ms=retries.COME_BACK_MS,
+            retry_after_ms=retries.DEFAULT_RETRY_AFTER_MS,
         )
 
     async def _wait_for_excluded(
--- a/src/jujubewharf/requests/retries.py
+++ b/src/jujubewharf/requests/retries.py
@@ -10,7 +10,7 @@
 MAX_ATTEMPTS = 24
 # Default retry-after where no better estimate is available. Failed engines and
 # unavailable claims mostly recover within a second or two.
-COME_BACK_MS = 1_000.0
+DEFAULT_RETRY_AFTER_MS = 1_000.0
 # Maximum number of engines that a request may lose during decode. The request
 # itself may crash them, and each crash ends all requests of the engine.
 MAX_LOST_ENGINES = 3
