--- a/src/jujubewharf/forwarding/runs.py
+++ b/src/jujubewharf/forwarding/runs.py
@@ -129,7 +129,7 @@
         """
         if error.fault is client.EngineFault.LOST:
             self.lost_by.add(error.engine)
-        if error.fault in retries.DID_NOTHING:
+        if error.fault in retries.NO_EFFECT_FAULTS:
             self.may_have_run = before
             self.refusals += 1
         if error.fault is client.EngineFault.UNREACHABLE:
--- a/src/jujubewharf/requests/attempt.py
+++ b/src/jujubewharf/requests/attempt.py
@@ -218,7 +218,7 @@
         try:
             done = await view.client.prefill(self._attempt, job)
         except client.EngineError as error:
-            if error.fault in retries.DID_NOTHING:
+            if error.fault in retries.NO_EFFECT_FAULTS:
                 self._progress.is_read = was_prefilled
             raise
         self._unused_prompt_tokens = done.prompt_tokens
@@ -327,7 +327,7 @@
         try:
             await self._read_chunks(view, job)
         except client.EngineError as error:
-            did_nothing = error.fault in retries.DID_NOTHING
+            did_nothing = error.fault in retries.NO_EFFECT_FAULTS
             if did_nothing and self._progress.dispatch is Dispatch.MAYBE:
                 self._progress.dispatch = before
             raise
--- a/src/jujubewharf/requests/life.py
+++ b/src/jujubewharf/requests/life.py
@@ -214,7 +214,7 @@
             raise self._engine_failed(error)
         # A refusal costs the engine nothing, so it doesn't use the retry
         # budget.
-        was_refused = error.fault in retries.DID_NOTHING
+        was_refused = error.fault in retries.NO_EFFECT_FAULTS
         if not was_refused and not self._budget.take(request.service):
             raise self._engine_failed(error)
         self.counters.retried(error.fault.value)
--- a/src/jujubewharf/requests/retries.py
+++ b/src/jujubewharf/requests/retries.py
@@ -22,7 +22,7 @@
 
 # Faults after which the engine did no work: it refused, or it could not be
 # reached.
-DID_NOTHING = frozenset(
+NO_EFFECT_FAULTS = frozenset(
     {
         client.EngineFault.UNREACHABLE,
         client.EngineFault.REFUSED_FULL,
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -242,8 +242,8 @@
     Off(
         "a lost answer counts as a dispatch",
         retries,
-        "DID_NOTHING",
-        retries.DID_NOTHING | {test_life.LOST},
+        "NO_EFFECT_FAULTS",
+        retries.NO_EFFECT_FAULTS | {test_life.LOST},
         test_life.test_not_repeatable_is_never_dispatched_twice,
     ),
     Off(
