--- a/src/jujubewharf/requests/life.py
+++ b/src/jujubewharf/requests/life.py
@@ -169,7 +169,7 @@
             return dataclasses.replace(
                 first_job,
                 first_index=len(progress.answer.texts),
-                excluded=progress.exclusions.at(self._clock.now_ms()),
+                excluded=progress.exclusions.active_at(self._clock.now_ms()),
             )
 
         while True:
--- a/src/jujubewharf/requests/retries.py
+++ b/src/jujubewharf/requests/retries.py
@@ -110,7 +110,7 @@
         duration_ms = _FULL_EXCLUSION_MS if is_full else _EXCLUSION_MS
         self._until_ms[error.engine] = now_ms + duration_ms
 
-    def at(self, now_ms: float) -> frozenset[str]:
+    def active_at(self, now_ms: float) -> frozenset[str]:
         """Returns the engines that are excluded at a time."""
         return frozenset(
             name
