--- a/src/jujubewharf/requests/life.py
+++ b/src/jujubewharf/requests/life.py
@@ -235,7 +235,7 @@
             WharfError: Waiting does not help.
         """
         now_ms = self._clock.now_ms()
-        expires_ms = progress.exclusions.next_lapse_ms(now_ms)
+        expires_ms = progress.exclusions.next_expiry_ms(now_ms)
         is_no_engine_fitting = error.kind is errors.ErrorKind.NO_FITTING_ENGINE
         is_out_of_attempts = progress.attempts >= retries.MAX_ATTEMPTS
         if not is_no_engine_fitting or expires_ms is None or is_out_of_attempts:
--- a/src/jujubewharf/requests/retries.py
+++ b/src/jujubewharf/requests/retries.py
@@ -118,7 +118,7 @@
             if until_ms > now_ms
         )
 
-    def next_lapse_ms(self, now_ms: float) -> float | None:
+    def next_expiry_ms(self, now_ms: float) -> float | None:
         """Returns when the next exclusion expires; ``None`` without any."""
         return min(
             (until for until in self._until_ms.values() if until > now_ms),
