--- a/src/jujubewharf/engines/http.py
+++ b/src/jujubewharf/engines/http.py
@@ -90,7 +90,7 @@
                     response, self._clock, period_ms=_SILENCE_CHECK_MS
                 ) as watch:
                     async for chunk in _chunks(response.content):
-                        watch.has_heard = True
+                        watch.has_received = True
                         yield chunk
         except _CONNECT_ERRORS as error:
             raise self._error(client.EngineFault.UNREACHABLE) from error
@@ -132,14 +132,14 @@
 
     async def _call(
         self,
-        verb: str,
+        operation: str,
         body: dict[str, Any],
         timeout_ms: float = _CALL_TIMEOUT_MS,
     ) -> Any:
         try:
             async with self._clock.timeout_ms(timeout_ms):
                 async with self._session.post(
-                    f"{self._url}/{verb}",
+                    f"{self._url}/{operation}",
                     data=orjson.dumps(body),
                     headers=_JSON,
                 ) as response:
@@ -177,7 +177,7 @@
         period_ms: Time between two checks.
 
     Attributes:
-        has_heard: Set by the reader whenever data was received.
+        has_received: Set by the reader whenever data was received.
     """
 
     def __init__(
@@ -187,27 +187,27 @@
         *,
         period_ms: float,
     ) -> None:
-        self.has_heard = True
+        self.has_received = True
         self._response = response
         self._clock = clock
         self._period_ms = period_ms
         self._timer: asyncio.TimerHandle | None = None
 
     def __enter__(self) -> _SilenceWatch:
-        self._look()
+        self._check()
         return self
 
     def __exit__(self, *error: object) -> None:
         if self._timer is not None:
             self._timer.cancel()
 
-    def _look(self) -> None:
-        if not self.has_heard:
+    def _check(self) -> None:
+        if not self.has_received:
             self._response.close()
             return
-        self.has_heard = False
+        self.has_received = False
         at_ms = self._clock.now_ms() + self._period_ms
-        self._timer = self._clock.call_at_ms(at_ms, self._look)
+        self._timer = self._clock.call_at_ms(at_ms, self._check)
 
 
 async def _chunks(
@@ -219,9 +219,9 @@
     forwarding larger chunks. A line whose index does not continue the previous
     one starts a new chunk, so that the consumer can detect the gap.
     """
-    rest = b""
+    incomplete = b""
     async for data in content.iter_any():
-        *lines, rest = (rest + data).split(b"\n")
+        *lines, incomplete = (incomplete + data).split(b"\n")
         for chunk in _parsed(lines):
             yield chunk
 
--- a/src/jujubewharf/engines/http_endpoint.py
+++ b/src/jujubewharf/engines/http_endpoint.py
@@ -17,7 +17,7 @@
 _CHUNK_BYTES = 65_536
 # aiohttp adds these headers if the caller sent none. The endpoint might then
 # compress a response for a caller that cannot decode it.
-_NOT_ADDED = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
+_SKIPPED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 
 CONNECT_ERRORS = (
     aiohttp.ClientConnectorError,
@@ -89,7 +89,7 @@
                 headers=headers,
                 data=call.body,
                 allow_redirects=False,
-                skip_auto_headers=_NOT_ADDED,
+                skip_auto_headers=_SKIPPED_HEADERS,
                 middlewares=(SendOnce(),),
             )
         except CONNECT_ERRORS as error:
--- a/src/jujubewharf/engines/liveness.py
+++ b/src/jujubewharf/engines/liveness.py
@@ -9,7 +9,7 @@
 # Connecting within a region takes a few milliseconds. Across a network
 # partition there is no reply, and the waiting request could continue on another
 # engine.
-_CONNECT_MS = 150.0
+_CONNECT_TIMEOUT_MS = 150.0
 
 
 async def is_refused(address: str, clock: clocks.Clock) -> bool:
@@ -24,7 +24,7 @@
     """
     host, _, port = address.rpartition(":")
     try:
-        async with clock.timeout_ms(_CONNECT_MS):
+        async with clock.timeout_ms(_CONNECT_TIMEOUT_MS):
             _, writer = await asyncio.open_connection(host, int(port))
     except TimeoutError:
         return False
--- a/src/jujubewharf/engines/sessions.py
+++ b/src/jujubewharf/engines/sessions.py
@@ -14,10 +14,10 @@
 # Connecting within a region takes a few milliseconds, but a lost SYN packet is
 # resent only after a second. Trying another endpoint is faster, and safe for
 # any request because nothing was sent yet.
-_CONNECT_S = 0.25
+_CONNECT_TIMEOUT_S = 0.25
 # Long enough for a leader, which calls each engine several times a second;
 # other instances call too rarely to benefit from longer keep-alive.
-_KEPT_S = 3.0
+_KEEPALIVE_S = 3.0
 
 
 class _CheckedProtocol(client_proto.ResponseHandler):
@@ -48,7 +48,7 @@
     connections.
     """
     connector = (
-        aiohttp.TCPConnector(limit=0, keepalive_timeout=_KEPT_S)
+        aiohttp.TCPConnector(limit=0, keepalive_timeout=_KEEPALIVE_S)
         if is_kept
         else aiohttp.TCPConnector(limit=0, force_close=True)
     )
@@ -60,5 +60,7 @@
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
         skip_auto_headers=("Accept", "Accept-Encoding", "User-Agent"),
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=_CONNECT_S),
+        timeout=aiohttp.ClientTimeout(
+            total=None, sock_connect=_CONNECT_TIMEOUT_S
+        ),
     )
--- a/src/jujubewharf/orders/counters.py
+++ b/src/jujubewharf/orders/counters.py
@@ -14,7 +14,7 @@
 _FAILED = _METER.create_counter(
     "orders.failed", description="Orders that failed, by fault."
 )
-_PUT_OFF = _METER.create_counter(
+_DEFERRED = _METER.create_counter(
     "orders.put_off", description="Turns put off, by reason."
 )
 
@@ -31,4 +31,4 @@
 
 def put_off(reason: rolling.Block) -> None:
     """Counts a deferred reconciliation of an engine."""
-    _PUT_OFF.add(1, {"reason": reason.value})
+    _DEFERRED.add(1, {"reason": reason.value})
--- a/src/jujubewharf/orders/leases.py
+++ b/src/jujubewharf/orders/leases.py
@@ -17,7 +17,7 @@
 from jujubewharf.platform import log
 
 _RETRY_MS = 500.0
-_PAGE = 500
+_PAGE_SIZE = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -101,8 +101,8 @@
         self._wait_ms = wait_ms
         self._incarnation = uuid.uuid4().hex[:8]
         self._numbers = itertools.count(1)
-        self._waiting: dict[str, asyncio.Future[_Decided]] = {}
-        self._wanted = asyncio.Event()
+        self._pending: dict[str, asyncio.Future[_Decision]] = {}
+        self._append_started = asyncio.Event()
         self._logger = structlog.get_logger()
 
     async def claim(
@@ -118,11 +118,11 @@
         if not self.ledger.is_free(engine, sent_ms):
             return None
         record = self._record(records.Verb.CLAIM, engine, purpose)
-        decided = await self._append(record)
-        if decided is None or decided.verdict is not ledger.Verdict.ACCEPTED:
+        decision = await self._append(record)
+        if decision is None or decision.verdict is not ledger.Verdict.ACCEPTED:
             return None
         valid_until_ms = self._valid_until_ms(sent_ms)
-        return Lease(engine, decided.offset, purpose, valid_until_ms)
+        return Lease(engine, decision.offset, purpose, valid_until_ms)
 
     async def renew(self, lease: Lease) -> bool:
         """Extends a lease that is still valid.
@@ -136,8 +136,8 @@
         record = self._record(
             records.Verb.RENEW, lease.engine, lease.purpose, lease.fence
         )
-        decided = await self._append(record)
-        if decided is None or decided.verdict is not ledger.Verdict.ACCEPTED:
+        decision = await self._append(record)
+        if decision is None or decision.verdict is not ledger.Verdict.ACCEPTED:
             return False
         lease.valid_until_ms = self._valid_until_ms(sent_ms)
         return True
@@ -189,7 +189,7 @@
             purpose=purpose,
         )
 
-    async def _append(self, record: records.LeaseRecord) -> _Decided | None:
+    async def _append(self, record: records.LeaseRecord) -> _Decision | None:
         """Appends a record and waits until it is read back.
 
         An append without a response may have taken effect. It is not retried:
@@ -198,8 +198,8 @@
         nobody sends orders under it.
         """
         future = asyncio.get_running_loop().create_future()
-        self._waiting[record.record_id] = future
-        self._wanted.set()
+        self._pending[record.record_id] = future
+        self._append_started.set()
         try:
             with contextlib.suppress(log.AppendUnknownError):
                 await self._platform_log.append(
@@ -210,36 +210,36 @@
         except (log.LogUnavailableError, TimeoutError):
             return None
         finally:
-            del self._waiting[record.record_id]
+            del self._pending[record.record_id]
 
     @mode.Service.task
     async def _follow(self) -> None:
         self.ledger.restart(0, self._clock.now_ms())
         while not self.should_stop:
             try:
-                is_whole_page = await self._read_once()
+                is_full_page = await self._read_once()
             except log.LogUnavailableError as error:
                 self._logger.info("orders_log_unavailable", detail=str(error))
                 await self._clock.sleep_ms(_RETRY_MS)
             except log.LogTruncatedError as error:
                 self.ledger.restart(error.first_offset, self._clock.now_ms())
             else:
-                if not is_whole_page:
+                if not is_full_page:
                     await self._pause()
 
     async def _read_once(self) -> bool:
         page = await self._platform_log.read(
             records.STREAM,
             self.ledger.next_offset,
-            limit=_PAGE,
+            limit=_PAGE_SIZE,
             wait_ms=self._wait_ms,
         )
         now_ms = self._clock.now_ms()
         for record in page.records:
-            self._fold(record, now_ms)
-        return len(page.records) == _PAGE
+            self._apply(record, now_ms)
+        return len(page.records) == _PAGE_SIZE
 
-    def _fold(self, stored: log.LogRecord, now_ms: float) -> None:
+    def _apply(self, stored: log.LogRecord, now_ms: float) -> None:
         try:
             record = records.decode(stored.payload)
         except records.UnknownRecordError as error:
@@ -251,22 +251,22 @@
             self.ledger.restart(stored.offset + 1, now_ms)
             return
         verdict = self.ledger.apply(stored.offset, record, now_ms)
-        future = self._waiting.get(record.record_id)
+        future = self._pending.get(record.record_id)
         if future is not None and not future.done():
-            future.set_result(_Decided(stored.offset, verdict))
+            future.set_result(_Decision(stored.offset, verdict))
 
     async def _pause(self) -> None:
         """Pauses between reads, unless an own record is in flight."""
-        if self._waiting:
+        if self._pending:
             return
-        self._wanted.clear()
+        self._append_started.clear()
         with contextlib.suppress(TimeoutError):
             async with self._clock.timeout_ms(self.terms.read_pause_ms):
-                await self._wanted.wait()
+                await self._append_started.wait()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Decided:
+class _Decision:
     """Offset of a record and the verdict on it."""
 
     offset: int
--- a/src/jujubewharf/orders/ledger.py
+++ b/src/jujubewharf/orders/ledger.py
@@ -67,7 +67,7 @@
         self._margin_ms = margin_ms
         self._max_lease_ms = max_lease_ms
         self._start_offset = 0
-        self._blind_until_ms = float("inf")
+        self._unknown_until_ms = float("inf")
         self._entries: dict[str, Entry] = {}
 
     def restart(self, offset: int, now_ms: float) -> None:
@@ -78,7 +78,7 @@
         """
         self.next_offset = offset
         self._start_offset = offset
-        self._blind_until_ms = now_ms + self._max_lease_ms + self._margin_ms
+        self._unknown_until_ms = now_ms + self._max_lease_ms + self._margin_ms
         self._entries.clear()
 
     def apply(
@@ -86,26 +86,26 @@
     ) -> Verdict:
         """Applies a record that was read at ``now_ms``."""
         entry = self._entries.get(record.engine)
-        verdict = self._judge(entry, record)
+        verdict = self._evaluate(entry, record)
         if entry is None:
             entry = Entry(offset)
             self._entries[record.engine] = entry
         entry.last_offset = offset
         self.next_offset = offset + 1
         if verdict is not Verdict.REJECTED:
-            self._take_over(entry, offset, record, now_ms)
-        self._forget_old(now_ms)
+            self._update_entry(entry, offset, record, now_ms)
+        self._evict_ended(now_ms)
         return verdict
 
     def after(self, engine: str) -> int:
         """Returns the ``after`` value for a new record of the engine."""
         entry = self._entries.get(engine)
-        before_start = self._start_offset - 1
-        return before_start if entry is None else entry.last_offset
+        last_before_start = self._start_offset - 1
+        return last_before_start if entry is None else entry.last_offset
 
     def is_free(self, engine: str, now_ms: float) -> bool:
         """Whether no lease of the engine can be valid."""
-        if now_ms < self._blind_until_ms:
+        if now_ms < self._unknown_until_ms:
             return False
         entry = self._entries.get(engine)
         return entry is None or entry.busy_until_ms <= now_ms
@@ -122,17 +122,17 @@
         """Returns the known lease of an engine."""
         return self._entries.get(engine)
 
-    def _judge(
+    def _evaluate(
         self, entry: Entry | None, record: records.LeaseRecord
     ) -> Verdict:
         if entry is not None:
-            fits = record.after >= entry.last_offset
-            return Verdict.ACCEPTED if fits else Verdict.REJECTED
+            is_in_order = record.after >= entry.last_offset
+            return Verdict.ACCEPTED if is_in_order else Verdict.REJECTED
         if record.after >= self._start_offset - 1:
             return Verdict.ACCEPTED
         return Verdict.UNDECIDED
 
-    def _take_over(
+    def _update_entry(
         self,
         entry: Entry,
         offset: int,
@@ -152,7 +152,7 @@
         entry.holder = record.holder
         entry.purpose = record.purpose
 
-    def _forget_old(self, now_ms: float) -> None:
+    def _evict_ended(self, now_ms: float) -> None:
         """Limits the number of entries by removing ended leases.
 
         This moves the start offset. Records whose ``after`` lies below it can
@@ -160,11 +160,11 @@
         """
         if len(self._entries) <= _MAX_ENTRIES:
             return
-        free = [
+        ended = [
             (entry.last_offset, name)
             for name, entry in self._entries.items()
             if entry.busy_until_ms <= now_ms
         ]
-        for last_offset, name in sorted(free)[: _MAX_ENTRIES // 2]:
+        for last_offset, name in sorted(ended)[: _MAX_ENTRIES // 2]:
             del self._entries[name]
             self._start_offset = max(self._start_offset, last_offset + 1)
--- a/src/jujubewharf/orders/ownership.py
+++ b/src/jujubewharf/orders/ownership.py
@@ -22,9 +22,11 @@
     def owns(self, endpoint: resources.Endpoint) -> bool:
         """Whether this instance currently reconciles an engine."""
         present = self._membership.present()
-        near = [m.instance for m in present if m.domain == endpoint.domain]
-        names = near or [member.instance for member in present]
-        if not names:
+        same_domain = [
+            m.instance for m in present if m.domain == endpoint.domain
+        ]
+        candidates = same_domain or [member.instance for member in present]
+        if not candidates:
             return True
-        best = hashing.rank(endpoint.name, names)[0]
-        return best == self._membership.myself.instance
+        owner = hashing.rank(endpoint.name, candidates)[0]
+        return owner == self._membership.myself.instance
--- a/src/jujubewharf/orders/reconciler.py
+++ b/src/jujubewharf/orders/reconciler.py
@@ -18,7 +18,7 @@
 
 _CHECK_MS = 2_000.0
 _RETRY_MS = 3_000.0
-_MAX_TURNS = 8
+_MAX_PARALLEL = 8
 
 Owns = Callable[[resources.Endpoint], bool]
 
@@ -38,12 +38,12 @@
 
     def __init__(self, around: turns.Surroundings, owns: Owns) -> None:
         super().__init__()
-        self._around = around
+        self._context = around
         self._owns = owns
         self._clock = around.clock
         self._is_retired = False
         self._running: set[str] = set()
-        self._not_before_ms: dict[str, float] = {}
+        self._retry_at_ms: dict[str, float] = {}
         self._logger = structlog.get_logger()
 
     def retire(self) -> None:
@@ -52,15 +52,15 @@
 
     def is_taken_out(self, engine: str) -> bool:
         """Whether any instance's lease keeps new work from an engine."""
-        ledger = self._around.leases.ledger
+        ledger = self._context.leases.ledger
         entry = ledger.entry(engine)
         if entry is None or entry.busy_until_ms <= self._clock.now_ms():
             return False
         return entry.purpose is not records.Purpose.ADAPTER
 
     @mode.Service.task
-    async def _watch(self) -> None:
-        await self._around.configuration.caught_up.wait()
+    async def _reconcile_periodically(self) -> None:
+        await self._context.configuration.caught_up.wait()
         while not self.should_stop:
             for endpoint in self._due():
                 await self._check(endpoint)
@@ -70,39 +70,39 @@
         if self._is_retired:
             return []
         now_ms = self._clock.now_ms()
-        state = self._around.configuration.current
+        state = self._context.configuration.current
         due = []
         for entry in state.of_kind(resources.Kind.ENDPOINT):
             endpoint = entry.resource
             assert isinstance(endpoint, resources.Endpoint)
             if endpoint.role is resources.Role.PLAIN:
                 continue
-            not_before_ms = self._not_before_ms.get(endpoint.name, 0.0)
+            retry_at_ms = self._retry_at_ms.get(endpoint.name, 0.0)
             is_due = endpoint.name not in self._running
-            if is_due and now_ms >= not_before_ms and self._owns(endpoint):
+            if is_due and now_ms >= retry_at_ms and self._owns(endpoint):
                 due.append(endpoint)
         return due
 
     async def _check(self, endpoint: resources.Endpoint) -> None:
-        view = self._around.fleet.view(endpoint.name)
-        if view is None or len(self._running) >= _MAX_TURNS:
+        view = self._context.fleet.view(endpoint.name)
+        if view is None or len(self._running) >= _MAX_PARALLEL:
             return
         with contextlib.suppress(client.EngineError):
             step = plan.next_step(endpoint, await view.client.load())
             if step is not None:
                 self._running.add(endpoint.name)
-                self.add_future(self._take_turn(endpoint.name, step.purpose))
+                self.add_future(self._reconcile(endpoint.name, step.purpose))
 
-    async def _take_turn(self, engine: str, purpose: records.Purpose) -> None:
+    async def _reconcile(self, engine: str, purpose: records.Purpose) -> None:
         try:
-            block = await turns.Turn(engine, purpose, self._around).run()
+            reason = await turns.Turn(engine, purpose, self._context).run()
         finally:
             self._running.discard(engine)
-        if block is None:
-            self._not_before_ms.pop(engine, None)
+        if reason is None:
+            self._retry_at_ms.pop(engine, None)
             return
-        counters.put_off(block)
-        self._logger.info("turn_put_off", engine=engine, reason=block.value)
-        self._not_before_ms[engine] = self._clock.now_ms() + _RETRY_MS
-        if block is rolling.Block.IN_USE:
-            self._not_before_ms[engine] += self._around.drain_ms
+        counters.put_off(reason)
+        self._logger.info("turn_put_off", engine=engine, reason=reason.value)
+        self._retry_at_ms[engine] = self._clock.now_ms() + _RETRY_MS
+        if reason is rolling.Block.IN_USE:
+            self._retry_at_ms[engine] += self._context.drain_ms
--- a/src/jujubewharf/orders/rolling.py
+++ b/src/jujubewharf/orders/rolling.py
@@ -16,7 +16,7 @@
 from jujubewharf.orders import plan
 from jujubewharf.orders import records
 
-_MAX_OUT_RATIO = 0.25
+_MAX_OUT_OF_SERVICE_RATIO = 0.25
 _MAX_FETCH_MS = 60_000.0
 _OUT_OF_SERVICE = (records.Purpose.LOAD, records.Purpose.ROLE)
 
@@ -71,8 +71,8 @@
 def many_out(pool: Iterable[resources.Endpoint], out: frozenset[str]) -> bool:
     """Whether the maximum number of a service's engines is out of service."""
     names = {endpoint.name for endpoint in pool}
-    limit = max(1, int(len(names) * _MAX_OUT_RATIO))
-    return len(names & out) >= limit
+    max_out = max(1, int(len(names) * _MAX_OUT_OF_SERVICE_RATIO))
+    return len(names & out) >= max_out
 
 
 async def is_last_fitting(
@@ -95,13 +95,13 @@
         probe: Requests an engine's load report; returns ``None`` on failure.
     """
     missing = set(plan.phases(report))
-    by_name = {e.name: e for e in others if e.name != engine.name}
-    for name in hashing.rank(engine.name, by_name):
-        if by_name[name].drained:
+    others_by_name = {e.name: e for e in others if e.name != engine.name}
+    for name in hashing.rank(engine.name, others_by_name):
+        if others_by_name[name].drained:
             continue
-        other = await probe(by_name[name])
-        if other is not None and plan.fits(service, other):
-            missing -= plan.phases(other)
+        report_of_other = await probe(others_by_name[name])
+        if report_of_other is not None and plan.fits(service, report_of_other):
+            missing -= plan.phases(report_of_other)
         if not missing:
             return False
     return True
@@ -112,7 +112,7 @@
 
     With this number of parallel loads each still completes within a minute.
     """
-    alone_ms = weight_bytes / rate_bytes_per_s * clocks.MS_PER_S
-    if alone_ms <= 0:
+    single_load_ms = weight_bytes / rate_bytes_per_s * clocks.MS_PER_S
+    if single_load_ms <= 0:
         return 1
-    return max(1, int(_MAX_FETCH_MS / alone_ms))
+    return max(1, int(_MAX_FETCH_MS / single_load_ms))
--- a/src/jujubewharf/orders/turn.py
+++ b/src/jujubewharf/orders/turn.py
@@ -21,7 +21,7 @@
 from jujubewharf.routing import fleet as fleets
 
 _POLL_MS = 250.0
-_QUIET_MS = 1_500.0
+_IDLE_MS = 1_500.0
 _RESEND_MS = 10_000.0
 
 
@@ -62,10 +62,10 @@
     ) -> None:
         self._engine = engine
         self._purpose = purpose
-        self._around = around
+        self._context = around
         self._clock = around.clock
         self._leases = around.leases
-        self._is_order_out = False
+        self._is_order_in_flight = False
         self._logger = structlog.get_logger().bind(engine=engine)
 
     async def run(self) -> rolling.Block | None:
@@ -74,32 +74,34 @@
         Returns:
             Why the engine is not yet as declared, or ``None`` if it is.
         """
-        block = await self._blocked(before=None)
-        if block is not None:
-            return block
+        reason = await self._deferral(before=None)
+        if reason is not None:
+            return reason
         lease = await self._leases.claim(self._engine, self._purpose)
         if lease is None:
             return rolling.Block.HELD
         renewal = asyncio.create_task(self._renew(lease))
         try:
-            async with self._clock.timeout_ms(self._around.turn_ms):
-                return await self._under(lease)
+            async with self._clock.timeout_ms(self._context.turn_ms):
+                return await self._run_with_lease(lease)
         except TimeoutError:
             return rolling.Block.LEASE_ENDED
         finally:
             renewal.cancel()
             # An order still in flight could arrive after one of the next
             # holder, so in that case the lease is left to expire.
-            if not self._is_order_out:
+            if not self._is_order_in_flight:
                 await self._leases.release(lease)
 
-    async def _under(self, lease: leasing.Lease) -> rolling.Block | None:
-        block = await self._blocked(before=lease.fence)
-        if block is None and self._purpose is not records.Purpose.ADAPTER:
-            block = await self._drain(lease)
-        if block is None:
-            block = await self._order(lease)
-        return block
+    async def _run_with_lease(
+        self, lease: leasing.Lease
+    ) -> rolling.Block | None:
+        reason = await self._deferral(before=lease.fence)
+        if reason is None and self._purpose is not records.Purpose.ADAPTER:
+            reason = await self._drain(lease)
+        if reason is None:
+            reason = await self._send_orders(lease)
+        return reason
 
     async def _renew(self, lease: leasing.Lease) -> None:
         while True:
@@ -109,7 +111,7 @@
             if not await self._leases.renew(lease):
                 await self._clock.sleep_ms(_POLL_MS)
 
-    async def _blocked(self, *, before: int | None) -> rolling.Block | None:
+    async def _deferral(self, *, before: int | None) -> rolling.Block | None:
         endpoint = self._endpoint()
         report = await self._probe(endpoint) if endpoint else None
         if endpoint is None or report is None:
@@ -120,49 +122,49 @@
         if service is not None and rolling.is_serving(
             service, endpoint, report
         ):
-            block = await self._blocked_by_service(
+            reason = await self._deferral_by_service(
                 service, endpoint, report, before
             )
-            if block is not None:
-                return block
+            if reason is not None:
+                return reason
         if self._purpose is records.Purpose.LOAD:
-            return await self._blocked_by_store(endpoint, before)
+            return await self._deferral_by_store(endpoint, before)
         return None
 
-    async def _blocked_by_service(
+    async def _deferral_by_service(
         self,
         service: resources.Service,
         endpoint: resources.Endpoint,
         report: client.LoadReport,
         before: int | None,
     ) -> rolling.Block | None:
-        out = self._taken_out(before)
+        out_of_service = self._out_of_service(before)
         pool = self._pool(service)
-        if rolling.many_out(pool, out):
+        if rolling.many_out(pool, out_of_service):
             return rolling.Block.MANY_OUT
-        others = [other for other in pool if other.name not in out]
+        others = [other for other in pool if other.name not in out_of_service]
         is_last = await rolling.is_last_fitting(
             service, endpoint, report, others, self._probe
         )
         return rolling.Block.LAST_FITTING if is_last else None
 
-    async def _blocked_by_store(
+    async def _deferral_by_store(
         self, endpoint: resources.Endpoint, before: int | None
     ) -> rolling.Block | None:
         try:
-            status = await self._around.weight_store.status()
+            status = await self._context.weight_store.status()
         except weights.WeightStoreUnavailableError:
             return rolling.Block.STORE_DOWN
-        model = self._around.configuration.current.get(
+        model = self._context.configuration.current.get(
             resources.Kind.MODEL, endpoint.model
         )
         declared = model.resource if model else resources.Model(endpoint.model)
         assert isinstance(declared, resources.Model)
-        bound = rolling.max_loads(
+        max_loads = rolling.max_loads(
             status.rate_bytes_per_s, declared.weight_bytes
         )
-        loading = self._loading(before)
-        is_full = max(loading, status.active_fetches) >= bound
+        loads = self._count_loads(before)
+        is_full = max(loads, status.active_fetches) >= max_loads
         return rolling.Block.STORE_BUSY if is_full else None
 
     async def _drain(self, lease: leasing.Lease) -> rolling.Block | None:
@@ -173,13 +175,13 @@
         still arrive. If a request does not end in time, it is not aborted; the
         order is deferred.
         """
-        until_ms = self._clock.now_ms() + self._around.drain_ms
-        quiet_since_ms = self._clock.now_ms()
+        until_ms = self._clock.now_ms() + self._context.drain_ms
+        idle_since_ms = self._clock.now_ms()
         while self._leases.may_order(lease):
             now_ms = self._clock.now_ms()
             if await self._is_in_use():
-                quiet_since_ms = now_ms
-            if now_ms - quiet_since_ms >= _QUIET_MS:
+                idle_since_ms = now_ms
+            if now_ms - idle_since_ms >= _IDLE_MS:
                 return None
             if now_ms >= until_ms:
                 return rolling.Block.IN_USE
@@ -196,7 +198,7 @@
         except client.EngineError:
             return True
 
-    async def _order(self, lease: leasing.Lease) -> rolling.Block | None:
+    async def _send_orders(self, lease: leasing.Lease) -> rolling.Block | None:
         """Sends orders until the engine reports the declared state."""
         last: plan.Step | None = None
         sent_ms = float("-inf")
@@ -207,7 +209,7 @@
                 return rolling.Block.UNREACHABLE
             step = plan.next_step(endpoint, report)
             if step != last:
-                self._is_order_out = False
+                self._is_order_in_flight = False
             if step is None or step.purpose is not self._purpose:
                 return None
             is_due = self._clock.now_ms() - sent_ms >= _RESEND_MS
@@ -216,14 +218,14 @@
                 continue
             if not self._leases.may_order(lease):
                 break
-            fault = await self._give(step, lease)
+            fault = await self._send(step, lease)
             if fault is not None and fault is not client.EngineFault.LOST:
                 return rolling.Block.UNREACHABLE
             last = step
             sent_ms = self._clock.now_ms()
         return rolling.Block.LEASE_ENDED
 
-    async def _give(
+    async def _send(
         self, step: plan.Step, lease: leasing.Lease
     ) -> client.EngineFault | None:
         engine = self._client()
@@ -236,21 +238,21 @@
             version=step.version,
             fence=lease.fence,
         )
-        self._is_order_out = True
+        self._is_order_in_flight = True
         try:
             await engine.order(step.order(lease.fence))
         except client.EngineError as error:
             counters.order_failed(step.kind, error.fault)
-            self._is_order_out = error.fault is client.EngineFault.LOST
+            self._is_order_in_flight = error.fault is client.EngineFault.LOST
             return error.fault
         counters.order_given(step.kind)
-        self._is_order_out = False
+        self._is_order_in_flight = False
         return None
 
     async def _probe(
         self, endpoint: resources.Endpoint
     ) -> client.LoadReport | None:
-        view = self._around.fleet.view(endpoint.name)
+        view = self._context.fleet.view(endpoint.name)
         if view is None:
             return None
         with contextlib.suppress(client.EngineError):
@@ -258,11 +260,11 @@
         return None
 
     def _client(self) -> client.EngineClient | None:
-        view = self._around.fleet.view(self._engine)
+        view = self._context.fleet.view(self._engine)
         return None if view is None else view.client
 
     def _endpoint(self) -> resources.Endpoint | None:
-        state = self._around.configuration.current
+        state = self._context.configuration.current
         entry = state.get(resources.Kind.ENDPOINT, self._engine)
         if entry is None:
             return None
@@ -272,7 +274,7 @@
     def _service(
         self, endpoint: resources.Endpoint
     ) -> resources.Service | None:
-        state = self._around.configuration.current
+        state = self._context.configuration.current
         entry = state.get(resources.Kind.SERVICE, endpoint.service)
         if entry is None:
             return None
@@ -280,7 +282,7 @@
         return entry.resource
 
     def _pool(self, service: resources.Service) -> list[resources.Endpoint]:
-        entries = self._around.configuration.current.of_kind(
+        entries = self._context.configuration.current.of_kind(
             resources.Kind.ENDPOINT
         )
         return [
@@ -290,12 +292,12 @@
             and entry.resource.service == service.name
         ]
 
-    def _taken_out(self, before: int | None) -> frozenset[str]:
+    def _out_of_service(self, before: int | None) -> frozenset[str]:
         held = self._leases.ledger.held(self._clock.now_ms())
         others = {n: e for n, e in held.items() if n != self._engine}
         return rolling.taken_out(others, before=before)
 
-    def _loading(self, before: int | None) -> int:
+    def _count_loads(self, before: int | None) -> int:
         held = self._leases.ledger.held(self._clock.now_ms())
         return sum(
             1
--- a/src/jujubewharf/routing/baselines.py
+++ b/src/jujubewharf/routing/baselines.py
@@ -16,7 +16,7 @@
 Pick = Callable[[list[fleets.EngineView]], fleets.EngineView]
 
 
-class _ByReports:
+class _ReportBasedPolicy:
     """Places requests on engines whose latest load report shows a free slot.
 
     Args:
@@ -31,7 +31,7 @@
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         """Decides for a request that holds no resources yet."""
         views = fitting.usable(job, fleet)
-        decode = self._decode(fitting.decoders(views))
+        decode = self._choose_decode(fitting.decoders(views))
         if not isinstance(decode, fleets.EngineView):
             return decode
         prefillers = fitting.exporters(views)
@@ -45,12 +45,12 @@
     def place_decode(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         """Decides for a request whose prefill is complete."""
         views = fitting.usable(job, fleet)
-        decode = self._decode(fitting.importers(views))
+        decode = self._choose_decode(fitting.importers(views))
         if not isinstance(decode, fleets.EngineView):
             return decode
         return jobs.Choice(decode.endpoint)
 
-    def _decode(
+    def _choose_decode(
         self, views: list[fleets.EngineView]
     ) -> fleets.EngineView | jobs.Later | jobs.Refusal:
         if not views:
@@ -61,7 +61,7 @@
         return self._pick_decode(free)
 
 
-class RandomChoice(_ByReports):
+class RandomChoice(_ReportBasedPolicy):
     """Chooses a random engine with a free slot and a random prefill engine.
 
     Args:
@@ -75,7 +75,7 @@
         super().__init__(pick, pick)
 
 
-class RoundRobin(_ByReports):
+class RoundRobin(_ReportBasedPolicy):
     """Cycles through the engines; each instance has its own position.
 
     Args:
@@ -92,7 +92,7 @@
         )
 
 
-class LeastLoad(_ByReports):
+class LeastLoad(_ReportBasedPolicy):
     """Chooses the least used decode engine and the shortest prefill queue."""
 
     def __init__(self) -> None:
--- a/src/jujubewharf/routing/breaker.py
+++ b/src/jujubewharf/routing/breaker.py
@@ -5,10 +5,10 @@
 from jujubewharf import clock as clocks
 from jujubewharf.engines import client
 
-_FIRST_MS = 500.0
-_LONGEST_MS = 8_000.0
-_FORGOTTEN_AFTER_MS = 10_000.0
-_LOSSES_TO_DOUBT = 3
+_INITIAL_PERIOD_MS = 500.0
+_MAX_PERIOD_MS = 8_000.0
+_RESET_AFTER_MS = 10_000.0
+_LOSSES_UNTIL_DEGRADED = 3
 
 
 class Breaker:
@@ -27,11 +27,11 @@
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._times = 0
+        self._periods = 0
         self._losses = 0
-        self._failed_ms = 0.0
+        self._last_failure_ms = 0.0
         self._open_until_ms = 0.0
-        self._doubt_until_ms = 0.0
+        self._degraded_until_ms = 0.0
 
     @property
     def is_open(self) -> bool:
@@ -41,31 +41,31 @@
     @property
     def is_doubtful(self) -> bool:
         """Whether the engine is to be used only when no other is available."""
-        return self._clock.now_ms() < self._doubt_until_ms
+        return self._clock.now_ms() < self._degraded_until_ms
 
     def failed(self, fault: client.EngineFault) -> None:
         """Records a failed call."""
         now_ms = self._clock.now_ms()
-        if now_ms - self._failed_ms > _FORGOTTEN_AFTER_MS:
-            self._times = self._losses = 0
+        if now_ms - self._last_failure_ms > _RESET_AFTER_MS:
+            self._periods = self._losses = 0
         match fault:
             case client.EngineFault.UNREACHABLE:
                 if not self.is_open:
-                    self._open_until_ms = self._next_until_ms()
+                    self._open_until_ms = self._next_period_end_ms()
             case client.EngineFault.LOST:
-                self._failed_ms = now_ms
+                self._last_failure_ms = now_ms
                 self._losses += 1
-                if self._losses >= _LOSSES_TO_DOUBT:
+                if self._losses >= _LOSSES_UNTIL_DEGRADED:
                     self._losses = 0
-                    self._doubt_until_ms = self._next_until_ms()
+                    self._degraded_until_ms = self._next_period_end_ms()
 
     def answered(self) -> None:
         """Records a successful call, which closes the breaker."""
         self._open_until_ms = 0.0
 
-    def _next_until_ms(self) -> float:
+    def _next_period_end_ms(self) -> float:
         now_ms = self._clock.now_ms()
-        for_ms = min(_LONGEST_MS, _FIRST_MS * 2**self._times)
-        self._times += 1
-        self._failed_ms = now_ms
-        return now_ms + for_ms
+        period_ms = min(_MAX_PERIOD_MS, _INITIAL_PERIOD_MS * 2**self._periods)
+        self._periods += 1
+        self._last_failure_ms = now_ms
+        return now_ms + period_ms
--- a/src/jujubewharf/routing/cache_events.py
+++ b/src/jujubewharf/routing/cache_events.py
@@ -17,8 +17,8 @@
 # Bandwidth of an instance for cache events. All control traffic of an instance
 # is limited to 3 KB/s.
 _EVENT_BYTES_PER_S = 400.0
-_EVENTS_EVERY_MS = 2_000.0
-_EVENTS_TIMEOUT_MS = 1_000.0
+_POLL_INTERVAL_MS = 2_000.0
+_POLL_TIMEOUT_MS = 1_000.0
 
 
 class CacheFollower(mode.Service):
@@ -26,19 +26,19 @@
 
     Args:
         fleet: Engine views and prefix hints.
-        kept: Returns the engines to poll.
+        list_views: Returns the engines to poll.
         clock: Time source.
     """
 
     def __init__(
         self,
         fleet: fleets.Fleet,
-        kept: Callable[[], Sequence[fleets.EngineView]],
+        list_views: Callable[[], Sequence[fleets.EngineView]],
         clock: clocks.Clock,
     ) -> None:
         super().__init__()
         self._fleet = fleet
-        self._kept = kept
+        self._list_views = list_views
         self._clock = clock
         self._logger = structlog.get_logger()
 
@@ -46,17 +46,17 @@
     async def _follow(self) -> None:
         while not self.should_stop:
             count = 0
-            for view in self._kept():
+            for view in self._list_views():
                 if view.endpoint.can_prefill and view.takes_work:
-                    count += await self._read(view)
+                    count += await self._poll(view)
             size_bytes = count * _EVENT_BYTES
             pause_ms = size_bytes / _EVENT_BYTES_PER_S * clocks.MS_PER_S
-            await self._clock.sleep_ms(max(pause_ms, _EVENTS_EVERY_MS))
+            await self._clock.sleep_ms(max(pause_ms, _POLL_INTERVAL_MS))
 
-    async def _read(self, view: fleets.EngineView) -> int:
+    async def _poll(self, view: fleets.EngineView) -> int:
         name, hints = view.endpoint.name, self._fleet.hints
         try:
-            async with self._clock.timeout_ms(_EVENTS_TIMEOUT_MS):
+            async with self._clock.timeout_ms(_POLL_TIMEOUT_MS):
                 events = await view.client.cache_events(
                     hints.last_sequence(name)
                 )
--- a/src/jujubewharf/routing/counters.py
+++ b/src/jujubewharf/routing/counters.py
@@ -7,7 +7,7 @@
 from jujubewharf import errors
 
 _METER = metrics.get_meter("jujubewharf")
-_ASKS = _METER.create_counter(
+_SLOT_REQUESTS = _METER.create_counter(
     "routing.slot_asks", description="Asks for decode slots, by outcome."
 )
 _REFUSALS = _METER.create_counter(
@@ -26,7 +26,7 @@
         outcome = "granted"
     elif is_hopeless:
         outcome = "hopeless"
-    _ASKS.add(1, {"outcome": outcome})
+    _SLOT_REQUESTS.add(1, {"outcome": outcome})
 
 
 def refused(kind: errors.ErrorKind) -> None:
--- a/src/jujubewharf/routing/fitting.py
+++ b/src/jujubewharf/routing/fitting.py
@@ -20,17 +20,17 @@
     Degraded engines are left out if the remaining ones can run the job. If all
     engines are degraded, they are still used.
     """
-    found = [
+    candidates = [
         view
         for view in views
         if view.takes_work
         and view.endpoint.name not in job.excluded
         and has_model(view, job.service)
     ]
-    sound = [view for view in found if not view.breaker.is_doubtful]
-    can_write = bool(decoders(sound))
-    can_read = bool(exporters(sound)) or not exporters(found)
-    return sound if can_write and can_read else found
+    healthy = [view for view in candidates if not view.breaker.is_doubtful]
+    can_decode = bool(decoders(healthy))
+    can_prefill = bool(exporters(healthy)) or not exporters(candidates)
+    return healthy if can_decode and can_prefill else candidates
 
 
 def has_model(view: fleets.EngineView, service: resources.Service) -> bool:
--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -21,8 +21,8 @@
 
 _POLL_MS = 250.0
 _POLL_TIMEOUT_MS = 1_000.0
-_DIGEST_LASTS_MS = 10_000.0
-_LEAVING_MS = 3_000.0
+_DIGEST_MAX_AGE_MS = 10_000.0
+_LEAVING_AFTER_REFUSAL_MS = 3_000.0
 _DEFAULT_KV_BYTES_PER_TOKEN = resources.Model("").kv_bytes_per_token
 
 
@@ -94,7 +94,7 @@
         """Whether a recent digest from the coordinator is available."""
         if self.digest_ms is None:
             return False
-        return self.clock.now_ms() - self.digest_ms < _DIGEST_LASTS_MS
+        return self.clock.now_ms() - self.digest_ms < _DIGEST_MAX_AGE_MS
 
     @property
     def step_ms(self) -> float:
@@ -116,7 +116,7 @@
         if fault is engine_client.EngineFault.REFUSED_LEAVING:
             now_ms = self.clock.now_ms()
             self.leaving_until_ms = max(
-                self.leaving_until_ms, now_ms + _LEAVING_MS
+                self.leaving_until_ms, now_ms + _LEAVING_AFTER_REFUSAL_MS
             )
 
     def take_digest(
@@ -153,20 +153,22 @@
         self._make_client = make_client
         self._clock = clock
         self._views: dict[str, EngineView] = {}
-        self._all: list[EngineView] = []
-        self._of_service: dict[str, list[EngineView]] = {}
-        self._near: dict[tuple[str, str], list[EngineView]] = {}
+        self._sorted_views: list[EngineView] = []
+        self._by_service: dict[str, list[EngineView]] = {}
+        self._by_service_and_domain: dict[
+            tuple[str, str], list[EngineView]
+        ] = {}
         self._kv_bytes: dict[str, int] = {}
         self._services: dict[str, resources.Service] = {}
 
     def on_configuration(self, state: states.State) -> None:
         """Updates the views to a new configuration."""
-        wanted: dict[str, resources.Endpoint] = {}
+        declared: dict[str, resources.Endpoint] = {}
         for entry in state.of_kind(resources.Kind.ENDPOINT):
             endpoint = entry.resource
             assert isinstance(endpoint, resources.Endpoint)
             if endpoint.role is not resources.Role.PLAIN:
-                wanted[endpoint.name] = endpoint
+                declared[endpoint.name] = endpoint
         for entry in state.of_kind(resources.Kind.SERVICE):
             service = entry.resource
             assert isinstance(service, resources.Service)
@@ -175,23 +177,23 @@
             model = entry.resource
             assert isinstance(model, resources.Model)
             self._kv_bytes[model.name] = model.kv_bytes_per_token
-        for name in sorted(set(self._views) - set(wanted)):
+        for name in sorted(set(self._views) - set(declared)):
             del self._views[name]
-        for name, endpoint in wanted.items():
-            self._take_over(name, endpoint)
-        self._index()
+        for name, endpoint in declared.items():
+            self._update_view(name, endpoint)
+        self._rebuild_indexes()
 
     def views_of(self, service: str) -> list[EngineView]:
         """Returns the views of a service's engines, sorted by name."""
-        return self._of_service.get(service, [])
+        return self._by_service.get(service, [])
 
     def views_near(self, service: str, domain: str) -> list[EngineView]:
         """Returns the views of a service's engines in one failure domain."""
-        return self._near.get((service, domain), [])
+        return self._by_service_and_domain.get((service, domain), [])
 
     def all_views(self) -> list[EngineView]:
         """Returns the views of all engines, sorted by name."""
-        return self._all
+        return self._sorted_views
 
     def mark_leaving(
         self,
@@ -231,16 +233,18 @@
         """Returns the view of one engine."""
         return self._views.get(name)
 
-    def _index(self) -> None:
+    def _rebuild_indexes(self) -> None:
         """Rebuilds the indexes, so that decisions need not search all views."""
-        self._all = [view for _, view in sorted(self._views.items())]
-        self._of_service, self._near = {}, {}
-        for view in self._all:
+        self._sorted_views = [view for _, view in sorted(self._views.items())]
+        self._by_service, self._by_service_and_domain = {}, {}
+        for view in self._sorted_views:
             service, domain = view.endpoint.service, view.endpoint.domain
-            self._of_service.setdefault(service, []).append(view)
-            self._near.setdefault((service, domain), []).append(view)
+            self._by_service.setdefault(service, []).append(view)
+            self._by_service_and_domain.setdefault(
+                (service, domain), []
+            ).append(view)
 
-    def _take_over(self, name: str, endpoint: resources.Endpoint) -> None:
+    def _update_view(self, name: str, endpoint: resources.Endpoint) -> None:
         view = self._views.get(name)
         if view is not None and view.endpoint.address == endpoint.address:
             view.endpoint = endpoint
@@ -255,20 +259,20 @@
     @mode.Service.task
     async def _poll(self) -> None:
         while not self.should_stop:
-            polled = self._polled()
-            for view in polled:
+            to_poll = self._views_to_poll()
+            for view in to_poll:
                 self.add_future(self._poll_one(view))
-            await self._clock.sleep_ms(_POLL_MS * max(1, len(polled)))
+            await self._clock.sleep_ms(_POLL_MS * max(1, len(to_poll)))
 
-    def _polled(self) -> list[EngineView]:
+    def _views_to_poll(self) -> list[EngineView]:
         """Returns the engines to poll; discards the reports of the others."""
-        polled = []
+        to_poll = []
         for view in self.all_views():
             if self.polls(view) or not view.has_digest:
-                polled.append(view)
+                to_poll.append(view)
             else:
                 view.report = view.heard_ms = None
-        return polled
+        return to_poll
 
     async def _poll_one(self, view: EngineView) -> None:
         try:
--- a/src/jujubewharf/routing/keepers.py
+++ b/src/jujubewharf/routing/keepers.py
@@ -23,8 +23,8 @@
     An engine whose failure domain has no instance is coordinated by an instance
     of another domain, so that it stays in use.
     """
-    near = [m.instance for m in present if m.domain == endpoint.domain]
-    candidates = near or [m.instance for m in present]
+    same_domain = [m.instance for m in present if m.domain == endpoint.domain]
+    candidates = same_domain or [m.instance for m in present]
     ranked = hashing.rank(endpoint.name, candidates)
     return ranked[0] if ranked else None
 
@@ -40,13 +40,13 @@
 
     def __init__(self, members: membership.MembershipView) -> None:
         self._members = members
-        self._known: dict[tuple[str, str], str | None] = {}
-        members.listen(self._known.clear)
+        self._cache: dict[tuple[str, str], str | None] = {}
+        members.listen(self._cache.clear)
 
     def of(self, endpoint: resources.Endpoint) -> str | None:
         """Returns an engine's coordinator; ``None`` if no instance is known."""
         key = (endpoint.name, endpoint.domain)
-        if key not in self._known:
+        if key not in self._cache:
             present = self._members.present()
-            self._known[key] = keeper_of(endpoint, present)
-        return self._known[key]
+            self._cache[key] = keeper_of(endpoint, present)
+        return self._cache[key]
--- a/src/jujubewharf/routing/keeping.py
+++ b/src/jujubewharf/routing/keeping.py
@@ -20,13 +20,13 @@
 from jujubewharf.routing import read_ledger
 from jujubewharf.routing import slot_ledger
 
-_SERVE_EVERY_MS = 20.0
+_SERVE_INTERVAL_MS = 20.0
 _IDLE_MS = 1_000.0
-_MAX_LINE = 512
+_MAX_QUEUE = 512
 _DIGEST_BYTES_PER_S = 1_000.0
 _DIGEST_BYTES = 40.0
-_DIGEST_WITH_ANSWER = 4
-_DIGEST_AT_MOST_EVERY_MS = 500.0
+_DIGESTS_PER_ANSWER = 4
+_MIN_DIGEST_INTERVAL_MS = 500.0
 
 
 class _Outcome(enum.Enum):
@@ -34,10 +34,10 @@
 
     GRANTED = "granted"
     NOT_YET = "not_yet"
-    HOPELESS = "hopeless"
+    REJECTED = "rejected"
 
 
-class _Line:
+class _Queue:
     """The slot ledger of one engine and the requests that await an answer."""
 
     def __init__(self, ledger: slot_ledger.SlotLedger) -> None:
@@ -68,12 +68,12 @@
         self._peers = peers
         self._members = members
         self._clock = clock
-        self._somebody_waits = asyncio.Event()
-        self._lines: dict[str, _Line] = {}
+        self._request_arrived = asyncio.Event()
+        self._queues: dict[str, _Queue] = {}
         self._hold_times: dict[str, hold_times.HoldTimes] = {}
         self._present: frozenset[str] = frozenset()
-        self._reads: dict[str, read_ledger.ReadLedger] = {}
-        self._digest_turns: collections.deque[str] = collections.deque()
+        self._prefill_ledgers: dict[str, read_ledger.ReadLedger] = {}
+        self._digest_rotation: collections.deque[str] = collections.deque()
         self._keepers = keepers.Keepers(members)
         peers.handle(slot_messages.SlotAsk, self.on_ask)
         peers.handle(slot_messages.SlotEnd, self.on_end)
@@ -85,28 +85,32 @@
     async def on_start(self) -> None:
         """Starts the follower of the coordinated engines' cache events."""
         await self.add_runtime_dependency(
-            cache_events.CacheFollower(self._fleet, self._kept, self._clock)
+            cache_events.CacheFollower(
+                self._fleet, self._coordinated_views, self._clock
+            )
         )
 
     def is_keeper(self, view: fleets.EngineView) -> bool:
         """Whether this instance coordinates an engine."""
         return self._keepers.of(view.endpoint) == self._peers.instance
 
-    def _kept(self) -> list[fleets.EngineView]:
+    def _coordinated_views(self) -> list[fleets.EngineView]:
         return [v for v in self._fleet.all_views() if self.is_keeper(v)]
 
-    def _digest(self, engine: str) -> tuple[slot_messages.EngineDigest, ...]:
+    def _answer_digests(
+        self, engine: str
+    ) -> tuple[slot_messages.EngineDigest, ...]:
         """Returns digests of the requested engine and of a few others.
 
         Including all coordinated engines would make answers grow with the
         fleet.
         """
         views = [self._fleet.view(engine)]
-        count = min(_DIGEST_WITH_ANSWER, len(self._digest_turns))
+        count = min(_DIGESTS_PER_ANSWER, len(self._digest_rotation))
         for _ in range(count):
-            self._digest_turns.rotate(-1)
-            if self._digest_turns[0] != engine:
-                views.append(self._fleet.view(self._digest_turns[0]))
+            self._digest_rotation.rotate(-1)
+            if self._digest_rotation[0] != engine:
+                views.append(self._fleet.view(self._digest_rotation[0]))
         return tuple(
             self._digest_of(view) for view in views if view is not None
         )
@@ -118,65 +122,67 @@
         view = self._fleet.view(ask.engine)
         if view is None or not view.takes_work:
             return self._refusal(ask.engine, 0.0, is_hopeless=True)
-        line = self._line_of(view, ask.hold_ms)
-        if len(line.answers) >= _MAX_LINE:
+        queue = self._queue_of(view, ask.hold_ms)
+        if len(queue.answers) >= _MAX_QUEUE:
             return self._refusal(
-                ask.engine, line.ledger.wait_ms(), is_hopeless=True
+                ask.engine, queue.ledger.wait_ms(), is_hopeless=True
             )
-        wish = _wish(peer, ask, self._clock.now_ms())
-        outcome = await self._wait(line, wish, ask.answer_in_ms)
+        request = _slot_request(peer, ask, self._clock.now_ms())
+        outcome = await self._wait(queue, request, ask.answer_in_ms)
         if outcome is not _Outcome.GRANTED:
-            is_hopeless = outcome is _Outcome.HOPELESS
-            wait_ms = line.ledger.wait_ms()
+            is_hopeless = outcome is _Outcome.REJECTED
+            wait_ms = queue.ledger.wait_ms()
             return self._refusal(ask.engine, wait_ms, is_hopeless=is_hopeless)
         return slot_messages.SlotAnswer(
             True,
             from_in_ms=0 if ask.is_ready else ask.ready_in_ms,
             until_in_ms=ask.ready_in_ms + slot_ledger.PROMISE_LASTS_MS,
-            digest=self._digest(ask.engine),
+            digest=self._answer_digests(ask.engine),
         )
 
     async def on_end(self, peer: str, end: slot_messages.SlotEnd) -> None:
         """Frees a slot or a promise, or removes a request from the queue."""
-        line = self._lines.get(end.engine)
-        if line is None:
+        queue = self._queues.get(end.engine)
+        if queue is None:
             return
         holder = slot_ledger.Holder(peer, end.number)
-        line.ledger.end(holder, self._clock.now_ms(), was_held=end.is_held)
-        self._answer(line, holder, _Outcome.NOT_YET)
-        self._serve(line)
+        queue.ledger.end(holder, self._clock.now_ms(), was_held=end.is_held)
+        self._answer(queue, holder, _Outcome.NOT_YET)
+        self._serve(queue)
 
     async def on_held(self, peer: str, held: slot_messages.SlotsHeld) -> None:
         """Records slots that the engine's previous coordinator granted."""
         view = self._fleet.view(held.engine)
         if view is None:
             return
-        line = self._line_of(view, 0)
+        queue = self._queue_of(view, 0)
         now_ms = self._clock.now_ms()
         for number, age_ms in held.held:
             holder = slot_ledger.Holder(peer, number)
-            line.ledger.hold(holder, now_ms - age_ms)
+            queue.ledger.hold(holder, now_ms - age_ms)
 
     async def on_read(
         self, peer: str, ask: slot_messages.ReadAsk
     ) -> slot_messages.LoadDigest:
         """Records a prompt about to be sent; returns the load ahead of it."""
-        digest = self._digest(ask.engine)
+        digest = self._answer_digests(ask.engine)
         now_ms = self._clock.now_ms()
-        reads = self._reads.get(ask.engine)
-        if reads is None:
-            reads = self._reads[ask.engine] = read_ledger.ReadLedger(now_ms)
+        prefills = self._prefill_ledgers.get(ask.engine)
+        if prefills is None:
+            prefills = self._prefill_ledgers[ask.engine] = (
+                read_ledger.ReadLedger(now_ms)
+            )
         holder = slot_ledger.Holder(peer, ask.number)
         transfer_ms = self._transfer_ms(ask.engine, ask.tokens)
-        reads.begin(holder, ask.tokens, transfer_ms, now_ms)
+        prefills.begin(holder, ask.tokens, transfer_ms, now_ms)
         return slot_messages.LoadDigest(digest)
 
     async def on_read_end(self, peer: str, end: slot_messages.ReadEnd) -> None:
         """Records that a prefill completed, failed or was cancelled."""
-        reads = self._reads.get(end.engine)
-        if reads is not None:
+        prefills = self._prefill_ledgers.get(end.engine)
+        if prefills is not None:
             holder = slot_ledger.Holder(peer, end.number)
-            reads.end(holder, self._clock.now_ms(), is_read=end.is_read)
+            prefills.end(holder, self._clock.now_ms(), is_read=end.is_read)
 
     def _transfer_ms(self, engine: str, tokens: int) -> float:
         """Returns the time to transfer a prompt's KV cache over the link."""
@@ -189,47 +195,47 @@
         return kv_bytes / view.endpoint.link_bytes_per_s * clocks.MS_PER_S
 
     async def _wait(
-        self, line: _Line, wish: slot_ledger.Wish, for_ms: float
+        self, queue: _Queue, request: slot_ledger.Wish, timeout_ms: float
     ) -> _Outcome:
-        self._answer(line, wish.holder, _Outcome.NOT_YET)
+        self._answer(queue, request.holder, _Outcome.NOT_YET)
         future: asyncio.Future[_Outcome]
         future = asyncio.get_running_loop().create_future()
-        line.answers[wish.holder] = future
-        self._somebody_waits.set()
-        line.ledger.wish(wish)
-        self._serve(line)
+        queue.answers[request.holder] = future
+        self._request_arrived.set()
+        queue.ledger.wish(request)
+        self._serve(queue)
         try:
-            async with self._clock.timeout_ms(for_ms):
+            async with self._clock.timeout_ms(timeout_ms):
                 return await future
         except TimeoutError:
-            self._forget(line, wish.holder, future)
+            self._remove(queue, request.holder, future)
             return _Outcome.NOT_YET
         except asyncio.CancelledError:
-            self._forget(line, wish.holder, future)
+            self._remove(queue, request.holder, future)
             raise
 
-    def _forget(
+    def _remove(
         self,
-        line: _Line,
+        queue: _Queue,
         holder: slot_ledger.Holder,
         future: asyncio.Future[_Outcome],
     ) -> None:
         """Removes a slot request, unless its holder has since made another."""
-        if line.answers.get(holder) is future:
-            del line.answers[holder]
-            line.ledger.end(holder, self._clock.now_ms())
+        if queue.answers.get(holder) is future:
+            del queue.answers[holder]
+            queue.ledger.end(holder, self._clock.now_ms())
 
-    def _serve(self, line: _Line) -> None:
+    def _serve(self, queue: _Queue) -> None:
         now_ms = self._clock.now_ms()
-        for wish in line.ledger.take_hopeless(now_ms):
-            self._answer(line, wish.holder, _Outcome.HOPELESS)
-        while (wish_now := line.ledger.grant_next(now_ms)) is not None:
-            self._answer(line, wish_now.holder, _Outcome.GRANTED)
+        for request in queue.ledger.take_hopeless(now_ms):
+            self._answer(queue, request.holder, _Outcome.REJECTED)
+        while (granted := queue.ledger.grant_next(now_ms)) is not None:
+            self._answer(queue, granted.holder, _Outcome.GRANTED)
 
     def _answer(
-        self, line: _Line, holder: slot_ledger.Holder, outcome: _Outcome
+        self, queue: _Queue, holder: slot_ledger.Holder, outcome: _Outcome
     ) -> None:
-        future = line.answers.pop(holder, None)
+        future = queue.answers.pop(holder, None)
         if future is not None and not future.done():
             future.set_result(outcome)
 
@@ -240,40 +246,44 @@
             False,
             wait_ms=round(wait_ms),
             is_hopeless=is_hopeless,
-            digest=self._digest(engine),
+            digest=self._answer_digests(engine),
         )
 
-    def _line_of(self, view: fleets.EngineView, hold_ms: int) -> _Line:
+    def _queue_of(self, view: fleets.EngineView, hold_ms: int) -> _Queue:
         name = view.endpoint.name
-        line = self._lines.get(name)
-        if line is None:
+        queue = self._queues.get(name)
+        if queue is None:
             service = view.endpoint.service
-            times = self._hold_times.get(service)
-            if times is None:
-                times = hold_times.HoldTimes(float(hold_ms or 1_000))
-                self._hold_times[service] = times
-            ledger = slot_ledger.SlotLedger(view.endpoint.slots, times)
-            line = self._lines[name] = _Line(ledger)
-        self._read_report(line, view)
-        return line
-
-    def _read_report(self, line: _Line, view: fleets.EngineView) -> None:
+            service_hold_times = self._hold_times.get(service)
+            if service_hold_times is None:
+                service_hold_times = hold_times.HoldTimes(
+                    float(hold_ms or 1_000)
+                )
+                self._hold_times[service] = service_hold_times
+            ledger = slot_ledger.SlotLedger(
+                view.endpoint.slots, service_hold_times
+            )
+            queue = self._queues[name] = _Queue(ledger)
+        self._apply_report(queue, view)
+        return queue
+
+    def _apply_report(self, queue: _Queue, view: fleets.EngineView) -> None:
         if view.report is None or view.heard_ms is None:
             return
-        if view.heard_ms > line.reported_ms:
-            line.reported_ms = view.heard_ms
-            line.ledger.reported(
+        if view.heard_ms > queue.reported_ms:
+            queue.reported_ms = view.heard_ms
+            queue.ledger.reported(
                 view.report.slots_total, view.report.slots_used
             )
 
     def _digest_of(self, view: fleets.EngineView) -> slot_messages.EngineDigest:
         report = view.report
-        line = self._lines.get(view.endpoint.name)
-        if line is None:
+        queue = self._queues.get(view.endpoint.name)
+        if queue is None:
             used = report.slots_used if report is not None else 0
             free, wait_ms = view.endpoint.slots - used, 0.0
         else:
-            free, wait_ms = line.ledger.balance, line.ledger.wait_ms()
+            free, wait_ms = queue.ledger.balance, queue.ledger.wait_ms()
         return slot_messages.EngineDigest(
             view.endpoint.name,
             free,
@@ -285,16 +295,16 @@
         )
 
     def _link_ms(self, view: fleets.EngineView) -> float:
-        reads = self._reads.get(view.endpoint.name)
-        return reads.link_ms(self._clock.now_ms()) if reads else 0.0
+        prefills = self._prefill_ledgers.get(view.endpoint.name)
+        return prefills.link_ms(self._clock.now_ms()) if prefills else 0.0
 
     def _queued_tokens(self, view: fleets.EngineView) -> int:
         report = view.report
         reported = report.prefill_queued_tokens if report is not None else 0
-        reads = self._reads.get(view.endpoint.name)
-        if reads is None:
+        prefills = self._prefill_ledgers.get(view.endpoint.name)
+        if prefills is None:
             return reported
-        return reads.queued_tokens(reported, self._clock.now_ms())
+        return prefills.queued_tokens(reported, self._clock.now_ms())
 
     def _is_usable(self, view: fleets.EngineView) -> bool:
         service = self._fleet.service(view.endpoint.service)
@@ -303,68 +313,72 @@
 
     def _on_members(self) -> None:
         present = frozenset(m.instance for m in self._members.present())
-        for gone in sorted(self._present - present):
-            for line in self._lines.values():
-                line.ledger.forget_instance(gone)
-            for reads in self._reads.values():
-                reads.forget_instance(gone)
+        for departed in sorted(self._present - present):
+            for queue in self._queues.values():
+                queue.ledger.forget_instance(departed)
+            for prefills in self._prefill_ledgers.values():
+                prefills.forget_instance(departed)
         self._present = present
-        for name, line in list(self._lines.items()):
+        for name, queue in list(self._queues.items()):
             view = self._fleet.view(name)
             if view is None or not self.is_keeper(view):
-                self._close(name, line)
-        for name in list(self._reads):
+                self._close_queue(name, queue)
+        for name in list(self._prefill_ledgers):
             view = self._fleet.view(name)
             if view is None or not self.is_keeper(view):
-                del self._reads[name]
+                del self._prefill_ledgers[name]
 
-    def _close(self, name: str, line: _Line) -> None:
+    def _close_queue(self, name: str, queue: _Queue) -> None:
         """Ends all waits, so that requesters turn to the new coordinator."""
-        for holder in list(line.answers):
-            self._answer(line, holder, _Outcome.NOT_YET)
-        del self._lines[name]
+        for holder in list(queue.answers):
+            self._answer(queue, holder, _Outcome.NOT_YET)
+        del self._queues[name]
 
     @mode.Service.task
-    async def _serve_on(self) -> None:
+    async def _serve_queues(self) -> None:
         while not self.should_stop:
-            await self._until_somebody_waits()
-            await self._clock.sleep_ms(_SERVE_EVERY_MS)
-            for name, line in list(self._lines.items()):
+            await self._wait_for_requests()
+            await self._clock.sleep_ms(_SERVE_INTERVAL_MS)
+            for name, queue in list(self._queues.items()):
                 view = self._fleet.view(name)
                 if view is not None:
-                    self._read_report(line, view)
-                if line.answers:
-                    self._serve(line)
+                    self._apply_report(queue, view)
+                if queue.answers:
+                    self._serve(queue)
 
-    async def _until_somebody_waits(self) -> None:
+    async def _wait_for_requests(self) -> None:
         """Waits for a request, or at most a second to apply load reports."""
-        if any(line.answers for line in self._lines.values()):
+        if any(queue.answers for queue in self._queues.values()):
             return
-        self._somebody_waits.clear()
+        self._request_arrived.clear()
         try:
             async with self._clock.timeout_ms(_IDLE_MS):
-                await self._somebody_waits.wait()
+                await self._request_arrived.wait()
         except TimeoutError:
             return
 
     @mode.Service.task
-    async def _tell_on(self) -> None:
+    async def _broadcast_digests(self) -> None:
         while not self.should_stop:
-            others = sorted(self._present - {self._peers.instance})
-            kept = self._kept()
-            self._digest_turns = collections.deque(
-                v.endpoint.name for v in kept
+            other_instances = sorted(self._present - {self._peers.instance})
+            coordinated = self._coordinated_views()
+            self._digest_rotation = collections.deque(
+                v.endpoint.name for v in coordinated
+            )
+            digest = tuple(self._digest_of(view) for view in coordinated)
+            size_bytes = (
+                _DIGEST_BYTES * (1 + len(digest)) * max(1, len(other_instances))
             )
-            digest = tuple(self._digest_of(view) for view in kept)
-            size_bytes = _DIGEST_BYTES * (1 + len(digest)) * max(1, len(others))
             pause_ms = size_bytes / _DIGEST_BYTES_PER_S * clocks.MS_PER_S
-            await self._clock.sleep_ms(max(pause_ms, _DIGEST_AT_MOST_EVERY_MS))
+            await self._clock.sleep_ms(max(pause_ms, _MIN_DIGEST_INTERVAL_MS))
             if digest:
-                for other in others:
-                    self._peers.tell(other, slot_messages.LoadDigest(digest))
+                for other_instance in other_instances:
+                    self._peers.tell(
+                        other_instance, slot_messages.LoadDigest(digest)
+                    )
 
 
-def _wish(
+def _slot_request(
     peer: str, ask: slot_messages.SlotAsk, now_ms: float
 ) -> slot_ledger.Wish:
     return slot_ledger.Wish(
--- a/src/jujubewharf/routing/looked_around.py
+++ b/src/jujubewharf/routing/looked_around.py
@@ -7,7 +7,7 @@
 from jujubewharf.configuration import resources
 from jujubewharf.routing import fleet as fleets
 
-_LIMIT_MS = 1_500.0
+_MAX_WAIT_MS = 1_500.0
 
 
 class LookedAround:
@@ -32,22 +32,22 @@
         self._configuration = configuration
         self._fleet = fleet
         self._clock = clock
-        self._since_ms: float | None = None
+        self._started_ms: float | None = None
         self._is_set = False
 
     def is_set(self) -> bool:
         """Whether discovery has completed; once true, it stays true."""
         if not self._is_set:
-            self._is_set = self._has_looked()
+            self._is_set = self._check()
         return self._is_set
 
-    def _has_looked(self) -> bool:
+    def _check(self) -> bool:
         if not self._configuration.caught_up.is_set():
             return False
         now_ms = self._clock.now_ms()
-        if self._since_ms is None:
-            self._since_ms = now_ms
-        if now_ms - self._since_ms >= _LIMIT_MS:
+        if self._started_ms is None:
+            self._started_ms = now_ms
+        if now_ms - self._started_ms >= _MAX_WAIT_MS:
             return True
         state = self._configuration.current
         for entry in state.of_kind(resources.Kind.SERVICE):
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -21,9 +21,9 @@
 from jujubewharf.routing import reading
 from jujubewharf.routing import slot_ledger
 
-_LOOK_AGAIN_MS = 5.0
+_POLL_MS = 5.0
 _STEPS_TO_FIRST_TOKEN = 2.0
-_MARGIN = 0.85
+_USABLE_TIME_SHARE = 0.85
 
 
 class _Pool:
@@ -33,25 +33,27 @@
         self.hold_times = hold_times.HoldTimes(prior_ms)
         self.ledger = slot_ledger.SlotLedger(0, self.hold_times)
         self._granted: set[slot_ledger.Holder] = set()
-        self._hopeless: set[slot_ledger.Holder] = set()
+        self._rejected: set[slot_ledger.Holder] = set()
 
-    async def wait(self, wish: slot_ledger.Wish, clock: clocks.Clock) -> bool:
+    async def wait(
+        self, request: slot_ledger.Wish, clock: clocks.Clock
+    ) -> bool:
         """Waits for a slot; returns false if none can be granted in time."""
-        holder = wish.holder
-        self.ledger.wish(wish)
+        holder = request.holder
+        self.ledger.wish(request)
         while True:
             self._serve(clock.now_ms())
             if holder in self._granted:
                 self._granted.discard(holder)
                 return True
-            if holder in self._hopeless:
-                self._hopeless.discard(holder)
+            if holder in self._rejected:
+                self._rejected.discard(holder)
                 return False
-            await clock.sleep_ms(_LOOK_AGAIN_MS)
+            await clock.sleep_ms(_POLL_MS)
 
     def _serve(self, now_ms: float) -> None:
-        for wish in self.ledger.take_hopeless(now_ms):
-            self._hopeless.add(wish.holder)
+        for request in self.ledger.take_hopeless(now_ms):
+            self._rejected.add(request.holder)
         while (granted := self.ledger.grant_next(now_ms)) is not None:
             self._granted.add(granted.holder)
 
@@ -79,9 +81,9 @@
 
     def free_slots(self, name: str) -> int:
         """Returns the number of slots that are neither held nor claimed."""
-        load = self.load_now(name)
+        report = self.load_now(name)
         claimed = len(self.claimed.get(name, ()))
-        return load.slots_total - max(load.slots_used, claimed)
+        return report.slots_total - max(report.slots_used, claimed)
 
 
 class Oracle:
@@ -101,20 +103,20 @@
 
     def join(self, surroundings: policies.Surroundings) -> None:
         """Attaches to an instance; see ``policy.WaitingPolicy``."""
-        self._here = surroundings
+        self._context = surroundings
 
     async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
         """Waits for a slot that will be free when prefill completes."""
         views = self._usable(job)
-        prefills = fitting.exporters(views)
-        if not prefills or not fitting.importers(views):
-            return await self._wait_alone(job)
-        prefill = min(prefills, key=lambda v: self._read_ms(v, job))
-        read_ms = self._read_ms(prefill, job)
-        first_ms = read_ms + self._after_read_ms(job, prefill, views)
-        if not await self._wait(job, read_ms, first_ms):
+        prefill_views = fitting.exporters(views)
+        if not prefill_views or not fitting.importers(views):
+            return await self._wait_standalone(job)
+        prefill = min(prefill_views, key=lambda v: self._prefill_ms(v, job))
+        prefill_ms = self._prefill_ms(prefill, job)
+        first_ms = prefill_ms + self._after_prefill_ms(job, prefill, views)
+        if not await self._wait(job, prefill_ms, first_ms):
             return jobs.Refusal(errors.ErrorKind.DEADLINE_UNREACHABLE)
-        prefill = min(prefills, key=lambda v: self._read_ms(v, job))
+        prefill = min(prefill_views, key=lambda v: self._prefill_ms(v, job))
         self._reading.begin(job, prefill, self._clock.now_ms())
         return jobs.Choice(None, prefill.endpoint)
 
@@ -132,11 +134,11 @@
         for claimed in self._truth.claimed.values():
             claimed.discard(holder)
 
-    async def _wait_alone(self, job: jobs.Job) -> jobs.Decision:
+    async def _wait_standalone(self, job: jobs.Job) -> jobs.Decision:
         views = fitting.loners(self._usable(job))
         if not views:
             return jobs.Refusal(errors.ErrorKind.NO_FITTING_ENGINE)
-        first_ms = min(self._read_ms(view, job) for view in views)
+        first_ms = min(self._prefill_ms(view, job) for view in views)
         if not await self._wait(job, 0.0, first_ms):
             return jobs.Refusal(errors.ErrorKind.DEADLINE_UNREACHABLE)
         return await self._claim(job, fitting.loners)
@@ -144,7 +146,7 @@
     async def _wait(
         self,
         job: jobs.Job,
-        ready_ms: float,
+        ready_in_ms: float,
         first_ms: float,
         *,
         is_ready: bool = False,
@@ -154,61 +156,61 @@
         pool.ledger.slots = sum(
             self._truth.load_now(name).slots_total for name in names
         )
-        wish = slot_ledger.Wish(
+        request = slot_ledger.Wish(
             self._holder(job),
-            ready_in_ms=ready_ms,
+            ready_in_ms=ready_in_ms,
             latest_at_ms=self._latest_at_ms(job, first_ms),
             priority=job.priority,
             caution=0.0,
             is_ready=is_ready,
         )
-        return await pool.wait(wish, self._clock)
+        return await pool.wait(request, self._clock)
 
     def _latest_at_ms(self, job: jobs.Job, first_ms: float) -> float:
         now_ms = self._clock.now_ms()
-        left_ms = job.first_answer_by_ms - first_ms - now_ms
-        return now_ms + _MARGIN * left_ms
+        remaining_ms = job.first_answer_by_ms - first_ms - now_ms
+        return now_ms + _USABLE_TIME_SHARE * remaining_ms
 
     async def _claim(
         self,
         job: jobs.Job,
-        fit: Callable[[list[fleets.EngineView]], list[fleets.EngineView]],
+        select: Callable[[list[fleets.EngineView]], list[fleets.EngineView]],
     ) -> jobs.Decision:
         while True:
-            names = [view.endpoint.name for view in fit(self._usable(job))]
+            names = [view.endpoint.name for view in select(self._usable(job))]
             if not names:
                 return jobs.Refusal(errors.ErrorKind.NO_FITTING_ENGINE)
             name = max(names, key=self._truth.free_slots)
             if self._truth.free_slots(name) > 0:
                 break
-            await self._clock.sleep_ms(_LOOK_AGAIN_MS)
+            await self._clock.sleep_ms(_POLL_MS)
         self._truth.claimed.setdefault(name, set()).add(self._holder(job))
-        view = self._here.fleet.view(name)
+        view = self._context.fleet.view(name)
         assert view is not None
         return jobs.Choice(view.endpoint)
 
     def _usable(self, job: jobs.Job) -> list[fleets.EngineView]:
-        return fitting.usable(job, self._here.fleet)
+        return fitting.usable(job, self._context.fleet)
 
-    def _read_ms(self, view: fleets.EngineView, job: jobs.Job) -> float:
+    def _prefill_ms(self, view: fleets.EngineView, job: jobs.Job) -> float:
         name = view.endpoint.name
         queued = self._truth.load_now(name).prefill_queued_tokens
         tokens = queued + job.prompt_tokens
         return tokens * self._reading.ms_per_token(name)
 
-    def _after_read_ms(
+    def _after_prefill_ms(
         self,
         job: jobs.Job,
         prefill: fleets.EngineView,
         views: list[fleets.EngineView],
     ) -> float:
         decode = fitting.importers(views)[0]
-        kv_bytes = job.prompt_tokens * self._here.fleet.kv_bytes_per_token(
+        kv_bytes = job.prompt_tokens * self._context.fleet.kv_bytes_per_token(
             job.service.model
         )
-        moved_ms = reading.transfer_ms(prefill, decode, kv_bytes)
+        kv_transfer_ms = reading.transfer_ms(prefill, decode, kv_bytes)
         step_ms = self._truth.load_now(decode.endpoint.name).step_ms
-        return moved_ms + _STEPS_TO_FIRST_TOKEN * step_ms
+        return kv_transfer_ms + _STEPS_TO_FIRST_TOKEN * step_ms
 
     def _holder(self, job: jobs.Job) -> slot_ledger.Holder:
-        return slot_ledger.Holder(self._here.peers.instance, job.number)
+        return slot_ledger.Holder(self._context.peers.instance, job.number)
--- a/src/jujubewharf/routing/placer.py
+++ b/src/jujubewharf/routing/placer.py
@@ -64,16 +64,16 @@
         policy = self._policy
         try:
             if isinstance(policy, policies.WaitingPolicy):
-                choice = await self._wait(policy, job, is_prefilled)
+                choice = await self._await_policy(policy, job, is_prefilled)
             else:
-                choice = await self._ask_on(policy, job, is_prefilled)
-            with self._counted(job, choice):
+                choice = await self._poll_policy(policy, job, is_prefilled)
+            with self._track_load(job, choice):
                 yield choice
         finally:
             if isinstance(policy, policies.WaitingPolicy):
                 policy.ended(job, is_prefilled=is_prefilled)
 
-    async def _wait(
+    async def _await_policy(
         self, policy: policies.WaitingPolicy, job: jobs.Job, is_prefilled: bool
     ) -> jobs.Choice:
         if is_prefilled:
@@ -91,12 +91,12 @@
                     "a policy that waits must not return Later"
                 )
 
-    async def _ask_on(
+    async def _poll_policy(
         self, policy: policies.InstantPolicy, job: jobs.Job, is_prefilled: bool
     ) -> jobs.Choice:
-        ask = policy.place_decode if is_prefilled else policy.place
+        decide = policy.place_decode if is_prefilled else policy.place
         while True:
-            match ask(job, self._fleet):
+            match decide(job, self._fleet):
                 case jobs.Choice() as choice:
                     return choice
                 case jobs.Later(after_ms):
@@ -106,7 +106,7 @@
                     raise errors.WharfError(kind, retry_after_ms=retry_after_ms)
 
     @contextlib.contextmanager
-    def _counted(self, job: jobs.Job, choice: jobs.Choice) -> Iterator[None]:
+    def _track_load(self, job: jobs.Job, choice: jobs.Choice) -> Iterator[None]:
         decode = self._view(choice.decode)
         prefill = self._view(choice.prefill)
         if decode is not None:
--- a/src/jujubewharf/routing/prefix_hints.py
+++ b/src/jujubewharf/routing/prefix_hints.py
@@ -16,25 +16,25 @@
 
 _MAX_HINTS = 2_048
 _HALF_LIFE_MS = 20_000.0
-_WEIGHT_OF_NEW = 0.1
-_MAX_MISSING = 1
+_SMOOTHING = 0.1
+_MAX_MISSING_BLOCKS = 1
 
 
 class _Cache:
     """Presumed content of one engine's prefix cache."""
 
     def __init__(self) -> None:
-        self.noted_ms: collections.OrderedDict[int, float] = (
+        self.recorded_ms: collections.OrderedDict[int, float] = (
             collections.OrderedDict()
         )
         self.last_sequence = 0
         self.loss_ratio = 0.0
 
-    def note(self, prefix_hash: int, now_ms: float) -> None:
-        self.noted_ms[prefix_hash] = now_ms
-        self.noted_ms.move_to_end(prefix_hash)
-        while len(self.noted_ms) > _MAX_HINTS:
-            self.noted_ms.popitem(last=False)
+    def record(self, prefix_hash: int, now_ms: float) -> None:
+        self.recorded_ms[prefix_hash] = now_ms
+        self.recorded_ms.move_to_end(prefix_hash)
+        while len(self.recorded_ms) > _MAX_HINTS:
+            self.recorded_ms.popitem(last=False)
 
 
 class PrefixHints:
@@ -58,7 +58,7 @@
         cache = self._cache(engine)
         now_ms = self._clock.now_ms()
         for prefix_hash in prefix_hashes:
-            cache.note(prefix_hash, now_ms)
+            cache.record(prefix_hash, now_ms)
 
     def learn(self, engine: str, events: Sequence[client.CacheEvent]) -> None:
         """Applies cache events; each gap lowers the confidence in all hints.
@@ -71,13 +71,13 @@
         for event in events:
             missing = max(0, event.sequence - cache.last_sequence - 1)
             if cache.last_sequence:
-                lost = missing / (missing + 1)
-                cache.loss_ratio += _WEIGHT_OF_NEW * (lost - cache.loss_ratio)
+                loss = missing / (missing + 1)
+                cache.loss_ratio += _SMOOTHING * (loss - cache.loss_ratio)
             cache.last_sequence = max(cache.last_sequence, event.sequence)
             if event.is_stored:
-                cache.note(event.prefix_hash, now_ms)
+                cache.record(event.prefix_hash, now_ms)
             else:
-                cache.noted_ms.pop(event.prefix_hash, None)
+                cache.recorded_ms.pop(event.prefix_hash, None)
 
     def forget(self, engine: str) -> None:
         """Removes the hints of an engine, for example after its restart."""
@@ -89,18 +89,18 @@
         if cache is None:
             return 0.0
         blocks = missing = 0
-        noted_ms = 0.0
-        for place, prefix_hash in enumerate(prefix_hashes):
-            found_ms = cache.noted_ms.get(prefix_hash)
+        last_recorded_ms = 0.0
+        for index, prefix_hash in enumerate(prefix_hashes):
+            found_ms = cache.recorded_ms.get(prefix_hash)
             if found_ms is not None:
-                blocks, noted_ms = place + 1, found_ms
+                blocks, last_recorded_ms = index + 1, found_ms
             else:
                 missing += 1
-                if missing > _MAX_MISSING:
+                if missing > _MAX_MISSING_BLOCKS:
                     break
-        age_ms = self._clock.now_ms() - noted_ms
-        trust = (1.0 - cache.loss_ratio) * 0.5 ** (age_ms / _HALF_LIFE_MS)
-        return blocks * prefixes.BLOCK_TOKENS * trust
+        age_ms = self._clock.now_ms() - last_recorded_ms
+        confidence = (1.0 - cache.loss_ratio) * 0.5 ** (age_ms / _HALF_LIFE_MS)
+        return blocks * prefixes.BLOCK_TOKENS * confidence
 
     def _cache(self, engine: str) -> _Cache:
         return self._caches.setdefault(engine, _Cache())
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -26,20 +26,20 @@
 from jujubewharf.routing import reading
 from jujubewharf.routing import slots
 
-_MAX_ASKS = 3
-_MAX_HOPELESS = 3
-_ASK_AGAIN_MS = 5.0
-_MAX_READ_ASKS = 3
-_LATE_PAUSE_MS = 100.0
-_LOOK_AT_LINK_MS = 250.0
+_MAX_PARALLEL_REQUESTS = 3
+_MAX_REJECTIONS = 3
+_RETRY_MS = 5.0
+_MAX_PREFILL_ANNOUNCEMENTS = 3
+_MAX_LATE_LINK_WAIT_MS = 100.0
+_LINK_POLL_MS = 250.0
 _MAX_CANDIDATES = 32
-_WORTH_A_MOVE_MS = 30.0
-_ANSWER_IN_MS = 400.0
-_READY_WAIT_MS = 300.0
-_PROMISED_WAIT_MS = 40.0
-_MARGIN = 0.9
-_NEAR_BONUS_SLOTS = 1.0
-_SHORTEST_RETRY_MS = 200.0
+_MIN_MOVE_GAIN_MS = 30.0
+_ANSWER_TIMEOUT_MS = 400.0
+_READY_TIMEOUT_MS = 300.0
+_PROMISED_TIMEOUT_MS = 40.0
+_USABLE_TIME_SHARE = 0.9
+_SAME_DOMAIN_BONUS_SLOTS = 1.0
+_MIN_RETRY_AFTER_MS = 200.0
 
 
 class Product:
@@ -53,79 +53,84 @@
     def __init__(self, clock: clocks.Clock, rng: random.Random) -> None:
         self._clock = clock
         self._rng = rng
-        self._waiting: collections.Counter[str] = collections.Counter()
+        self._queued: collections.Counter[str] = collections.Counter()
         self._hold_times: dict[str, hold_times.HoldTimes] = {}
         self._reading = reading.Reading(clock)
         self._held_since_ms: dict[int, float] = {}
 
     def join(self, surroundings: policies.Surroundings) -> None:
         """Attaches to an instance; see ``policy.WaitingPolicy``."""
-        self._here = surroundings
+        self._context = surroundings
         self._slots = slots.Slots(surroundings, self._clock)
         self._reading = reading.Reading(self._clock)
-        self._waiting.clear()
+        self._queued.clear()
         self._held_since_ms.clear()
 
     async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
         """Waits for a slot promise, or rejects the request."""
         service = job.service.name
-        if self._waiting[service] >= job.service.max_queued:
+        if self._queued[service] >= job.service.max_queued:
             return self._refusal(errors.ErrorKind.QUEUE_FULL, job)
-        self._waiting[service] += 1
+        self._queued[service] += 1
         try:
-            return await self._seek_promise(job)
+            return await self._obtain_promise(job)
         finally:
-            self._waiting[service] -= 1
+            self._queued[service] -= 1
 
     async def wait_for_decode(self, job: jobs.Job) -> jobs.Decision:
         """Waits for a decode slot after prefill, without a time limit."""
-        read = self._reading.done(job.number)
-        if read is not None:
-            self._here.fleet.hints.sent(read.engine, job.prefix_hashes)
+        prefill = self._reading.done(job.number)
+        if prefill is not None:
+            self._context.fleet.hints.sent(prefill.engine, job.prefix_hashes)
         self._slots.end_read(job.number, is_read=True)
         promised = self._slots.granted_engine(job.number)
         while True:
             views = fitting.importers(self._candidates(job))
             if not views:
                 return jobs.Refusal(errors.ErrorKind.NO_FITTING_ENGINE)
-            ordered = self._by_room(views, first=promised)
+            preferred = self._by_free_slots(views, first=promised)
             if promised is not None:
-                ordered = ordered[:1]
-            found = await self._first_free(job, ordered[:_MAX_ASKS])
+                preferred = preferred[:1]
+            found = await self._first_granted(
+                job, preferred[:_MAX_PARALLEL_REQUESTS]
+            )
             if found is not None:
                 self._held_since_ms[job.number] = self._clock.now_ms()
                 self._slots.end(job.number, but=found.name)
                 return jobs.Choice(found)
             promised = None
-            await self._clock.sleep_ms(_ASK_AGAIN_MS)
+            await self._clock.sleep_ms(_RETRY_MS)
 
-    async def _first_free(
+    async def _first_granted(
         self, job: jobs.Job, views: list[fleets.EngineView]
     ) -> resources.Endpoint | None:
         """Requests slots from several engines and takes the first granted."""
-        for_ms = _PROMISED_WAIT_MS if len(views) == 1 else _READY_WAIT_MS
-        asks = {
+        timeout_ms = (
+            _PROMISED_TIMEOUT_MS if len(views) == 1 else _READY_TIMEOUT_MS
+        )
+        requests = {
             asyncio.ensure_future(
                 self._slots.ask(
-                    view, self._ask(job, view, 0.0, for_ms, is_ready=True)
+                    view,
+                    self._slot_ask(job, view, 0.0, timeout_ms, is_ready=True),
                 )
             ): view
             for view in views
         }
         try:
-            waiting = set(asks)
-            while waiting:
-                done, waiting = await asyncio.wait(
-                    waiting, return_when=asyncio.FIRST_COMPLETED
+            pending = set(requests)
+            while pending:
+                done, pending = await asyncio.wait(
+                    pending, return_when=asyncio.FIRST_COMPLETED
                 )
-                for ask, view in asks.items():
+                for ask, view in requests.items():
                     if ask in done and ask.result().is_granted:
                         return view.endpoint
             return None
         finally:
-            for ask in asks:
+            for ask in requests:
                 ask.cancel()
-            await asyncio.gather(*asks, return_exceptions=True)
+            await asyncio.gather(*requests, return_exceptions=True)
 
     def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
         """Releases the request's resources; see ``policy.WaitingPolicy``."""
@@ -137,16 +142,18 @@
             held_ms = self._clock.now_ms() - since_ms
             self._hold_times_of(job).add(held_ms)
 
-    async def _seek_promise(self, job: jobs.Job) -> jobs.Decision:
-        hopeless: set[str] = set()
+    async def _obtain_promise(self, job: jobs.Job) -> jobs.Decision:
+        rejected: set[str] = set()
         urgency: plans_lib.Urgency | None = None
         while True:
             plans = self._plans(job)
             if not plans:
                 return jobs.Refusal(errors.ErrorKind.NO_FITTING_ENGINE)
-            left = [p for p in plans if p.decode.endpoint.name not in hopeless]
-            plan = min(left, key=self._rank, default=None)
-            if plan is None or len(hopeless) >= _MAX_HOPELESS:
+            remaining = [
+                p for p in plans if p.decode.endpoint.name not in rejected
+            ]
+            plan = min(remaining, key=self._rank, default=None)
+            if plan is None or len(rejected) >= _MAX_REJECTIONS:
                 return self._refusal(errors.ErrorKind.DEADLINE_UNREACHABLE, job)
             if urgency is None:
                 urgency = plans_lib.urgency_of(
@@ -154,33 +161,33 @@
                 )
             if (
                 urgency is plans_lib.Urgency.LATE
-                and plan.pause_ms > _LATE_PAUSE_MS
+                and plan.pause_ms > _MAX_LATE_LINK_WAIT_MS
             ):
                 if self._clock.now_ms() + plan.first_ms > job.deadline_at_ms:
                     kind = errors.ErrorKind.DEADLINE_UNREACHABLE
                     return self._refusal(kind, job)
-                await self._clock.sleep_ms(_LOOK_AT_LINK_MS)
+                await self._clock.sleep_ms(_LINK_POLL_MS)
                 continue
-            answer = await self._ask_for_promise(job, plan, urgency)
+            answer = await self._request_promise(job, plan, urgency)
             if answer.is_granted:
                 return await self._start(job, plan, urgency)
             if answer.is_hopeless:
-                hopeless.add(plan.decode.endpoint.name)
+                rejected.add(plan.decode.endpoint.name)
             else:
-                await self._clock.sleep_ms(_ASK_AGAIN_MS)
+                await self._clock.sleep_ms(_RETRY_MS)
 
-    async def _ask_for_promise(
+    async def _request_promise(
         self, job: jobs.Job, plan: plans_lib.Plan, urgency: plans_lib.Urgency
     ) -> slot_messages.SlotAnswer:
         match urgency:
             case plans_lib.Urgency.IN_TIME:
-                by_ms = job.first_answer_by_ms
+                deadline_ms = job.first_answer_by_ms
             case _:
-                by_ms = job.deadline_at_ms
-        latest_ms = by_ms - self._clock.now_ms() - plan.first_ms
+                deadline_ms = job.deadline_at_ms
+        latest_ms = deadline_ms - self._clock.now_ms() - plan.first_ms
         if latest_ms < 0:
             return slot_messages.SlotAnswer(False, is_hopeless=True)
-        ask = self._ask(
+        ask = self._slot_ask(
             job, plan.decode, plan.ready_ms, latest_ms, urgency=urgency
         )
         return await self._slots.ask(plan.decode, ask)
@@ -198,44 +205,46 @@
             self._held_since_ms[job.number] = self._clock.now_ms()
             return jobs.Choice(plan.decode.endpoint)
         prefill = plan.prefill
-        for _ in range(_MAX_READ_ASKS):
+        for _ in range(_MAX_PREFILL_ANNOUNCEMENTS):
             best = self._best_prefill(job, self._candidates(job)) or prefill
-            if self._saved_ms(job, prefill, best) < _WORTH_A_MOVE_MS:
+            if self._gain_ms(job, prefill, best) < _MIN_MOVE_GAIN_MS:
                 best = prefill
-            is_told = self._slots.read_engine(job.number) == best.endpoint.name
+            is_announced = (
+                self._slots.read_engine(job.number) == best.endpoint.name
+            )
             prefill = best
-            if is_told:
+            if is_announced:
                 break
             await self._slots.ask_read(prefill, job.number, job.prompt_tokens)
-        kv_ms = self._kv_ms(prefill, job)
-        waited_ms = kv_ms - plan.ready_ms
-        first_at_ms = self._clock.now_ms() + plan.first_ms + waited_ms
+        kv_ready_ms = self._kv_ready_ms(prefill, job)
+        delay_ms = kv_ready_ms - plan.ready_ms
+        first_at_ms = self._clock.now_ms() + plan.first_ms + delay_ms
         is_late = first_at_ms > job.first_answer_by_ms
         if urgency is plans_lib.Urgency.IN_TIME and is_late:
             return self._refusal(errors.ErrorKind.DEADLINE_UNREACHABLE, job)
-        pause_ms = kv_ms - self._read_ms(prefill, job)
+        pause_ms = kv_ready_ms - self._prefill_ms(prefill, job)
         start_at_ms = self._clock.now_ms() + pause_ms
         self._reading.begin(job, prefill, start_at_ms)
         return jobs.Choice(None, prefill.endpoint, prefill_at_ms=start_at_ms)
 
-    def _saved_ms(
+    def _gain_ms(
         self,
         job: jobs.Job,
         current: fleets.EngineView,
         other: fleets.EngineView,
     ) -> float:
-        return self._kv_ms(current, job) - self._kv_ms(other, job)
+        return self._kv_ready_ms(current, job) - self._kv_ready_ms(other, job)
 
-    def _kv_ms(self, view: fleets.EngineView, job: jobs.Job) -> float:
+    def _kv_ready_ms(self, view: fleets.EngineView, job: jobs.Job) -> float:
         """Returns the expected time until the KV cache transfer can start."""
         link_ms = view.digest.link_ms if view.digest is not None else 0.0
         if view.digest_ms is not None:
             link_ms -= self._clock.now_ms() - view.digest_ms
-        return max(self._read_ms(view, job), link_ms)
+        return max(self._prefill_ms(view, job), link_ms)
 
-    def _read_ms(self, view: fleets.EngineView, job: jobs.Job) -> float:
+    def _prefill_ms(self, view: fleets.EngineView, job: jobs.Job) -> float:
         """Returns the expected prefill time, less the prefix cache saving."""
-        saved = self._here.fleet.hints.saved_tokens(
+        saved = self._context.fleet.hints.saved_tokens(
             view.endpoint.name, job.prefix_hashes
         )
         return self._reading.read_ms(view, job.prompt_tokens - saved)
@@ -245,38 +254,40 @@
         prefill = self._best_prefill(job, views)
         plans = []
         if prefill is not None:
-            kv_ms = self._kv_ms(prefill, job)
+            kv_ready_ms = self._kv_ready_ms(prefill, job)
             for decode in fitting.importers(views):
-                plans.append(self._pair(job, decode, prefill, kv_ms))
+                plans.append(self._pair_plan(job, decode, prefill, kv_ready_ms))
         for decode in fitting.loners(views):
             is_paired = prefill is not None
             if not is_paired or not decode.endpoint.capabilities.kv_import:
-                plans.append(self._alone(job, decode))
+                plans.append(self._standalone_plan(job, decode))
         return plans
 
-    def _pair(
+    def _pair_plan(
         self,
         job: jobs.Job,
         decode: fleets.EngineView,
         prefill: fleets.EngineView,
-        kv_ms: float,
+        kv_ready_ms: float,
     ) -> plans_lib.Plan:
-        kv_bytes = job.prompt_tokens * self._here.fleet.kv_bytes_per_token(
+        kv_bytes = job.prompt_tokens * self._context.fleet.kv_bytes_per_token(
             job.service.model
         )
-        moved_ms = reading.transfer_ms(prefill, decode, kv_bytes)
-        first_ms = kv_ms + moved_ms + plans_lib.first_steps_ms(decode)
+        kv_transfer_ms = reading.transfer_ms(prefill, decode, kv_bytes)
+        first_ms = (
+            kv_ready_ms + kv_transfer_ms + plans_lib.first_steps_ms(decode)
+        )
         wait_ms = self._wait_ms(job, decode)
-        pause_ms = kv_ms - self._read_ms(prefill, job)
+        pause_ms = kv_ready_ms - self._prefill_ms(prefill, job)
         return plans_lib.Plan(
-            decode, prefill, kv_ms, pause_ms, first_ms, wait_ms
+            decode, prefill, kv_ready_ms, pause_ms, first_ms, wait_ms
         )
 
-    def _alone(
+    def _standalone_plan(
         self, job: jobs.Job, decode: fleets.EngineView
     ) -> plans_lib.Plan:
-        read_ms = self._read_ms(decode, job)
-        first_ms = read_ms + plans_lib.first_steps_ms(decode)
+        prefill_ms = self._prefill_ms(decode, job)
+        first_ms = prefill_ms + plans_lib.first_steps_ms(decode)
         wait_ms = self._wait_ms(job, decode)
         return plans_lib.Plan(decode, None, 0.0, 0.0, first_ms, wait_ms)
 
@@ -287,30 +298,30 @@
         few random choices is nearly as good as the best of all (Mitzenmacher
         2001) and avoids that all instances choose the same engine.
         """
-        fleet, service = self._here.fleet, job.service.name
+        fleet, service = self._context.fleet, job.service.name
         views = fleet.views_of(service)
         if len(views) > _MAX_CANDIDATES:
-            near = fleet.views_near(service, self._here.domain)
-            drawn = self._draw(near) | self._draw(views)
-            found = fitting.among(job, list(drawn.values()))
+            same_domain = fleet.views_near(service, self._context.domain)
+            sampled = self._sample(same_domain) | self._sample(views)
+            found = fitting.among(job, list(sampled.values()))
             if fitting.decoders(found) and fitting.exporters(found):
                 return found
         return fitting.usable(job, fleet)
 
-    def _draw(
+    def _sample(
         self, views: list[fleets.EngineView]
     ) -> dict[str, fleets.EngineView]:
         if not views:
             return {}
-        drawn = self._rng.choices(views, k=_MAX_CANDIDATES // 2)
-        return {view.endpoint.name: view for view in drawn}
+        sampled = self._rng.choices(views, k=_MAX_CANDIDATES // 2)
+        return {view.endpoint.name: view for view in sampled}
 
     def _best_prefill(
         self, job: jobs.Job, views: list[fleets.EngineView]
     ) -> fleets.EngineView | None:
         return min(
             fitting.exporters(views),
-            key=lambda v: self._kv_ms(v, job),
+            key=lambda v: self._kv_ready_ms(v, job),
             default=None,
         )
 
@@ -328,28 +339,32 @@
         total_ms = plan.wait_ms + plan.first_ms
         if plan.wait_ms > 0:
             return (total_ms, 0.0, self._rng.random())
-        room = self._room(plan.decode)
-        return (plan.first_ms, -room, self._rng.random())
+        free_slots = self._free_slots(plan.decode)
+        return (plan.first_ms, -free_slots, self._rng.random())
 
-    def _room(self, view: fleets.EngineView) -> float:
+    def _free_slots(self, view: fleets.EngineView) -> float:
         if view.digest is not None:
-            room = float(view.digest.free - view.asked_since_digest)
+            free_slots = float(view.digest.free - view.asked_since_digest)
         elif view.report is not None:
-            room = float(view.slots - view.report.slots_used - view.own_slots)
+            free_slots = float(
+                view.slots - view.report.slots_used - view.own_slots
+            )
         else:
-            room = 0.0
-        is_near = view.endpoint.domain == self._here.domain
-        return room + (_NEAR_BONUS_SLOTS if is_near else 0.0)
+            free_slots = 0.0
+        is_same_domain = view.endpoint.domain == self._context.domain
+        return free_slots + (
+            _SAME_DOMAIN_BONUS_SLOTS if is_same_domain else 0.0
+        )
 
-    def _by_room(
+    def _by_free_slots(
         self, views: list[fleets.EngineView], *, first: str | None
     ) -> list[fleets.EngineView]:
         return sorted(
             views,
-            key=lambda v: (v.endpoint.name != first, -self._room(v)),
+            key=lambda v: (v.endpoint.name != first, -self._free_slots(v)),
         )
 
-    def _ask(
+    def _slot_ask(
         self,
         job: jobs.Job,
         view: fleets.EngineView,
@@ -359,13 +374,13 @@
         is_ready: bool = False,
         urgency: plans_lib.Urgency = plans_lib.Urgency.IN_TIME,
     ) -> slot_messages.SlotAsk:
-        latest_ms = max(1.0, latest_ms * _MARGIN)
+        latest_ms = max(1.0, latest_ms * _USABLE_TIME_SHARE)
         return slot_messages.SlotAsk(
             view.endpoint.name,
             job.number,
             ready_in_ms=round(ready_ms),
             latest_in_ms=round(latest_ms),
-            answer_in_ms=round(min(latest_ms, _ANSWER_IN_MS)),
+            answer_in_ms=round(min(latest_ms, _ANSWER_TIMEOUT_MS)),
             hold_ms=round(self._hold_times_of(job).mean_ms),
             priority=job.priority + urgency.value,
             caution=job.service.waste_weight,
@@ -375,14 +390,14 @@
     def _refusal(self, kind: errors.ErrorKind, job: jobs.Job) -> jobs.Refusal:
         """Rejects the request with the expected wait as retry-after."""
         views = fitting.decoders(self._candidates(job))
-        waits_ms = [self._wait_ms(job, view) for view in views]
-        wait_ms = min(waits_ms, default=0.0)
-        return jobs.Refusal(kind, max(_SHORTEST_RETRY_MS, wait_ms))
+        expected_waits_ms = [self._wait_ms(job, view) for view in views]
+        wait_ms = min(expected_waits_ms, default=0.0)
+        return jobs.Refusal(kind, max(_MIN_RETRY_AFTER_MS, wait_ms))
 
     def _hold_times_of(self, job: jobs.Job) -> hold_times.HoldTimes:
-        times = self._hold_times.get(job.service.name)
-        if times is None:
+        service_hold_times = self._hold_times.get(job.service.name)
+        if service_hold_times is None:
             prior_ms = job.service.completion_target_ms / 2
-            times = hold_times.HoldTimes(prior_ms)
-            self._hold_times[job.service.name] = times
-        return times
+            service_hold_times = hold_times.HoldTimes(prior_ms)
+            self._hold_times[job.service.name] = service_hold_times
+        return service_hold_times
--- a/src/jujubewharf/routing/read_ledger.py
+++ b/src/jujubewharf/routing/read_ledger.py
@@ -6,15 +6,15 @@
 
 from jujubewharf.routing import slot_ledger
 
-_FORGOTTEN_AFTER_MS = 30_000.0
-_REPORTS_COUNT_FOR_MS = 5_000.0
+_EXPIRY_MS = 30_000.0
+_REPORT_GRACE_MS = 5_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Read:
+class _Prefill:
     tokens: int
     transfer_ms: float
-    since_ms: float
+    sent_ms: float
 
 
 class ReadLedger:
@@ -35,7 +35,7 @@
     def __init__(self, kept_since_ms: float) -> None:
         self._kept_since_ms = kept_since_ms
         self._link_free_ms = kept_since_ms
-        self._reads: dict[slot_ledger.Holder, _Read] = {}
+        self._prefills: dict[slot_ledger.Holder, _Prefill] = {}
 
     def begin(
         self,
@@ -45,26 +45,28 @@
         now_ms: float,
     ) -> None:
         """Records a prompt being sent and its expected transfer time."""
-        self._reads[holder] = _Read(tokens, transfer_ms, now_ms)
+        self._prefills[holder] = _Prefill(tokens, transfer_ms, now_ms)
 
     def end(
         self, holder: slot_ledger.Holder, now_ms: float, *, is_read: bool
     ) -> None:
         """Removes a prompt; if its prefill completed, the transfer starts."""
-        read = self._reads.pop(holder, None)
-        if read is not None and is_read:
+        prefill = self._prefills.pop(holder, None)
+        if prefill is not None and is_read:
             start_ms = max(now_ms, self._link_free_ms)
-            self._link_free_ms = start_ms + read.transfer_ms
+            self._link_free_ms = start_ms + prefill.transfer_ms
 
     def link_ms(self, now_ms: float) -> float:
         """Returns the time the link needs for all outstanding transfers."""
-        coming_ms = sum(read.transfer_ms for read in self._reads.values())
-        return max(0.0, self._link_free_ms - now_ms) + coming_ms
+        pending_ms = sum(
+            prefill.transfer_ms for prefill in self._prefills.values()
+        )
+        return max(0.0, self._link_free_ms - now_ms) + pending_ms
 
     def forget_instance(self, instance: str) -> None:
         """Removes the prompts of an instance that has left."""
-        for holder in [h for h in self._reads if h.instance == instance]:
-            del self._reads[holder]
+        for holder in [h for h in self._prefills if h.instance == instance]:
+            del self._prefills[holder]
 
     def queued_tokens(self, reported_tokens: int, now_ms: float) -> int:
         """Returns the outstanding tokens.
@@ -72,11 +74,11 @@
         The engine's report counts only for a while after this instance became
         the coordinator.
         """
-        oldest_ms = now_ms - _FORGOTTEN_AFTER_MS
-        for holder, read in list(self._reads.items()):
-            if read.since_ms < oldest_ms:
-                del self._reads[holder]
-        told = sum(read.tokens for read in self._reads.values())
-        if now_ms - self._kept_since_ms < _REPORTS_COUNT_FOR_MS:
-            return max(told, reported_tokens)
-        return told
+        expired_ms = now_ms - _EXPIRY_MS
+        for holder, prefill in list(self._prefills.items()):
+            if prefill.sent_ms < expired_ms:
+                del self._prefills[holder]
+        outstanding = sum(prefill.tokens for prefill in self._prefills.values())
+        if now_ms - self._kept_since_ms < _REPORT_GRACE_MS:
+            return max(outstanding, reported_tokens)
+        return outstanding
--- a/src/jujubewharf/routing/reading.py
+++ b/src/jujubewharf/routing/reading.py
@@ -9,7 +9,7 @@
 from jujubewharf.routing import jobs
 
 _PRIOR_MS_PER_TOKEN = 0.1
-_WEIGHT_OF_NEW = 0.15
+_SMOOTHING = 0.15
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
         self._clock = clock
         self._ms_per_token: dict[str, float] = {}
         self._mean_ms_per_token = _PRIOR_MS_PER_TOKEN
-        self._reads: dict[int, Read] = {}
+        self._prefills: dict[int, Read] = {}
 
     def ms_per_token(self, engine: str) -> float:
         """Returns the prefill time per token; the mean for a new engine."""
@@ -52,15 +52,15 @@
         Reports lag. Own prompts sent since the report are added to it; the
         result is at least the sum of all own prompts.
         """
-        reported, heard_ms = _last_word(view)
-        own_all = own_unseen = 0
-        for read in self._reads.values():
-            if read.engine != view.endpoint.name:
+        reported, heard_ms = _latest_queue(view)
+        own_total = own_unseen = 0
+        for prefill in self._prefills.values():
+            if prefill.engine != view.endpoint.name:
                 continue
-            own_all += read.tokens
-            if read.began_ms >= heard_ms:
-                own_unseen += read.tokens
-        return max(float(own_all), reported + own_unseen)
+            own_total += prefill.tokens
+            if prefill.began_ms >= heard_ms:
+                own_unseen += prefill.tokens
+        return max(float(own_total), reported + own_unseen)
 
     def wait_ms(self, view: fleets.EngineView) -> float:
         """Returns the expected queueing time of a new prompt."""
@@ -76,7 +76,7 @@
         self, job: jobs.Job, view: fleets.EngineView, at_ms: float
     ) -> None:
         """Records a prompt that is sent now or at a later clock reading."""
-        self._reads[job.number] = Read(
+        self._prefills[job.number] = Read(
             view.endpoint.name,
             job.prompt_tokens,
             at_ms,
@@ -85,25 +85,25 @@
 
     def done(self, number: int) -> Read | None:
         """Records a completed prefill and updates the estimates."""
-        read = self._reads.pop(number, None)
-        if read is None:
+        prefill = self._prefills.pop(number, None)
+        if prefill is None:
             return None
-        work = read.tokens + read.ahead_tokens
-        took_ms = self._clock.now_ms() - read.began_ms
-        sample = took_ms / max(1.0, work)
-        known = self.ms_per_token(read.engine)
-        learned = known + _WEIGHT_OF_NEW * (sample - known)
-        self._ms_per_token[read.engine] = learned
+        total_tokens = prefill.tokens + prefill.ahead_tokens
+        elapsed_ms = self._clock.now_ms() - prefill.began_ms
+        sample = elapsed_ms / max(1.0, total_tokens)
+        previous = self.ms_per_token(prefill.engine)
+        updated = previous + _SMOOTHING * (sample - previous)
+        self._ms_per_token[prefill.engine] = updated
         mean = self._mean_ms_per_token
-        self._mean_ms_per_token = mean + _WEIGHT_OF_NEW * (sample - mean)
-        return read
+        self._mean_ms_per_token = mean + _SMOOTHING * (sample - mean)
+        return prefill
 
     def dropped(self, number: int) -> None:
         """Removes a prompt whose prefill failed or was cancelled."""
-        self._reads.pop(number, None)
+        self._prefills.pop(number, None)
 
 
-def _last_word(view: fleets.EngineView) -> tuple[int, float]:
+def _latest_queue(view: fleets.EngineView) -> tuple[int, float]:
     """Returns the latest queued tokens and the clock reading of their arrival.
 
     The coordinator's digest takes precedence over the engine's report.
--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -15,7 +15,7 @@
 from jujubewharf.routing import hold_times
 
 PROMISE_LASTS_MS = 5_000
-_FOREIGN_WINDOW = 12
+_REPORT_WINDOW = 12
 _CAUTION_DEVIATIONS = 1.0
 
 
@@ -60,7 +60,7 @@
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Promise:
     needed_at_ms: float
-    lapses_at_ms: float
+    expires_at_ms: float
 
 
 class SlotLedger:
@@ -76,15 +76,15 @@
         self._hold_times = hold_times
         self._held: dict[Holder, float] = {}
         self._promised: dict[Holder, _Promise] = {}
-        self._line: dict[Holder, Wish] = {}
-        self._unexplained: collections.deque[int] = collections.deque(
-            maxlen=_FOREIGN_WINDOW
+        self._queue: dict[Holder, Wish] = {}
+        self._foreign_samples: collections.deque[int] = collections.deque(
+            maxlen=_REPORT_WINDOW
         )
 
     def __repr__(self) -> str:
         return (
             f"SlotLedger({len(self._held)}+{self.foreign} of {self.slots} "
-            f"held, {len(self._promised)} promised, {len(self._line)} wait)"
+            f"held, {len(self._promised)} promised, {len(self._queue)} wait)"
         )
 
     @property
@@ -95,7 +95,7 @@
         ledger. A single difference may result from the lag of the report, but
         not one that appears in all recent reports.
         """
-        return min(self._unexplained, default=0)
+        return min(self._foreign_samples, default=0)
 
     @property
     def free(self) -> int:
@@ -103,35 +103,35 @@
         return self.slots - len(self._held) - self.foreign
 
     @property
-    def _spare(self) -> int:
+    def _available(self) -> int:
         return self.free - len(self._promised)
 
     @property
     def balance(self) -> int:
         """Free slots minus promises and queued requests; may be negative."""
-        return self._spare - len(self._line)
+        return self._available - len(self._queue)
 
     @property
     def line(self) -> list[Wish]:
         """Queued requests, next to be granted first."""
-        return sorted(self._line.values(), key=lambda wish: wish.rank)
+        return sorted(self._queue.values(), key=lambda request: request.rank)
 
     def reported(self, slots_total: int, slots_used: int) -> None:
         """Applies a load report of the engine, which may be outdated."""
         if slots_total > 0:
             self.slots = slots_total
-        self._unexplained.append(max(0, slots_used - len(self._held)))
+        self._foreign_samples.append(max(0, slots_used - len(self._held)))
 
-    def wish(self, wish: Wish) -> None:
+    def wish(self, request: Wish) -> None:
         """Queues a request. If it is ready, its promise is dropped."""
-        if wish.is_ready:
-            self._promised.pop(wish.holder, None)
-        self._line[wish.holder] = wish
+        if request.is_ready:
+            self._promised.pop(request.holder, None)
+        self._queue[request.holder] = request
 
     def hold(self, holder: Holder, since_ms: float) -> None:
         """Records a slot that is already held."""
-        if holder not in self._held and self._unexplained:
-            self._explain_one()
+        if holder not in self._held and self._foreign_samples:
+            self._attribute_one()
         self._held[holder] = since_ms
 
     def end(
@@ -145,13 +145,13 @@
             was_held: Whether the request says that it held a slot; counts for
                 slots granted by an earlier coordinator.
         """
-        self._line.pop(holder, None)
+        self._queue.pop(holder, None)
         self._promised.pop(holder, None)
         since_ms = self._held.pop(holder, None)
         if since_ms is not None:
             self._hold_times.add(now_ms - since_ms)
         elif was_held and self.foreign:
-            self._explain_one()
+            self._attribute_one()
 
     def forget_instance(self, instance: str) -> None:
         """Removes the entries of an instance that has left.
@@ -159,88 +159,90 @@
         Slots that it held stay in use at the engine until the sweep frees them.
         Until then they count as foreign by the engine's reports.
         """
-        for book in (self._line, self._promised, self._held):
-            for holder in [h for h in book if h.instance == instance]:
-                del book[holder]
+        for entries in (self._queue, self._promised, self._held):
+            for holder in [h for h in entries if h.instance == instance]:
+                del entries[holder]
 
     def grant_next(self, now_ms: float) -> Wish | None:
         """Grants the first queued request that can be granted now."""
-        self._lapse(now_ms)
-        for wish in self.line:
-            if wish.is_ready:
+        self._expire_promises(now_ms)
+        for request in self.line:
+            if request.is_ready:
                 if self.free <= 0:
                     continue
-                self._held[wish.holder] = now_ms
-            elif wish.ready_in_ms <= 0 and self._spare >= 1:
-                self._held[wish.holder] = now_ms
-            elif self._can_promise(wish, now_ms):
-                needed_at_ms = now_ms + wish.ready_in_ms
-                self._promised[wish.holder] = _Promise(
+                self._held[request.holder] = now_ms
+            elif request.ready_in_ms <= 0 and self._available >= 1:
+                self._held[request.holder] = now_ms
+            elif self._can_promise(request, now_ms):
+                needed_at_ms = now_ms + request.ready_in_ms
+                self._promised[request.holder] = _Promise(
                     needed_at_ms, needed_at_ms + PROMISE_LASTS_MS
                 )
             else:
                 return None
-            del self._line[wish.holder]
-            return wish
+            del self._queue[request.holder]
+            return request
         return None
 
     def take_hopeless(self, now_ms: float) -> list[Wish]:
         """Removes and returns the requests that cannot be granted in time."""
-        hopeless = []
-        place = 0
-        for wish in self.line:
-            wait_ms = 0.0 if wish.is_ready else self.wait_ms(place)
-            if now_ms + wait_ms > wish.latest_at_ms:
-                del self._line[wish.holder]
-                hopeless.append(wish)
+        rejected = []
+        position = 0
+        for request in self.line:
+            wait_ms = 0.0 if request.is_ready else self.wait_ms(position)
+            if now_ms + wait_ms > request.latest_at_ms:
+                del self._queue[request.holder]
+                rejected.append(request)
             else:
-                place += 1
-        return hopeless
+                position += 1
+        return rejected
 
-    def wait_ms(self, place: int | None = None) -> float:
+    def wait_ms(self, position: int | None = None) -> float:
         """Returns the expected wait at a position of the queue.
 
         Args:
-            place: Position from 0; ``None`` for a new request at the end.
+            position: Position from 0; ``None`` for a new request at the end.
         """
-        if place is None:
-            place = len(self._line)
-        needed = place + 1 + len(self._promised) - self.free
+        if position is None:
+            position = len(self._queue)
+        needed = position + 1 + len(self._promised) - self.free
         if needed <= 0:
             return 0.0
         users = len(self._held) + self.foreign + len(self._promised)
         users = max(1, min(users, self.slots))
         return needed * self._hold_times.mean_ms / users
 
-    def _can_promise(self, wish: Wish, now_ms: float) -> bool:
-        if self._spare >= 1:
+    def _can_promise(self, request: Wish, now_ms: float) -> bool:
+        if self._available >= 1:
             return True
-        ends, variance = self._ends_within(wish.ready_in_ms, now_ms)
-        doubt = _CAUTION_DEVIATIONS * wish.caution * math.sqrt(variance)
-        return self._spare + ends - doubt >= 1.0
+        expected_ends, variance = self._expected_ends(
+            request.ready_in_ms, now_ms
+        )
+        safety = _CAUTION_DEVIATIONS * request.caution * math.sqrt(variance)
+        return self._available + expected_ends - safety >= 1.0
 
-    def _ends_within(
+    def _expected_ends(
         self, within_ms: float, now_ms: float
     ) -> tuple[float, float]:
         """Returns mean and variance of the number of holders ending in time."""
         mean = variance = 0.0
         for since_ms in self._held.values():
-            chance = self._hold_times.chance_of_end(
+            probability = self._hold_times.chance_of_end(
                 now_ms - since_ms, within_ms
             )
-            mean += chance
-            variance += chance * (1.0 - chance)
-        chance = min(1.0, within_ms / self._hold_times.mean_ms)
-        mean += self.foreign * chance
-        variance += self.foreign * chance * (1.0 - chance)
+            mean += probability
+            variance += probability * (1.0 - probability)
+        probability = min(1.0, within_ms / self._hold_times.mean_ms)
+        mean += self.foreign * probability
+        variance += self.foreign * probability * (1.0 - probability)
         return mean, variance
 
-    def _lapse(self, now_ms: float) -> None:
+    def _expire_promises(self, now_ms: float) -> None:
         """Removes expired promises, for example those of a crashed instance."""
         for holder, promise in list(self._promised.items()):
-            if promise.lapses_at_ms < now_ms:
+            if promise.expires_at_ms < now_ms:
                 del self._promised[holder]
 
-    def _explain_one(self) -> None:
-        lower = [max(0, count - 1) for count in self._unexplained]
-        self._unexplained.extend(lower)
+    def _attribute_one(self) -> None:
+        reduced = [max(0, count - 1) for count in self._foreign_samples]
+        self._foreign_samples.extend(reduced)
--- a/src/jujubewharf/routing/slots.py
+++ b/src/jujubewharf/routing/slots.py
@@ -13,15 +13,15 @@
 from jujubewharf.routing import policy as policies
 
 _ANSWER_MARGIN_MS = 250.0
-_SILENT_FOR_MS = 3_000.0
-_READ_ANSWER_MS = 100.0
+_UNRESPONSIVE_MS = 3_000.0
+_PREFILL_ANSWER_TIMEOUT_MS = 100.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Grant:
     """A request's state at one engine: queued, promised or holding a slot."""
 
-    keeper: str
+    coordinator: str
     since_ms: float
     is_ready: bool
     is_granted: bool = False
@@ -47,10 +47,10 @@
         self._members = surroundings.members
         self._clock = clock
         self._grants: dict[int, dict[str, _Grant]] = {}
-        self._reads: dict[int, tuple[str, str]] = {}
-        self._silent_until_ms: dict[str, float] = {}
-        self._keepers: dict[str, str | None] = {}
-        self._all_keepers = keepers.Keepers(surroundings.members)
+        self._prefills: dict[int, tuple[str, str]] = {}
+        self._unresponsive_until_ms: dict[str, float] = {}
+        self._known_coordinators: dict[str, str | None] = {}
+        self._coordinators = keepers.Keepers(surroundings.members)
         self._peers.handle(slot_messages.LoadDigest, self._on_digest)
         self._members.listen(self._on_members)
 
@@ -70,25 +70,25 @@
         the engine's reports. The engine still refuses a request for which it
         has no slot.
         """
-        keeper = self._keeper_of(view)
+        coordinator = self._coordinator_of(view)
         view.asked_since_digest += 1
-        grant = _Grant(keeper, self._clock.now_ms(), ask.is_ready)
+        grant = _Grant(coordinator, self._clock.now_ms(), ask.is_ready)
         grants = self._grants.setdefault(ask.number, {})
         grants[ask.engine] = grant
-        answer = await self._ask(keeper, ask)
-        if answer is None and keeper != self._peers.instance:
-            self._silent_until_ms[keeper] = (
-                self._clock.now_ms() + _SILENT_FOR_MS
+        answer = await self._send_ask(coordinator, ask)
+        if answer is None and coordinator != self._peers.instance:
+            self._unresponsive_until_ms[coordinator] = (
+                self._clock.now_ms() + _UNRESPONSIVE_MS
             )
             counters.fell_back()
-            grant.keeper = self._peers.instance
-            answer = await self._ask(grant.keeper, ask)
+            grant.coordinator = self._peers.instance
+            answer = await self._send_ask(grant.coordinator, ask)
         if answer is None:
             answer = slot_messages.SlotAnswer(False)
         counters.asked(
             is_granted=answer.is_granted, is_hopeless=answer.is_hopeless
         )
-        self._take_digest(answer.digest)
+        self._apply_digests(answer.digest)
         grant.since_ms = self._clock.now_ms()
         grant.is_granted = answer.is_granted
         if not answer.is_granted and grants.get(ask.engine) is grant:
@@ -100,30 +100,30 @@
     ) -> None:
         """Announces a prompt to the coordinator and updates the digest."""
         self.end_read(number)
-        keeper = self._keeper_of(view)
-        self._reads[number] = (view.endpoint.name, keeper)
+        coordinator = self._coordinator_of(view)
+        self._prefills[number] = (view.endpoint.name, coordinator)
         ask = slot_messages.ReadAsk(view.endpoint.name, number, tokens)
         try:
             digest = await self._peers.ask(
-                keeper, ask, timeout_ms=_READ_ANSWER_MS
+                coordinator, ask, timeout_ms=_PREFILL_ANSWER_TIMEOUT_MS
             )
         except network.PeerError:
             return
         if isinstance(digest, slot_messages.LoadDigest):
-            self._take_digest(digest.digest)
+            self._apply_digests(digest.digest)
 
     def read_engine(self, number: int) -> str | None:
         """Returns the engine to whose coordinator a prompt was announced."""
-        read = self._reads.get(number)
-        return read[0] if read is not None else None
+        prefill = self._prefills.get(number)
+        return prefill[0] if prefill is not None else None
 
     def end_read(self, number: int, *, is_read: bool = False) -> None:
         """Reports that prefill completed, or that it will not run."""
-        read = self._reads.pop(number, None)
-        if read is not None:
-            engine, keeper = read
+        prefill = self._prefills.pop(number, None)
+        if prefill is not None:
+            engine, coordinator = prefill
             end = slot_messages.ReadEnd(engine, number, is_read)
-            self._peers.tell(keeper, end)
+            self._peers.tell(coordinator, end)
 
     def end(self, number: int, *, but: str | None = None) -> None:
         """Releases a request's slots, promises and queue entries.
@@ -138,61 +138,66 @@
                 self._grants[number] = {engine: grant}
                 continue
             end = slot_messages.SlotEnd(engine, number, grant.is_held)
-            self._peers.tell(grant.keeper, end)
+            self._peers.tell(grant.coordinator, end)
 
-    def _keeper_of(self, view: fleets.EngineView) -> str:
-        keeper = self._all_keepers.of(view.endpoint)
-        if keeper is None:
+    def _coordinator_of(self, view: fleets.EngineView) -> str:
+        coordinator = self._coordinators.of(view.endpoint)
+        if coordinator is None:
             return self._peers.instance
-        if self._silent_until_ms.get(keeper, 0.0) > self._clock.now_ms():
+        if (
+            self._unresponsive_until_ms.get(coordinator, 0.0)
+            > self._clock.now_ms()
+        ):
             return self._peers.instance
-        return keeper
+        return coordinator
 
-    async def _ask(
-        self, keeper: str, ask: slot_messages.SlotAsk
+    async def _send_ask(
+        self, coordinator: str, ask: slot_messages.SlotAsk
     ) -> slot_messages.SlotAnswer | None:
         timeout_ms = ask.answer_in_ms + _ANSWER_MARGIN_MS
         try:
-            answer = await self._peers.ask(keeper, ask, timeout_ms=timeout_ms)
+            answer = await self._peers.ask(
+                coordinator, ask, timeout_ms=timeout_ms
+            )
         except network.PeerError:
             return None
         if isinstance(answer, slot_messages.SlotAnswer):
             return answer
         return None
 
-    def _take_digest(
+    def _apply_digests(
         self, digest: tuple[slot_messages.EngineDigest, ...]
     ) -> None:
         now_ms = self._clock.now_ms()
-        for one in digest:
-            view = self._fleet.view(one.engine)
+        for engine_digest in digest:
+            view = self._fleet.view(engine_digest.engine)
             if view is not None:
-                view.take_digest(one, now_ms)
+                view.take_digest(engine_digest, now_ms)
 
     async def _on_digest(
         self, peer: str, digest: slot_messages.LoadDigest
     ) -> None:
-        self._take_digest(digest.digest)
+        self._apply_digests(digest.digest)
 
     def _on_members(self) -> None:
         """Reports held slots to the new coordinators of their engines."""
         for view in self._fleet.all_views():
             name = view.endpoint.name
-            keeper = self._all_keepers.of(view.endpoint)
-            if keeper == self._keepers.get(name):
+            coordinator = self._coordinators.of(view.endpoint)
+            if coordinator == self._known_coordinators.get(name):
                 continue
-            self._keepers[name] = keeper
-            if keeper is not None:
-                self._tell_held(name, keeper)
+            self._known_coordinators[name] = coordinator
+            if coordinator is not None:
+                self._report_held(name, coordinator)
 
-    def _tell_held(self, engine: str, keeper: str) -> None:
+    def _report_held(self, engine: str, coordinator: str) -> None:
         now_ms = self._clock.now_ms()
         held = []
         for number, grants in sorted(self._grants.items()):
             grant = grants.get(engine)
             if grant is not None and grant.is_held:
-                grant.keeper = keeper
+                grant.coordinator = coordinator
                 held.append((number, round(now_ms - grant.since_ms)))
         if held:
             message = slot_messages.SlotsHeld(engine, tuple(held))
-            self._peers.tell(keeper, message)
+            self._peers.tell(coordinator, message)
--- a/tests/engines/test_liveness.py
+++ b/tests/engines/test_liveness.py
@@ -32,6 +32,6 @@
     async def silent(host, port):
         await asyncio.sleep(1e9)
 
-    with mock.patch.object(liveness, "_CONNECT_MS", 10.0):
+    with mock.patch.object(liveness, "_CONNECT_TIMEOUT_MS", 10.0):
         with mock.patch.object(asyncio, "open_connection", silent):
             assert not await liveness.is_refused("10.0.0.1:1", clocks.Clock())
--- a/tests/orders/test_lease_model.py
+++ b/tests/orders/test_lease_model.py
@@ -188,6 +188,8 @@
     holder_margin_ms = 0.0
 
 
+# Hypothesis derives the seed from the source of the state machine's class,
+# docstrings included.
 BOUNDS = hypothesis.settings(
     max_examples=200,
     stateful_step_count=30,
--- a/tests/routing/test_breaker.py
+++ b/tests/routing/test_breaker.py
@@ -7,47 +7,47 @@
 from jujubewharf.experiments import virtual_time
 from jujubewharf.routing import breaker as breakers
 
-_GONE = client.EngineFault.UNREACHABLE
+_UNREACHABLE = client.EngineFault.UNREACHABLE
 _LOST = client.EngineFault.LOST
 
 
 def test_open_period_doubles_and_success_closes():
-    async def story():
+    async def scenario():
         clock = clocks.Clock()
         breaker = breakers.Breaker(clock)
         open_for_ms = []
         for _ in range(3):
-            breaker.failed(_GONE)
-            began_ms = clock.now_ms()
+            breaker.failed(_UNREACHABLE)
+            start_ms = clock.now_ms()
             while breaker.is_open:
                 await clock.sleep_ms(100)
-            open_for_ms.append(clock.now_ms() - began_ms)
-        breaker.failed(_GONE)
+            open_for_ms.append(clock.now_ms() - start_ms)
+        breaker.failed(_UNREACHABLE)
         breaker.answered()
         return open_for_ms, breaker.is_open
 
-    open_for_ms, is_open = virtual_time.run(story())
+    open_for_ms, is_open = virtual_time.run(scenario())
     assert open_for_ms == [500, 1_000, 2_000]
     assert not is_open
 
 
 def test_several_lost_answers_mark_engine_degraded():
-    async def story():
+    async def scenario():
         breaker = breakers.Breaker(clocks.Clock())
-        doubtful = []
+        degraded = []
         for _ in range(3):
             breaker.failed(_LOST)
-            doubtful.append(breaker.is_doubtful)
-        return doubtful, breaker.is_open
+            degraded.append(breaker.is_doubtful)
+        return degraded, breaker.is_open
 
-    assert virtual_time.run(story()) == ([False, False, True], False)
+    assert virtual_time.run(scenario()) == ([False, False, True], False)
 
 
 def test_refusal_is_not_a_failure():
-    async def story():
+    async def scenario():
         breaker = breakers.Breaker(clocks.Clock())
         for _ in range(5):
             breaker.failed(client.EngineFault.REFUSED_FULL)
         return breaker.is_open or breaker.is_doubtful
 
-    assert not virtual_time.run(story())
+    assert not virtual_time.run(scenario())
--- a/tests/routing/test_looked_around.py
+++ b/tests/routing/test_looked_around.py
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("is_dead", [False, True])
 def test_ready_when_engine_accepts_work_or_after_timeout(is_dead):
-    async def story() -> None:
+    async def scenario() -> None:
         bench = benches.Bench()
         endpoint = resources.Endpoint(
             "e1", SERVICE.name, "127.0.0.1:e1", "a", resources.Role.BOTH
@@ -31,19 +31,19 @@
             await engine.die()
         await bench.declare(SERVICE, endpoint)
         core = (await bench.start_instance("entry-1", "a")).core
-        looked = looked_around.LookedAround(
+        discovery = looked_around.LookedAround(
             core.configuration, core.fleet, bench.clock
         )
         await core.configuration.caught_up.wait()
         was_usable = _is_usable(core)
-        assert looked.is_set() == was_usable
+        assert discovery.is_set() == was_usable
         await bench.clock.sleep_ms(1_000)
-        assert looked.is_set() == (not is_dead)
+        assert discovery.is_set() == (not is_dead)
         await bench.clock.sleep_ms(1_000)
-        assert looked.is_set()
+        assert discovery.is_set()
         await bench.stop()
 
-    virtual_time.run(story())
+    virtual_time.run(scenario())
 
 
 def _is_usable(core) -> bool:
--- a/tests/users_platform/engine_calls.py
+++ b/tests/users_platform/engine_calls.py
@@ -49,7 +49,7 @@
 @contextlib.asynccontextmanager
 async def connected():
     """The adapter, on sessions that end with the block."""
-    with mock.patch.object(sessions, "_CONNECT_S", _CONNECT_S):
+    with mock.patch.object(sessions, "_CONNECT_TIMEOUT_S", _CONNECT_S):
         kept = sessions.new_session(is_kept=True)
         session = sessions.new_session()
     async with session, kept:
