--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class EngineView:
+class EngineState:
     """State of one engine as this instance knows it.
 
     Attributes:
@@ -114,13 +114,13 @@
         self._restraints = restraints
         self._clock = clock
         self._rng = rng
-        self._states: dict[str, EngineView] = {}
+        self._states: dict[str, EngineState] = {}
 
-    def view(self, name: str) -> EngineView:
+    def view(self, name: str) -> EngineState:
         """Returns the state of an engine; a new one is assumed healthy."""
         state = self._states.get(name)
         if state is None:
-            state = EngineView(breakers.Breaker(self._clock))
+            state = EngineState(breakers.Breaker(self._clock))
             self._states[name] = state
         return state
 
@@ -373,7 +373,7 @@
             self._rng.random(),
         )
 
-    def _expected_wait_ms(self, state: EngineView) -> float:
+    def _expected_wait_ms(self, state: EngineState) -> float:
         """Returns the expected time until a prefill engine starts a prompt.
 
         Prompts of this instance are known. Those of other instances are
