--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -48,7 +48,7 @@
 _DEFAULT_TOKEN_MS = 0.05
 
 
-class Standing(enum.Enum):
+class Availability(enum.Enum):
     """Whether an engine is asked at present, or why it is skipped."""
 
     ASKED = "asked"
@@ -174,7 +174,7 @@
             for engine in engines
             if engine.can_decode
             and engine.name not in waiting
-            and self._standing(engine, tokens) is Standing.ASKED
+            and self._standing(engine, tokens) is Availability.ASKED
         ]
         step_tokens = max(1.0, memory_tokens * _LOAD_STEP_SHARE)
         return sorted(
@@ -209,7 +209,7 @@
             if engine.can_decode:
                 standing = self._standing(engine, tokens)
                 if self._restraints.must_wait(engine.name):
-                    standing = Standing.DEFERRED
+                    standing = Availability.DEFERRED
                 names_by_standing.setdefault(standing.value, []).append(
                     engine.name
                 )
@@ -231,7 +231,7 @@
             for engine in engines
             if engine.role is resources.Role.PREFILL
             and engine.name not in waiting
-            and self._standing(engine) is Standing.ASKED
+            and self._standing(engine) is Availability.ASKED
         ]
         limited = self._restraints.limited_names()
         return sorted(
@@ -329,16 +329,16 @@
 
     def _standing(
         self, engine: resources.Endpoint, tokens: int = 0
-    ) -> Standing:
+    ) -> Availability:
         state = self.view(engine.name)
         now_ms = self._clock.now_ms()
         if state.breaker.is_open:
-            return Standing.UNREACHABLE
+            return Availability.UNREACHABLE
         if state.absent_until_ms > now_ms:
-            return Standing.OTHER_ROLE
+            return Availability.OTHER_ROLE
         if state.full_until_ms > now_ms and tokens >= state.refused_tokens:
-            return Standing.FULL
-        return Standing.ASKED
+            return Availability.FULL
+        return Availability.ASKED
 
     def _decode_rank(
         self,
