--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -19,7 +19,7 @@
 
 # Time for which an engine is skipped after it refused a request because it has
 # another role. Its new registration is read within that time.
-ABSENT_MS = 1_000.0
+ROLE_REFUSAL_PAUSE_MS = 1_000.0
 # Time for which an engine that changes its role is skipped unless its new
 # registration arrives earlier. It first completes its responses and then
 # restarts; requests sent meanwhile would prolong that.
@@ -244,7 +244,7 @@
         now_ms = self._clock.now_ms()
         match error.fault:
             case client.EngineFault.REFUSED_ROLE:
-                state.absent_until_ms = now_ms + ABSENT_MS
+                state.absent_until_ms = now_ms + ROLE_REFUSAL_PAUSE_MS
             case client.EngineFault.KV_GONE:
                 state.absent_until_ms = now_ms + UNFETCHED_MS
             case _:
@@ -303,7 +303,7 @@
 
     def refused_reading(self, name: str) -> None:
         """Records that a prefill engine refused a prompt."""
-        until_ms = self._clock.now_ms() + ABSENT_MS
+        until_ms = self._clock.now_ms() + ROLE_REFUSAL_PAUSE_MS
         self.view(name).absent_until_ms = until_ms
 
     @contextlib.contextmanager
