--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -23,7 +23,7 @@
 # Time for which an engine that changes its role is skipped unless its new
 # registration arrives earlier. It first completes its responses and then
 # restarts; requests sent meanwhile would prolong that.
-CHANGING_MS = 10_000.0
+ROLE_CHANGE_PAUSE_MS = 10_000.0
 # Time for which a prefill engine whose results can't be fetched is skipped.
 UNFETCHED_MS = 3_000.0
 # Time for which an engine that refused for lack of memory is skipped, as a
@@ -298,7 +298,7 @@
 
     def changing(self, name: str) -> None:
         """Records that an engine is changing its role."""
-        until_ms = self._clock.now_ms() + CHANGING_MS
+        until_ms = self._clock.now_ms() + ROLE_CHANGE_PAUSE_MS
         self.view(name).absent_until_ms = until_ms
 
     def refused_reading(self, name: str) -> None:
