--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -25,7 +25,7 @@
 # restarts; requests sent meanwhile would prolong that.
 ROLE_CHANGE_PAUSE_MS = 10_000.0
 # Time for which a prefill engine whose results can't be fetched is skipped.
-UNFETCHED_MS = 3_000.0
+FETCH_FAILURE_PAUSE_MS = 3_000.0
 # Time for which an engine that refused for lack of memory is skipped, as a
 # share of the mean time between releases of memory. It doubles with each
 # further refusal up to the second share. Other instances compete for the same
@@ -246,7 +246,7 @@
             case client.EngineFault.REFUSED_ROLE:
                 state.absent_until_ms = now_ms + ROLE_REFUSAL_PAUSE_MS
             case client.EngineFault.KV_GONE:
-                state.absent_until_ms = now_ms + UNFETCHED_MS
+                state.absent_until_ms = now_ms + FETCH_FAILURE_PAUSE_MS
             case _:
                 state.breaker.failed(error.fault)
 
