--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -116,7 +116,7 @@
         self._rng = rng
         self._states: dict[str, EngineState] = {}
 
-    def view(self, name: str) -> EngineState:
+    def state(self, name: str) -> EngineState:
         """Returns the state of an engine; a new one is assumed healthy."""
         state = self._states.get(name)
         if state is None:
@@ -133,7 +133,7 @@
         for engine in engines:
             if engine.role is resources.Role.PLAIN:
                 continue
-            state = self.view(engine.name)
+            state = self.state(engine.name)
             if state.role is not engine.role:
                 state.role = engine.role
                 state.absent_until_ms = 0.0
@@ -197,7 +197,7 @@
             tokens: Required memory, in tokens.
             memory_tokens: Memory of the engine, in tokens.
         """
-        held = self.view(name).held_tokens
+        held = self.state(name).held_tokens
         return held + tokens <= memory_tokens * _AMPLE_MEMORY_SHARE
 
     def standings(
@@ -240,7 +240,7 @@
 
     def failed(self, error: client.EngineError) -> None:
         """Records a failed call to an engine."""
-        state = self.view(error.engine)
+        state = self.state(error.engine)
         now_ms = self._clock.now_ms()
         match error.fault:
             case client.EngineFault.REFUSED_ROLE:
@@ -252,7 +252,7 @@
 
     def refused_room(self, name: str, tokens: int) -> None:
         """Records that an engine had less than ``tokens`` memory free."""
-        state = self.view(name)
+        state = self.state(name)
         now_ms = self._clock.now_ms()
         if now_ms < state.full_until_ms:
             state.refused_tokens = min(state.refused_tokens, tokens)
@@ -269,7 +269,7 @@
 
     def has_room(self, name: str) -> None:
         """Clears earlier refusals after an engine had or regained memory."""
-        state = self.view(name)
+        state = self.state(name)
         state.full_until_ms = 0.0
         state.refusals = 0
 
@@ -282,7 +282,7 @@
             The part of ``took_ms`` since the engine's previous prefill ended,
             in milliseconds.
         """
-        state = self.view(name)
+        state = self.state(name)
         now_ms = self._clock.now_ms()
         busy_ms = min(took_ms, now_ms - state.read_ended_ms)
         state.read_ended_ms = now_ms
@@ -294,22 +294,22 @@
 
     def answered(self, name: str) -> None:
         """Records a successful call to an engine."""
-        self.view(name).breaker.answered()
+        self.state(name).breaker.answered()
 
     def changing(self, name: str) -> None:
         """Records that an engine is changing its role."""
         until_ms = self._clock.now_ms() + ROLE_CHANGE_PAUSE_MS
-        self.view(name).absent_until_ms = until_ms
+        self.state(name).absent_until_ms = until_ms
 
     def refused_reading(self, name: str) -> None:
         """Records that a prefill engine refused a prompt."""
         until_ms = self._clock.now_ms() + ROLE_REFUSAL_PAUSE_MS
-        self.view(name).absent_until_ms = until_ms
+        self.state(name).absent_until_ms = until_ms
 
     @contextlib.contextmanager
     def holding(self, name: str, tokens: int) -> Iterator[None]:
         """Counts memory as reserved on an engine while the block runs."""
-        state = self.view(name)
+        state = self.state(name)
         state.held_tokens += tokens
         try:
             yield
@@ -320,7 +320,7 @@
     @contextlib.contextmanager
     def reading(self, name: str, tokens: int) -> Iterator[None]:
         """Counts a prompt as in prefill on an engine while the block runs."""
-        state = self.view(name)
+        state = self.state(name)
         state.reading_tokens += tokens
         try:
             yield
@@ -330,7 +330,7 @@
     def _standing(
         self, engine: resources.Endpoint, tokens: int = 0
     ) -> Availability:
-        state = self.view(engine.name)
+        state = self.state(engine.name)
         now_ms = self._clock.now_ms()
         if state.breaker.is_open:
             return Availability.UNREACHABLE
@@ -347,7 +347,7 @@
         step_tokens: float,
         limited: frozenset[str],
     ) -> tuple[bool, int, bool, bool, int, float]:
-        state = self.view(engine.name)
+        state = self.state(engine.name)
         return (
             state.breaker.is_doubtful,
             int(state.held_tokens // step_tokens),
@@ -364,7 +364,7 @@
     def _prefill_rank(
         self, engine: resources.Endpoint, near: str, limited: frozenset[str]
     ) -> tuple[bool, bool, float, bool, float]:
-        state = self.view(engine.name)
+        state = self.state(engine.name)
         return (
             state.breaker.is_doubtful,
             engine.name in limited,
