--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -209,7 +209,7 @@
         self.registry.listen(chooser.set_endpoints)
         engines = pool.EnginePool(self.work, self.restraints, clock, rng)
         lengths = margins.AnswerLengths()
-        self.registry.listen(engines.take_over)
+        self.registry.listen(engines.update_engines)
         self._orders = ordering.RoleOrders(
             self._settings.instance,
             backends,
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -124,7 +124,7 @@
             self._states[name] = state
         return state
 
-    def take_over(self, engines: Sequence[resources.Endpoint]) -> None:
+    def update_engines(self, engines: Sequence[resources.Endpoint]) -> None:
         """Updates the set of engines and their roles.
 
         Drops the state of engines that are missing from ``engines`` and have
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -26,7 +26,7 @@
             clock,
             random.Random(1),
         )
-        pool.take_over([*NEAR, *FAR])
+        pool.update_engines([*NEAR, *FAR])
         with contextlib.ExitStack() as held:
             test(pool, held)
 
