--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -283,7 +283,7 @@
     ) -> places.Place | None:
         """Asks at most ``max_engines`` engines that may have enough memory."""
         assert run.traits is not None
-        candidates = self._pool.to_decode(
+        candidates = self._pool.decode_candidates(
             self._permitted_engines(run),
             tokens=demand.total_tokens,
             memory_tokens=run.traits.memory_tokens,
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -143,7 +143,7 @@
             if name not in names and not is_in_use:
                 del self._states[name]
 
-    def to_decode(
+    def decode_candidates(
         self,
         engines: Sequence[resources.Endpoint],
         *,
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -34,7 +34,7 @@
 
 
 def _first_candidate(pool) -> str:
-    candidates = pool.to_decode(
+    candidates = pool.decode_candidates(
         [*NEAR, *FAR], tokens=8_000, memory_tokens=MEMORY, near="a"
     )
     return candidates[0].name
