--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -166,7 +166,9 @@
             yield
             return
         engines = self._permitted_engines(run)
-        place.readers = self._pool.to_prefill(engines, near=place.engine.domain)
+        place.readers = self._pool.prefill_candidates(
+            engines, near=place.engine.domain
+        )
         with contextlib.ExitStack() as exits:
             if place.readers:
                 preferred = place.readers[0].name
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -215,7 +215,7 @@
                 )
         return names_by_standing
 
-    def to_prefill(
+    def prefill_candidates(
         self, engines: Sequence[resources.Endpoint], *, near: str
     ) -> list[resources.Endpoint]:
         """Returns the prefill engines to ask, the preferred one first.
