--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -353,7 +353,7 @@
         # where its own count shows plenty of memory. On a nearly full engine
         # only the engine knows how far responses have outgrown their
         # reservations.
-        has_ample_memory = self._counts_all() and self._pool.has_clear_room(
+        has_ample_memory = self._counts_all() and self._pool.has_ample_memory(
             engine.name,
             tokens=demand.total_tokens,
             memory_tokens=traits.memory_tokens,
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -185,7 +185,7 @@
             ),
         )
 
-    def has_clear_room(
+    def has_ample_memory(
         self, name: str, *, tokens: int, memory_tokens: int
     ) -> bool:
         """Returns whether an engine needs no check for free memory.
