--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -377,7 +377,9 @@
             run,
             tokens=demand.tokens,
             free_tokens=demand.free_tokens,
-            engines=self._pool.standings(engines, tokens=demand.total_tokens),
+            engines=self._pool.names_by_availability(
+                engines, tokens=demand.total_tokens
+            ),
             waiting=len(self._queue_of(run.service)),
             age_ms=self._registry.age_ms,
         )
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -200,7 +200,7 @@
         held = self.state(name).held_tokens
         return held + tokens <= memory_tokens * _AMPLE_MEMORY_SHARE
 
-    def standings(
+    def names_by_availability(
         self, engines: Sequence[resources.Endpoint], *, tokens: int
     ) -> dict[str, list[str]]:
         """Groups decode engines by their standing, for log lines."""
