--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -87,7 +87,7 @@
 
     def failed(self, error: client.EngineError) -> None:
         """See ``Observations``."""
-        self._pool.failed(error)
+        self._pool.record_failure(error)
 
     def changing(self, engine: str) -> None:
         """See ``Observations``."""
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -336,7 +336,7 @@
             error = client.EngineError(
                 client.EngineFault.UNREACHABLE, error.engine, error.detail
             )
-        self._pool.failed(error)
+        self._pool.record_failure(error)
 
     async def _reserve(
         self,
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -238,7 +238,7 @@
             candidates, key=lambda e: self._prefill_rank(e, near, limited)
         )
 
-    def failed(self, error: client.EngineError) -> None:
+    def record_failure(self, error: client.EngineError) -> None:
         """Records a failed call to an engine."""
         state = self.state(error.engine)
         now_ms = self._clock.now_ms()
