--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -324,7 +324,7 @@
         self, run: runs.Run, error: client.EngineError, demand: _MemoryDemand
     ) -> None:
         if error.fault is client.EngineFault.REFUSED_FULL:
-            self._pool.refused_room(error.engine, demand.total_tokens)
+            self._pool.record_memory_refusal(error.engine, demand.total_tokens)
             return
         if error.fault is client.EngineFault.REFUSED_IDENTITY:
             self._registry.replaced(error.engine)
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -250,7 +250,7 @@
             case _:
                 state.breaker.failed(error.fault)
 
-    def refused_room(self, name: str, tokens: int) -> None:
+    def record_memory_refusal(self, name: str, tokens: int) -> None:
         """Records that an engine had less than ``tokens`` memory free."""
         state = self.state(name)
         now_ms = self._clock.now_ms()
