--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -305,7 +305,7 @@
             except client.EngineError as error:
                 self._record_failure(run, error, demand)
                 continue
-            self._pool.has_room(engine.name)
+            self._pool.clear_memory_refusals(engine.name)
             if not self._registry.takes_work(engine.name):
                 # The response to the reservation said that the engine drains.
                 await self._release(engine, reservation_id)
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -267,7 +267,7 @@
         state.refused_tokens = tokens
         state.refusals += 1
 
-    def has_room(self, name: str) -> None:
+    def clear_memory_refusals(self, name: str) -> None:
         """Clears earlier refusals after an engine had or regained memory."""
         state = self.state(name)
         state.full_until_ms = 0.0
@@ -315,7 +315,7 @@
             yield
         finally:
             state.held_tokens -= tokens
-            self.has_room(name)
+            self.clear_memory_refusals(name)
 
     @contextlib.contextmanager
     def reading(self, name: str, tokens: int) -> Iterator[None]:
