--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -68,7 +68,9 @@
     def prompt_read(self, engine: str, took_ms: float, *, tokens: int) -> None:
         """See ``Observations``."""
         self._pool.answered(engine)
-        busy_ms = self._pool.read(engine, took_ms=took_ms, tokens=tokens)
+        busy_ms = self._pool.record_prefill(
+            engine, took_ms=took_ms, tokens=tokens
+        )
         self._cost_estimates.prefilled(
             took_ms, prompt_tokens=tokens, busy_ms=busy_ms
         )
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -273,7 +273,9 @@
         state.full_until_ms = 0.0
         state.refusals = 0
 
-    def read(self, name: str, *, took_ms: float, tokens: int) -> float:
+    def record_prefill(
+        self, name: str, *, took_ms: float, tokens: int
+    ) -> float:
         """Records the duration of a prefill.
 
         Any time above the expected prefill time counts as queueing.
