--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -67,7 +67,7 @@
 
     def prompt_read(self, engine: str, took_ms: float, *, tokens: int) -> None:
         """See ``Observations``."""
-        self._pool.answered(engine)
+        self._pool.record_success(engine)
         busy_ms = self._pool.record_prefill(
             engine, took_ms=took_ms, tokens=tokens
         )
@@ -97,7 +97,7 @@
 
     def answered(self, engine: str) -> None:
         """See ``Observations``."""
-        self._pool.answered(engine)
+        self._pool.record_success(engine)
 
     def refused_reading(self, engine: str) -> None:
         """See ``Observations``."""
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -294,7 +294,7 @@
             state.read_at_ms = now_ms
         return busy_ms
 
-    def answered(self, name: str) -> None:
+    def record_success(self, name: str) -> None:
         """Records a successful call to an engine."""
         self.state(name).breaker.answered()
 
