--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -218,7 +218,7 @@
             lambda: self._costs.fleet,
             self._services,
             clock,
-            on_accepted=engines.changing,
+            on_accepted=engines.record_role_change,
             is_backing_off=self.restraints.is_backing_off,
         )
         places = placement.Placement(
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -93,7 +93,7 @@
 
     def changing(self, engine: str) -> None:
         """See ``Observations``."""
-        self._pool.changing(engine)
+        self._pool.record_role_change(engine)
 
     def answered(self, engine: str) -> None:
         """See ``Observations``."""
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -298,7 +298,7 @@
         """Records a successful call to an engine."""
         self.state(name).breaker.answered()
 
-    def changing(self, name: str) -> None:
+    def record_role_change(self, name: str) -> None:
         """Records that an engine is changing its role."""
         until_ms = self._clock.now_ms() + ROLE_CHANGE_PAUSE_MS
         self.state(name).absent_until_ms = until_ms
