--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -101,4 +101,4 @@
 
     def refused_reading(self, engine: str) -> None:
         """See ``Observations``."""
-        self._pool.refused_reading(engine)
+        self._pool.record_prefill_refusal(engine)
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -303,7 +303,7 @@
         until_ms = self._clock.now_ms() + ROLE_CHANGE_PAUSE_MS
         self.state(name).absent_until_ms = until_ms
 
-    def refused_reading(self, name: str) -> None:
+    def record_prefill_refusal(self, name: str) -> None:
         """Records that a prefill engine refused a prompt."""
         until_ms = self._clock.now_ms() + ROLE_REFUSAL_PAUSE_MS
         self.state(name).absent_until_ms = until_ms
