--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -133,7 +133,7 @@
         self._running += 1
         try:
             with (
-                self._pool.holding(place.engine.name, demand.tokens),
+                self._pool.holding_memory(place.engine.name, demand.tokens),
                 self._prefill_assigned(run, place),
             ):
                 yield place
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -309,7 +309,7 @@
         self.state(name).absent_until_ms = until_ms
 
     @contextlib.contextmanager
-    def holding(self, name: str, tokens: int) -> Iterator[None]:
+    def holding_memory(self, name: str, tokens: int) -> Iterator[None]:
         """Counts memory as reserved on an engine while the block runs."""
         state = self.state(name)
         state.held_tokens += tokens
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -42,8 +42,8 @@
 
 def test_engines_of_own_domain_come_first_at_equal_load():
     def test(pool, held):
-        held.enter_context(pool.holding("near0", 5_000))
-        held.enter_context(pool.holding("near1", 6_000))
+        held.enter_context(pool.holding_memory("near0", 5_000))
+        held.enter_context(pool.holding_memory("near1", 6_000))
         assert _first_candidate(pool) == "near0"
 
     _with_pool(test)
@@ -59,7 +59,7 @@
         load = dict.fromkeys(("near0", "near1", "far0", "far1"), 0)
         for _ in range(12):
             name = _first_candidate(pool)
-            held.enter_context(pool.holding(name, 8_000))
+            held.enter_context(pool.holding_memory(name, 8_000))
             load[name] += 8_000
         assert max(load.values()) - min(load.values()) <= 10_000
 
