--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -173,7 +173,7 @@
             if place.readers:
                 preferred = place.readers[0].name
                 exits.enter_context(
-                    self._pool.reading(preferred, work.prompt_tokens)
+                    self._pool.prefilling(preferred, work.prompt_tokens)
                 )
             place.reading_ended = exits.close
             yield
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -320,7 +320,7 @@
             self.clear_memory_refusals(name)
 
     @contextlib.contextmanager
-    def reading(self, name: str, tokens: int) -> Iterator[None]:
+    def prefilling(self, name: str, tokens: int) -> Iterator[None]:
         """Counts a prompt as in prefill on an engine while the block runs."""
         state = self.state(name)
         state.reading_tokens += tokens
