--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -64,7 +64,7 @@
 
     Attributes:
         breaker: Circuit breaker for calls to the engine.
-        held_tokens: Memory reserved there by this instance, in tokens.
+        reserved_tokens: Memory reserved there by this instance, in tokens.
         reading_tokens: Prompt tokens of this instance in prefill there.
         full_until_ms: Clock reading until which the last refusal for lack of
             memory applies.
@@ -80,7 +80,7 @@
     """
 
     breaker: breakers.Breaker
-    held_tokens: int = 0
+    reserved_tokens: int = 0
     reading_tokens: int = 0
     full_until_ms: float = 0.0
     refused_tokens: int = 0
@@ -139,7 +139,7 @@
                 state.absent_until_ms = 0.0
         names = {engine.name for engine in engines}
         for name, state in list(self._states.items()):
-            is_in_use = state.held_tokens or state.reading_tokens
+            is_in_use = state.reserved_tokens or state.reading_tokens
             if name not in names and not is_in_use:
                 del self._states[name]
 
@@ -197,7 +197,7 @@
             tokens: Required memory, in tokens.
             memory_tokens: Memory of the engine, in tokens.
         """
-        held = self.state(name).held_tokens
+        held = self.state(name).reserved_tokens
         return held + tokens <= memory_tokens * _AMPLE_MEMORY_SHARE
 
     def names_by_availability(
@@ -312,11 +312,11 @@
     def holding_memory(self, name: str, tokens: int) -> Iterator[None]:
         """Counts memory as reserved on an engine while the block runs."""
         state = self.state(name)
-        state.held_tokens += tokens
+        state.reserved_tokens += tokens
         try:
             yield
         finally:
-            state.held_tokens -= tokens
+            state.reserved_tokens -= tokens
             self.clear_memory_refusals(name)
 
     @contextlib.contextmanager
@@ -352,14 +352,14 @@
         state = self.state(engine.name)
         return (
             state.breaker.is_doubtful,
-            int(state.held_tokens // step_tokens),
+            int(state.reserved_tokens // step_tokens),
             # Engines with a rate limit are overloaded, so others go first.
             engine.name in limited,
             # Ranked before small differences in load: a response that crosses
             # domains fails with a partition between them, and all engines with
             # free memory are equally fast.
             engine.domain != near,
-            state.held_tokens,
+            state.reserved_tokens,
             self._rng.random(),
         )
 
