--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -65,7 +65,7 @@
     Attributes:
         breaker: Circuit breaker for calls to the engine.
         reserved_tokens: Memory reserved there by this instance, in tokens.
-        reading_tokens: Prompt tokens of this instance in prefill there.
+        prefill_tokens: Prompt tokens of this instance in prefill there.
         full_until_ms: Clock reading until which the last refusal for lack of
             memory applies.
         refused_tokens: Smallest refused amount within that time, in tokens;
@@ -81,7 +81,7 @@
 
     breaker: breakers.Breaker
     reserved_tokens: int = 0
-    reading_tokens: int = 0
+    prefill_tokens: int = 0
     full_until_ms: float = 0.0
     refused_tokens: int = 0
     refusals: int = 0
@@ -139,7 +139,7 @@
                 state.absent_until_ms = 0.0
         names = {engine.name for engine in engines}
         for name, state in list(self._states.items()):
-            is_in_use = state.reserved_tokens or state.reading_tokens
+            is_in_use = state.reserved_tokens or state.prefill_tokens
             if name not in names and not is_in_use:
                 del self._states[name]
 
@@ -323,11 +323,11 @@
     def prefilling(self, name: str, tokens: int) -> Iterator[None]:
         """Counts a prompt as in prefill on an engine while the block runs."""
         state = self.state(name)
-        state.reading_tokens += tokens
+        state.prefill_tokens += tokens
         try:
             yield
         finally:
-            state.reading_tokens -= tokens
+            state.prefill_tokens -= tokens
 
     def _standing(
         self, engine: resources.Endpoint, tokens: int = 0
@@ -384,5 +384,5 @@
         token_ms = self._cost_estimates.token_ms or _DEFAULT_TOKEN_MS
         elapsed_ms = self._clock.now_ms() - state.read_at_ms
         other_instances_ms = max(0.0, state.read_wait_ms - elapsed_ms)
-        expected_ms = max(state.reading_tokens * token_ms, other_instances_ms)
+        expected_ms = max(state.prefill_tokens * token_ms, other_instances_ms)
         return expected_ms // _EQUAL_WAIT_MS
