--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -71,8 +71,8 @@
         refused_tokens: Smallest refused amount within that time, in tokens;
             smaller requests may still fit.
         refusals: Number of consecutive refusals for lack of memory.
-        read_wait_ms: Time that the last prompt was queued before prefill.
-        read_at_ms: Clock reading at which ``read_wait_ms`` was recorded.
+        prefill_wait_ms: Time that the last prompt was queued before prefill.
+        read_at_ms: Clock reading at which ``prefill_wait_ms`` was recorded.
         read_ended_ms: Clock reading at which the last prefill ended.
         absent_until_ms: Clock reading until which the engine is expected to
             refuse requests for its registered role.
@@ -85,7 +85,7 @@
     full_until_ms: float = 0.0
     refused_tokens: int = 0
     refusals: int = 0
-    read_wait_ms: float = 0.0
+    prefill_wait_ms: float = 0.0
     read_at_ms: float = 0.0
     read_ended_ms: float = float("-inf")
     absent_until_ms: float = 0.0
@@ -290,7 +290,7 @@
         state.read_ended_ms = now_ms
         token_ms = self._cost_estimates.token_ms
         if token_ms is not None:
-            state.read_wait_ms = max(0.0, took_ms - tokens * token_ms)
+            state.prefill_wait_ms = max(0.0, took_ms - tokens * token_ms)
             state.read_at_ms = now_ms
         return busy_ms
 
@@ -383,6 +383,6 @@
         """
         token_ms = self._cost_estimates.token_ms or _DEFAULT_TOKEN_MS
         elapsed_ms = self._clock.now_ms() - state.read_at_ms
-        other_instances_ms = max(0.0, state.read_wait_ms - elapsed_ms)
+        other_instances_ms = max(0.0, state.prefill_wait_ms - elapsed_ms)
         expected_ms = max(state.prefill_tokens * token_ms, other_instances_ms)
         return expected_ms // _EQUAL_WAIT_MS
