--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -72,7 +72,8 @@
             smaller requests may still fit.
         refusals: Number of consecutive refusals for lack of memory.
         prefill_wait_ms: Time that the last prompt was queued before prefill.
-        read_at_ms: Clock reading at which ``prefill_wait_ms`` was recorded.
+        prefill_wait_at_ms: Clock reading at which ``prefill_wait_ms`` was
+            recorded.
         read_ended_ms: Clock reading at which the last prefill ended.
         absent_until_ms: Clock reading until which the engine is expected to
             refuse requests for its registered role.
@@ -86,7 +87,7 @@
     refused_tokens: int = 0
     refusals: int = 0
     prefill_wait_ms: float = 0.0
-    read_at_ms: float = 0.0
+    prefill_wait_at_ms: float = 0.0
     read_ended_ms: float = float("-inf")
     absent_until_ms: float = 0.0
     role: resources.Role | None = None
@@ -291,7 +292,7 @@
         token_ms = self._cost_estimates.token_ms
         if token_ms is not None:
             state.prefill_wait_ms = max(0.0, took_ms - tokens * token_ms)
-            state.read_at_ms = now_ms
+            state.prefill_wait_at_ms = now_ms
         return busy_ms
 
     def record_success(self, name: str) -> None:
@@ -382,7 +383,7 @@
         estimated from how long the last prompt was queued, less the time since.
         """
         token_ms = self._cost_estimates.token_ms or _DEFAULT_TOKEN_MS
-        elapsed_ms = self._clock.now_ms() - state.read_at_ms
+        elapsed_ms = self._clock.now_ms() - state.prefill_wait_at_ms
         other_instances_ms = max(0.0, state.prefill_wait_ms - elapsed_ms)
         expected_ms = max(state.prefill_tokens * token_ms, other_instances_ms)
         return expected_ms // _EQUAL_WAIT_MS
