--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -74,7 +74,7 @@
         prefill_wait_ms: Time that the last prompt was queued before prefill.
         prefill_wait_at_ms: Clock reading at which ``prefill_wait_ms`` was
             recorded.
-        read_ended_ms: Clock reading at which the last prefill ended.
+        prefill_ended_ms: Clock reading at which the last prefill ended.
         absent_until_ms: Clock reading until which the engine is expected to
             refuse requests for its registered role.
         role: Last registered role.
@@ -88,7 +88,7 @@
     refusals: int = 0
     prefill_wait_ms: float = 0.0
     prefill_wait_at_ms: float = 0.0
-    read_ended_ms: float = float("-inf")
+    prefill_ended_ms: float = float("-inf")
     absent_until_ms: float = 0.0
     role: resources.Role | None = None
 
@@ -287,8 +287,8 @@
         """
         state = self.state(name)
         now_ms = self._clock.now_ms()
-        busy_ms = min(took_ms, now_ms - state.read_ended_ms)
-        state.read_ended_ms = now_ms
+        busy_ms = min(took_ms, now_ms - state.prefill_ended_ms)
+        state.prefill_ended_ms = now_ms
         token_ms = self._cost_estimates.token_ms
         if token_ms is not None:
             state.prefill_wait_ms = max(0.0, took_ms - tokens * token_ms)
