--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -75,8 +75,8 @@
         prefill_wait_at_ms: Clock reading at which ``prefill_wait_ms`` was
             recorded.
         prefill_ended_ms: Clock reading at which the last prefill ended.
-        absent_until_ms: Clock reading until which the engine is expected to
-            refuse requests for its registered role.
+        unavailable_until_ms: Clock reading until which the engine is expected
+            to refuse requests for its registered role.
         role: Last registered role.
     """
 
@@ -89,7 +89,7 @@
     prefill_wait_ms: float = 0.0
     prefill_wait_at_ms: float = 0.0
     prefill_ended_ms: float = float("-inf")
-    absent_until_ms: float = 0.0
+    unavailable_until_ms: float = 0.0
     role: resources.Role | None = None
 
 
@@ -137,7 +137,7 @@
             state = self.state(engine.name)
             if state.role is not engine.role:
                 state.role = engine.role
-                state.absent_until_ms = 0.0
+                state.unavailable_until_ms = 0.0
         names = {engine.name for engine in engines}
         for name, state in list(self._states.items()):
             is_in_use = state.reserved_tokens or state.prefill_tokens
@@ -245,9 +245,9 @@
         now_ms = self._clock.now_ms()
         match error.fault:
             case client.EngineFault.REFUSED_ROLE:
-                state.absent_until_ms = now_ms + ROLE_REFUSAL_PAUSE_MS
+                state.unavailable_until_ms = now_ms + ROLE_REFUSAL_PAUSE_MS
             case client.EngineFault.KV_GONE:
-                state.absent_until_ms = now_ms + FETCH_FAILURE_PAUSE_MS
+                state.unavailable_until_ms = now_ms + FETCH_FAILURE_PAUSE_MS
             case _:
                 state.breaker.failed(error.fault)
 
@@ -302,12 +302,12 @@
     def record_role_change(self, name: str) -> None:
         """Records that an engine is changing its role."""
         until_ms = self._clock.now_ms() + ROLE_CHANGE_PAUSE_MS
-        self.state(name).absent_until_ms = until_ms
+        self.state(name).unavailable_until_ms = until_ms
 
     def record_prefill_refusal(self, name: str) -> None:
         """Records that a prefill engine refused a prompt."""
         until_ms = self._clock.now_ms() + ROLE_REFUSAL_PAUSE_MS
-        self.state(name).absent_until_ms = until_ms
+        self.state(name).unavailable_until_ms = until_ms
 
     @contextlib.contextmanager
     def holding_memory(self, name: str, tokens: int) -> Iterator[None]:
@@ -337,7 +337,7 @@
         now_ms = self._clock.now_ms()
         if state.breaker.is_open:
             return Availability.UNREACHABLE
-        if state.absent_until_ms > now_ms:
+        if state.unavailable_until_ms > now_ms:
             return Availability.OTHER_ROLE
         if state.full_until_ms > now_ms and tokens >= state.refused_tokens:
             return Availability.FULL
