--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -51,7 +51,7 @@
 class Availability(enum.Enum):
     """Whether an engine is asked at present, or why it is skipped."""
 
-    ASKED = "asked"
+    AVAILABLE = "asked"
     UNREACHABLE = "unreachable"
     OTHER_ROLE = "other_role"
     FULL = "full"
@@ -175,7 +175,7 @@
             for engine in engines
             if engine.can_decode
             and engine.name not in waiting
-            and self._standing(engine, tokens) is Availability.ASKED
+            and self._standing(engine, tokens) is Availability.AVAILABLE
         ]
         step_tokens = max(1.0, memory_tokens * _LOAD_STEP_SHARE)
         return sorted(
@@ -232,7 +232,7 @@
             for engine in engines
             if engine.role is resources.Role.PREFILL
             and engine.name not in waiting
-            and self._standing(engine) is Availability.ASKED
+            and self._standing(engine) is Availability.AVAILABLE
         ]
         limited = self._restraints.limited_names()
         return sorted(
@@ -341,7 +341,7 @@
             return Availability.OTHER_ROLE
         if state.full_until_ms > now_ms and tokens >= state.refused_tokens:
             return Availability.FULL
-        return Availability.ASKED
+        return Availability.AVAILABLE
 
     def _decode_rank(
         self,
