--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -167,7 +167,7 @@
             return
         engines = self._permitted_engines(run)
         place.readers = self._pool.prefill_candidates(
-            engines, near=place.engine.domain
+            engines, preferred_domain=place.engine.domain
         )
         with contextlib.ExitStack() as exits:
             if place.readers:
@@ -289,7 +289,7 @@
             self._permitted_engines(run),
             tokens=demand.total_tokens,
             memory_tokens=run.traits.memory_tokens,
-            near=run.domain,
+            preferred_domain=run.domain,
             last=run.lost_by,
         )
         for engine in candidates[:max_engines]:
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -150,7 +150,7 @@
         *,
         tokens: int,
         memory_tokens: int,
-        near: str,
+        preferred_domain: str,
         last: Collection[str] = (),
     ) -> list[resources.Endpoint]:
         """Returns the decode engines to ask, the preferred one first.
@@ -162,7 +162,8 @@
             engines: Engines to choose from.
             tokens: Required memory, in tokens.
             memory_tokens: Memory of one engine, in tokens.
-            near: Failure domain of the instance that streams the response.
+            preferred_domain: Failure domain of the instance that streams the
+                response.
             last: Names of engines that have already failed the request and are
                 likely to fail it again.
         """
@@ -182,7 +183,7 @@
             candidates,
             key=lambda e: (
                 e.name in last,
-                self._decode_rank(e, near, step_tokens, limited),
+                self._decode_rank(e, preferred_domain, step_tokens, limited),
             ),
         )
 
@@ -217,14 +218,14 @@
         return names_by_standing
 
     def prefill_candidates(
-        self, engines: Sequence[resources.Endpoint], *, near: str
+        self, engines: Sequence[resources.Endpoint], *, preferred_domain: str
     ) -> list[resources.Endpoint]:
         """Returns the prefill engines to ask, the preferred one first.
 
         Args:
             engines: Engines to choose from.
-            near: Failure domain of the engine that will fetch the result;
-                transfers within a domain are faster and cheaper.
+            preferred_domain: Failure domain of the engine that will fetch the
+                result; transfers within a domain are faster and cheaper.
         """
         waiting = self._restraints.waiting_names()
         candidates = [
@@ -236,7 +237,8 @@
         ]
         limited = self._restraints.limited_names()
         return sorted(
-            candidates, key=lambda e: self._prefill_rank(e, near, limited)
+            candidates,
+            key=lambda e: self._prefill_rank(e, preferred_domain, limited),
         )
 
     def record_failure(self, error: client.EngineError) -> None:
@@ -346,7 +348,7 @@
     def _decode_rank(
         self,
         engine: resources.Endpoint,
-        near: str,
+        preferred_domain: str,
         step_tokens: float,
         limited: frozenset[str],
     ) -> tuple[bool, int, bool, bool, int, float]:
@@ -359,20 +361,23 @@
             # Ranked before small differences in load: a response that crosses
             # domains fails with a partition between them, and all engines with
             # free memory are equally fast.
-            engine.domain != near,
+            engine.domain != preferred_domain,
             state.reserved_tokens,
             self._rng.random(),
         )
 
     def _prefill_rank(
-        self, engine: resources.Endpoint, near: str, limited: frozenset[str]
+        self,
+        engine: resources.Endpoint,
+        preferred_domain: str,
+        limited: frozenset[str],
     ) -> tuple[bool, bool, float, bool, float]:
         state = self.state(engine.name)
         return (
             state.breaker.is_doubtful,
             engine.name in limited,
             self._expected_wait_ms(state),
-            engine.domain != near,
+            engine.domain != preferred_domain,
             self._rng.random(),
         )
 
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -35,7 +35,7 @@
 
 def _first_candidate(pool) -> str:
     candidates = pool.decode_candidates(
-        [*NEAR, *FAR], tokens=8_000, memory_tokens=MEMORY, near="a"
+        [*NEAR, *FAR], tokens=8_000, memory_tokens=MEMORY, preferred_domain="a"
     )
     return candidates[0].name
 
