--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -290,7 +290,7 @@
             tokens=demand.total_tokens,
             memory_tokens=run.traits.memory_tokens,
             preferred_domain=run.domain,
-            last=run.lost_by,
+            failed_names=run.lost_by,
         )
         for engine in candidates[:max_engines]:
             # One permit covers the reservation and the run that uses it.
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -151,7 +151,7 @@
         tokens: int,
         memory_tokens: int,
         preferred_domain: str,
-        last: Collection[str] = (),
+        failed_names: Collection[str] = (),
     ) -> list[resources.Endpoint]:
         """Returns the decode engines to ask, the preferred one first.
 
@@ -164,8 +164,8 @@
             memory_tokens: Memory of one engine, in tokens.
             preferred_domain: Failure domain of the instance that streams the
                 response.
-            last: Names of engines that have already failed the request and are
-                likely to fail it again.
+            failed_names: Names of engines that have already failed the request
+                and are likely to fail it again.
         """
         # Looked up once per call: most fleets have none, while hundreds of
         # engines are ranked for each request.
@@ -182,7 +182,7 @@
         return sorted(
             candidates,
             key=lambda e: (
-                e.name in last,
+                e.name in failed_names,
                 self._decode_rank(e, preferred_domain, step_tokens, limited),
             ),
         )
