--- a/src/jujubewharf/forwarding/accounts.py
+++ b/src/jujubewharf/forwarding/accounts.py
@@ -12,7 +12,7 @@
 from jujubewharf.forwarding import calls
 
 # Default burst, in seconds of the rate, for quotas without a declared burst.
-_UNDECLARED_BURST_S = 0.5
+_DEFAULT_BURST_S = 0.5
 
 
 class QuotaUnit(enum.Enum):
@@ -61,7 +61,7 @@
         if not math.isfinite(rate_per_s) or rate_per_s <= 0.0:
             return None
         if not math.isfinite(burst) or burst <= 0.0:
-            burst = rate_per_s * _UNDECLARED_BURST_S
+            burst = rate_per_s * _DEFAULT_BURST_S
         return cls(
             rate_per_s=rate_per_s,
             burst=burst,
--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -26,7 +26,7 @@
 
 # Maximum number of prefill engines tried per request. If all fail, the decode
 # engine prefills the prompt itself, which stalls its other answers meanwhile.
-_MAX_READERS = 3
+_MAX_PREFILL_ENGINES = 3
 
 
 @dataclasses.dataclass(slots=True)
@@ -56,12 +56,12 @@
 
     Attributes:
         source: Handle of the prefill result; ``None`` if there is none.
-        reader: Engine that holds the result.
+        engine: Engine that holds the result.
         is_fetched: Whether a decode engine has fetched the result.
     """
 
     source: calls.Source | None = None
-    reader: resources.Endpoint | None = None
+    engine: resources.Endpoint | None = None
     is_fetched: bool = False
 
 
@@ -116,7 +116,7 @@
         async with contextlib.AsyncExitStack() as exits:
             place = await exits.enter_async_context(self._places.place(run))
             prefilled = await exits.enter_async_context(
-                self._prefilled(run, place)
+                self._prefill_result(run, place)
             )
             sending = calls.Sending(
                 run.call,
@@ -126,10 +126,12 @@
                 after_event=after_event,
             )
             try:
-                await self._check_wanted(place)
+                await self._check_not_deferred(place)
                 reply = await self._send(exits, run, place.engine, sending)
             except client.EngineError as error:
-                sending = await self._instead(run, error, sending, prefilled)
+                sending = await self._replacement_sending(
+                    run, error, sending, prefilled
+                )
                 reply = await self._send(exits, run, place.engine, sending)
             prefilled.is_fetched = True
             return Upstream(
@@ -140,7 +142,7 @@
                 place.memory_part,
             )
 
-    async def _instead(
+    async def _replacement_sending(
         self,
         run: runs.Run,
         error: client.EngineError,
@@ -167,15 +169,15 @@
             changing = client.EngineError(fault, error.engine, "changing")
             self._observations.changing(error.engine)
             raise changing from error
-        if sending.source is None or prefilled.reader is None:
+        if sending.source is None or prefilled.engine is None:
             raise error
         if not await self._limits.take(error.engine):
             raise error
-        gone = client.EngineError(
-            client.EngineFault.KV_GONE, prefilled.reader.name
+        expired = client.EngineError(
+            client.EngineFault.KV_GONE, prefilled.engine.name
         )
-        self._observations.failed(gone)
-        decisions.engine_failed(run, gone, stage="fetch", took_ms=0.0)
+        self._observations.failed(expired)
+        decisions.engine_failed(run, expired, stage="fetch", took_ms=0.0)
         left = self._budget.left(run.service)
         if not self._budget.take(run.service):
             decisions.not_retried(run, "kv_gone", budget_left=left)
@@ -185,7 +187,7 @@
             sending, source=None, left_ms=run.left_ms(self._clock)
         )
 
-    def _learn(self, error: client.EngineError) -> None:
+    def _record_failure(self, error: client.EngineError) -> None:
         if error.fault is client.EngineFault.REFUSED_IDENTITY:
             self._registry.replaced(error.engine)
         self._observations.failed(error)
@@ -198,7 +200,7 @@
             return True
 
     @contextlib.asynccontextmanager
-    async def _prefilled(
+    async def _prefill_result(
         self, run: runs.Run, place: all_places.Place
     ) -> AsyncIterator[_Prefilled]:
         """Runs prefill and frees the result on exit if no engine fetched it.
@@ -207,27 +209,27 @@
         decode engine prefills the prompt itself.
         """
         prefilled = _Prefilled()
-        readers = place.readers[:_MAX_READERS]
+        readers = place.readers[:_MAX_PREFILL_ENGINES]
         if readers and run.was_read and not self._budget.take(run.service):
             # Every prefill after the first one counts as a retry.
             readers = []
-        for reader in readers:
-            if not await self._may_read(reader):
+        for engine in readers:
+            if not await self._accepts_prefill(engine):
                 # Checked again right before sending: the placement may be
                 # outdated, and the engine may have started to drain meanwhile.
                 continue
             try:
-                prefilled.source = await self._prefill(run, reader)
+                prefilled.source = await self._prefill(run, engine)
             except client.EngineError as error:
                 if error.fault is client.EngineFault.LOST:
                     # It may have been accepted, so the next one is a retry.
                     run.was_read = True
-                if not self._may_read_again(run, error):
+                if not self._may_retry_prefill(run, error):
                     # Decoding now would also be a retry: the prefill call may
                     # have been refused, and the retry budget is exhausted.
                     raise run.failure() from error
             else:
-                prefilled.reader = reader
+                prefilled.engine = engine
                 run.was_read = True
                 break
         place.reading_ended()
@@ -235,9 +237,9 @@
             yield prefilled
         finally:
             if not prefilled.is_fetched:
-                await self._drop(prefilled)
+                await self._drop_result(prefilled)
 
-    async def _may_read(self, reader: resources.Endpoint) -> bool:
+    async def _accepts_prefill(self, reader: resources.Endpoint) -> bool:
         """Returns whether an engine accepts a prefill request at the moment."""
         if self._restraints.must_wait(reader.name):
             return False
@@ -247,7 +249,9 @@
             return False
         return self._registry.takes_work(reader.name)
 
-    def _may_read_again(self, run: runs.Run, error: client.EngineError) -> bool:
+    def _may_retry_prefill(
+        self, run: runs.Run, error: client.EngineError
+    ) -> bool:
         """Returns whether prefill may be tried on another engine.
 
         A refused call uses the retry budget; a call that could not connect does
@@ -283,7 +287,7 @@
                 engine, calls.Sending(run.call, left_ms)
             )
         except client.EngineError as error:
-            self._learn(error)
+            self._record_failure(error)
             took_ms = self._clock.now_ms() - began_ms
             decisions.engine_failed(
                 run, error, stage="prefill", took_ms=took_ms
@@ -293,15 +297,15 @@
         self._observations.prompt_read(engine.name, took_ms, tokens=tokens)
         return source
 
-    async def _drop(self, prefilled: _Prefilled) -> None:
-        if prefilled.source is None or prefilled.reader is None:
+    async def _drop_result(self, prefilled: _Prefilled) -> None:
+        if prefilled.source is None or prefilled.engine is None:
             return
         with contextlib.suppress(client.EngineError):
             # The result expires by itself within a second; dropping it only
             # frees the memory sooner, so failures are not retried.
-            await self._backends.drop_source(prefilled.reader, prefilled.source)
+            await self._backends.drop_source(prefilled.engine, prefilled.source)
 
-    async def _check_wanted(self, place: all_places.Place) -> None:
+    async def _check_not_deferred(self, place: all_places.Place) -> None:
         """Checks that the engine still accepts the request it has memory for.
 
         The engine may have asked for backoff or set a rate limit after the
@@ -342,7 +346,7 @@
             )
         except client.EngineError as error:
             run.learn(error, before=before)
-            self._learn(error)
+            self._record_failure(error)
             took_ms = self._clock.now_ms() - began_ms
             decisions.engine_failed(run, error, stage="decode", took_ms=took_ms)
             raise
--- a/src/jujubewharf/forwarding/budget.py
+++ b/src/jujubewharf/forwarding/budget.py
@@ -9,7 +9,7 @@
 
 # Share of the allowed retries that is used. The margin covers requests near the
 # edge of the window, which another counter may assign to the next window.
-_USED_PART = 0.85
+_USABLE_SHARE = 0.85
 
 
 class FleetBudget:
@@ -47,32 +47,32 @@
         self._ratio = ratio
         self._slack = slack
         self._window_ms = window_ms
-        for counted in (*self._requests.values(), *self._retries.values()):
-            counted.window_ms = window_ms
+        for counter in (*self._requests.values(), *self._retries.values()):
+            counter.window_ms = window_ms
 
     def accepted(self, service: str) -> None:
         """Counts a request for a service."""
-        self._of(self._requests, service).add(self._clock.now_ms())
+        self._counter(self._requests, service).add(self._clock.now_ms())
 
     def left(self, service: str) -> float:
         """Returns the retries left; fractional, below 1 means none."""
         now_ms = self._clock.now_ms()
-        requests = self._of(self._requests, service).total(now_ms)
-        retries = self._of(self._retries, service).total(now_ms)
+        requests = self._counter(self._requests, service).total(now_ms)
+        retries = self._counter(self._retries, service).total(now_ms)
         allowed = self._ratio * requests + self._slack * self._share()
-        return _USED_PART * allowed - retries
+        return _USABLE_SHARE * allowed - retries
 
     def take(self, service: str) -> bool:
         """Consumes one retry and returns whether there was one."""
         if self.left(service) < 1.0:
             return False
-        self._of(self._retries, service).add(self._clock.now_ms())
+        self._counter(self._retries, service).add(self._clock.now_ms())
         return True
 
-    def _of(
+    def _counter(
         self, table: dict[str, recent.RecentSum], service: str
     ) -> recent.RecentSum:
-        counted = table.get(service)
-        if counted is None:
-            counted = table[service] = recent.RecentSum(self._window_ms)
-        return counted
+        counter = table.get(service)
+        if counter is None:
+            counter = table[service] = recent.RecentSum(self._window_ms)
+        return counter
--- a/src/jujubewharf/forwarding/crash_records.py
+++ b/src/jujubewharf/forwarding/crash_records.py
@@ -75,11 +75,11 @@
             crash_reports.Crash(crash.engine, crash.age_ms + since_ms)
             for crash in record.crashes
         ),
-        _older(record.cleared_age_ms, since_ms),
+        _add_age(record.cleared_age_ms, since_ms),
         record.trials,
-        _older(record.trial_age_ms, since_ms),
+        _add_age(record.trial_age_ms, since_ms),
     )
 
 
-def _older(age_ms: float | None, by_ms: float) -> float | None:
+def _add_age(age_ms: float | None, by_ms: float) -> float | None:
     return None if age_ms is None else age_ms + by_ms
--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -26,19 +26,19 @@
 # Time after which a trial is considered to have ended without a result.
 TRIAL_MS = 15_000.0
 # Bounds the trials of one request, since each may crash an engine.
-_MOST_TRIALS = 2
+_MAX_TRIALS = 2
 # Retention of crashes, after which a wrongly quarantined request is released.
 KEPT_MS = 600_000.0
 # Bound the memory, because callers can send any number of distinct requests.
 MOST_RECORDS = 1_024
-_MOST_CRASHES = 8
-_MOST_LABEL_CHARS = 64
+_MAX_CRASHES = 8
+_MAX_LABEL_CHARS = 64
 # Tolerance for timestamps of one event that two instances compute from ages.
-_SAME_MS = 1_000.0
+_TIMESTAMP_TOLERANCE_MS = 1_000.0
 _NEVER_MS = float("-inf")
 
 
-def _nobody(fingerprint: fingerprints.Fingerprint) -> None:
+def _ignore(fingerprint: fingerprints.Fingerprint) -> None:
     """Default callback that does nothing."""
 
 
@@ -71,12 +71,12 @@
         """Time of the last crash or complete answer."""
         return max((self.cleared_ms, *self.crashes_ms.values()))
 
-    def state(self) -> tuple[object, ...]:
+    def snapshot(self) -> tuple[object, ...]:
         """Returns a snapshot for detecting changes."""
         crashed = frozenset(self.crashes_ms)
         return crashed, self.cleared_ms, self.trials, self.trial_ms
 
-    def drop(self, oldest_ms: float) -> None:
+    def remove_expired(self, oldest_ms: float) -> None:
         """Removes crashes and trials that no longer count."""
         oldest_ms = max(oldest_ms, self.cleared_ms)
         if self.trial_ms <= oldest_ms:
@@ -85,7 +85,7 @@
             if at_ms <= oldest_ms:
                 del self.crashes_ms[engine]
         oldest_first = sorted(self.crashes_ms, key=self.crashes_ms.__getitem__)
-        for engine in oldest_first[:-_MOST_CRASHES]:
+        for engine in oldest_first[:-_MAX_CRASHES]:
             del self.crashes_ms[engine]
 
 
@@ -101,8 +101,8 @@
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
-        self.on_seen: Callable[[fingerprints.Fingerprint], None] = _nobody
-        self.on_quarantine: Callable[[fingerprints.Fingerprint], None] = _nobody
+        self.on_seen: Callable[[fingerprints.Fingerprint], None] = _ignore
+        self.on_quarantine: Callable[[fingerprints.Fingerprint], None] = _ignore
         self._clock = clock
         self._records: dict[fingerprints.Fingerprint, _Record] = {}
         # Number of records by outline.
@@ -123,10 +123,10 @@
             stage: Stage of processing: ``prefill`` or ``run``.
         """
         fingerprint = fingerprints.Fingerprint.from_call(call)
-        record = self._of(fingerprint, label=call.request_id)
-        is_news = engine not in record.crashes_ms
+        record = self._get_or_create(fingerprint, label=call.request_id)
+        is_new = engine not in record.crashes_ms
         record.crashes_ms.setdefault(engine, self._clock.now_ms())
-        record.drop(self._clock.now_ms() - KEPT_MS)
+        record.remove_expired(self._clock.now_ms() - KEPT_MS)
         beliefs.engine_crashed(
             call.request_id,
             engine,
@@ -134,9 +134,9 @@
             crashes=len(record.crashes_ms),
             label=record.label,
         )
-        if is_news:
+        if is_new:
             self.on_seen(fingerprint)
-            self._tell_quarantine(fingerprint)
+            self._notify_quarantine(fingerprint)
 
     def came_through(self, call: calls.Call) -> None:
         """Records that an engine answered a request completely."""
@@ -144,7 +144,7 @@
         if record is None or not record.crashes_ms:
             return
         record.cleared_ms = self._clock.now_ms()
-        record.drop(record.cleared_ms)
+        record.remove_expired(record.cleared_ms)
         self.on_seen(fingerprints.Fingerprint.from_call(call))
 
     def learn(self, report: crash_reports.CrashReport) -> bool:
@@ -153,27 +153,29 @@
         Returns:
             Whether the report changed the record.
         """
-        record = self._of(report.fingerprint, label=report.label)
-        before = record.state()
+        record = self._get_or_create(report.fingerprint, label=report.label)
+        before = record.snapshot()
         # All instances choose the same label, independent of the merge order.
         record.label = min(record.label, report.label)
         now_ms = self._clock.now_ms()
-        record.cleared_ms = _later(
+        record.cleared_ms = _latest_ms(
             record.cleared_ms, report.cleared_age_ms, now_ms
         )
-        record.trial_ms = _later(record.trial_ms, report.trial_age_ms, now_ms)
+        record.trial_ms = _latest_ms(
+            record.trial_ms, report.trial_age_ms, now_ms
+        )
         record.trials = max(record.trials, report.trials)
         for crash in report.crashes:
             record.crashes_ms.setdefault(crash.engine, now_ms - crash.age_ms)
-        record.drop(now_ms - KEPT_MS)
-        if record.state() == before:
+        record.remove_expired(now_ms - KEPT_MS)
+        if record.snapshot() == before:
             return False
-        self._tell_quarantine(report.fingerprint)
+        self._notify_quarantine(report.fingerprint)
         return True
 
     def known(self) -> tuple[fingerprints.Fingerprint, ...]:
         """Returns the fingerprints of all recorded requests."""
-        self._forget_old()
+        self._remove_expired()
         return tuple(self._records)
 
     def reports(
@@ -185,7 +187,7 @@
             wanted: Fingerprints of the requests, unknown ones are skipped;
                 ``None`` for all.
         """
-        self._forget_old()
+        self._remove_expired()
         chosen = self._records if wanted is None else wanted
         return tuple(self._report(f) for f in chosen if f in self._records)
 
@@ -194,14 +196,14 @@
     ) -> crash_reports.CrashReport:
         record = self._records[fingerprint]
         now_ms = self._clock.now_ms()
-        found = tuple(
+        engine_crashes = tuple(
             crash_reports.Crash(engine, now_ms - at_ms)
             for engine, at_ms in record.crashes_ms.items()
         )
         return crash_reports.CrashReport(
             fingerprint,
             record.label,
-            found,
+            engine_crashes,
             _age_ms(record.cleared_ms, now_ms),
             record.trials,
             _age_ms(record.trial_ms, now_ms),
@@ -212,7 +214,7 @@
         record = self._find(call)
         if record is None:
             return 0
-        record.drop(self._clock.now_ms() - KEPT_MS)
+        record.remove_expired(self._clock.now_ms() - KEPT_MS)
         return len(record.crashes_ms)
 
     def is_quarantined(self, call: calls.Call) -> bool:
@@ -232,12 +234,12 @@
             # The receiving instance has a record that has not arrived here.
             return False
         now_ms = self._clock.now_ms()
-        record.drop(now_ms - KEPT_MS)
+        record.remove_expired(now_ms - KEPT_MS)
         if len(record.crashes_ms) > QUARANTINE_CRASHES:
             return False
         if record.trials and now_ms - record.trial_ms < TRIAL_MS:
             return False
-        if record.trials >= _MOST_TRIALS:
+        if record.trials >= _MAX_TRIALS:
             return False
         record.trials += 1
         record.trial_ms = now_ms
@@ -259,7 +261,7 @@
             detail = f"{count} engines crashed, see {self._label(call)}"
             raise errors.WharfError(errors.ErrorKind.QUARANTINED, detail)
 
-    def _tell_quarantine(self, fingerprint: fingerprints.Fingerprint) -> None:
+    def _notify_quarantine(self, fingerprint: fingerprints.Fingerprint) -> None:
         if self._records[fingerprint].is_quarantined:
             self.on_quarantine(fingerprint)
 
@@ -278,21 +280,21 @@
             return None
         return self._records.get(fingerprints.Fingerprint.from_call(call))
 
-    def _of(
+    def _get_or_create(
         self, fingerprint: fingerprints.Fingerprint, *, label: str
     ) -> _Record:
         """Returns the record of a request, creating it if needed."""
         record = self._records.get(fingerprint)
         if record is not None:
             return record
-        record = _Record(label[:_MOST_LABEL_CHARS])
-        self._make_room()
+        record = _Record(label[:_MAX_LABEL_CHARS])
+        self._evict()
         self._records[fingerprint] = record
         count = self._outlines.get(fingerprint.outline, 0)
         self._outlines[fingerprint.outline] = count + 1
         return record
 
-    def _make_room(self) -> None:
+    def _evict(self) -> None:
         """Evicts records until there is room for another one.
 
         Evicts from the account with the most records, fewest crashes first. An
@@ -301,30 +303,34 @@
         """
         if len(self._records) < MOST_RECORDS:
             return
-        self._forget_old()
+        self._remove_expired()
         while len(self._records) >= MOST_RECORDS:
-            self._remove(self._least())
+            self._remove(self._eviction_candidate())
 
-    def _forget_old(self) -> None:
+    def _remove_expired(self) -> None:
         oldest_ms = self._clock.now_ms() - KEPT_MS
         for fingerprint, record in list(self._records.items()):
-            record.drop(oldest_ms)
+            record.remove_expired(oldest_ms)
             if record.changed_ms <= oldest_ms:
                 self._remove(fingerprint)
 
-    def _least(self) -> fingerprints.Fingerprint:
+    def _eviction_candidate(self) -> fingerprints.Fingerprint:
         counts: dict[str, int] = {}
         for fingerprint in self._records:
             account = fingerprint.outline.account
             counts[account] = counts.get(account, 0) + 1
         largest = max(counts, key=lambda account: counts[account])
-        return min(self._of_account(largest), key=self._weight)
+        return min(self._fingerprints_of(largest), key=self._eviction_key)
 
-    def _of_account(self, account: str) -> Iterator[fingerprints.Fingerprint]:
+    def _fingerprints_of(
+        self, account: str
+    ) -> Iterator[fingerprints.Fingerprint]:
         return (f for f in self._records if f.outline.account == account)
 
-    def _weight(self, of: fingerprints.Fingerprint) -> tuple[int, float]:
-        record = self._records[of]
+    def _eviction_key(
+        self, fingerprint: fingerprints.Fingerprint
+    ) -> tuple[int, float]:
+        record = self._records[fingerprint]
         return len(record.crashes_ms), record.changed_ms
 
     def _remove(self, fingerprint: fingerprints.Fingerprint) -> None:
@@ -334,9 +340,9 @@
             del self._outlines[fingerprint.outline]
 
 
-def _later(known_ms: float, age_ms: float | None, now_ms: float) -> float:
+def _latest_ms(known_ms: float, age_ms: float | None, now_ms: float) -> float:
     """Returns the later of a timestamp and one that is given by its age."""
-    if age_ms is None or now_ms - age_ms <= known_ms + _SAME_MS:
+    if age_ms is None or now_ms - age_ms <= known_ms + _TIMESTAMP_TOLERANCE_MS:
         return known_ms
     return now_ms - age_ms
 
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -51,12 +51,12 @@
 
 # Share of the retry budget while the group is unreachable. Small enough for two
 # dozen isolated instances to stay within the fleet's budget.
-_SHARE_ALONE = 1 / 24
+_ISOLATED_SHARE = 1 / 24
 # Time for the load balancer, which probes every second, to remove an instance
 # after two failed probes.
-_BALANCER_MS = 2_600.0
+_BALANCER_GRACE_MS = 2_600.0
 # Reserve for closing connections before SIGKILL.
-_LAST_MS = 500.0
+_CLOSE_RESERVE_MS = 500.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -124,7 +124,7 @@
         self.restraints.is_registered = self.registry.knows
         adapters.backends.listen(self.restraints.heard)
         self.share = sharing.FleetShare(
-            adapters.group, clock, default_share=_SHARE_ALONE
+            adapters.group, clock, default_share=_ISOLATED_SHARE
         )
         self.work = costs.WorkCosts()
         self.crashes = crashes.CrashHistory(clock)
@@ -203,7 +203,7 @@
         chooser = plain_endpoints.EndpointChooser(
             self._settings.domain,
             clock,
-            is_leaving=self._is_shut,
+            is_leaving=self._rejects_work,
             is_limited=self.restraints.is_limited,
         )
         self.registry.listen(chooser.set_endpoints)
@@ -255,14 +255,18 @@
                 rng,
                 cores=self._settings.processor.cores,
             )
-        admitted = quarantine.Quarantine(self.crashes, self.fleet_crashes)
-        watched = watched_backends.WatchedBackends(backends, self.crashes)
+        request_quarantine = quarantine.Quarantine(
+            self.crashes, self.fleet_crashes
+        )
+        crash_detecting_backends = watched_backends.WatchedBackends(
+            backends, self.crashes
+        )
         sender = attempts.StreamAttempts(
-            watched,
+            crash_detecting_backends,
             self.registry,
             watched_places.WatchedPlaces(
                 led.FleetPlaces(self.fleet.link, places),
-                admitted,
+                request_quarantine,
                 self.crashes,
             ),
             self.budget,
@@ -274,7 +278,7 @@
         return forwarder.Forwarder(
             self.source,
             plain.PlainForwarder(
-                watched,
+                crash_detecting_backends,
                 self.registry,
                 chooser,
                 self.budget,
@@ -287,7 +291,7 @@
             self.budget,
             self.quotas,
             self.crashes,
-            admitted,
+            request_quarantine,
             clock,
             rng,
             domain=self._settings.domain,
@@ -306,7 +310,7 @@
         if self._leadership is not None:
             await self.add_runtime_dependency(self._leadership)
 
-    def _is_shut(self, name: str) -> bool:
+    def _rejects_work(self, name: str) -> bool:
         """Returns whether an endpoint accepts no requests at the moment."""
         if not self.registry.takes_work(name):
             return True
@@ -316,7 +320,7 @@
         """Returns this instance's share of rate limits without a leader."""
         if self._leadership is None:
             return self.share.fraction
-        return self.fleet.equal_share() or _SHARE_ALONE
+        return self.fleet.equal_share() or _ISOLATED_SHARE
 
     def _retry_share(self) -> float:
         """Returns this instance's share of the retry budget."""
@@ -337,8 +341,10 @@
     @property
     def is_ready(self) -> bool:
         """Whether the load balancer may send requests to this instance."""
-        is_informed = self.source.current is not None and self.registry.is_known
-        return self.admission.is_ready and is_informed
+        is_initialized = (
+            self.source.current is not None and self.registry.is_known
+        )
+        return self.admission.is_ready and is_initialized
 
     @property
     def limits(self) -> routes.CallerLimits:
@@ -376,8 +382,9 @@
             lambda: 0,
             self._hand_over,
             self._clock,
-            grace_ms=_BALANCER_MS,
-            drain_ms=self._settings.stop_within_s * clocks.MS_PER_S - _LAST_MS,
+            grace_ms=_BALANCER_GRACE_MS,
+            drain_ms=self._settings.stop_within_s * clocks.MS_PER_S
+            - _CLOSE_RESERVE_MS,
         )
 
     def _hand_over(self) -> None:
--- a/src/jujubewharf/forwarding/events.py
+++ b/src/jujubewharf/forwarding/events.py
@@ -9,8 +9,8 @@
 
 import dataclasses
 
-_END = b"\n\n"
-_ID = b"id:"
+_EVENT_END = b"\n\n"
+_ID_PREFIX = b"id:"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -31,22 +31,24 @@
     """Buffers bytes and returns complete events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def has_partial(self) -> bool:
         """Whether an incomplete event is buffered."""
-        return bool(self._rest)
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Event]:
         """Adds bytes and returns the events that they complete."""
-        *whole, self._rest = (self._rest + data).split(_END)
-        return [Event(_number(part), part + _END) for part in whole]
+        *complete, self._buffer = (self._buffer + data).split(_EVENT_END)
+        return [
+            Event(_parse_number(part), part + _EVENT_END) for part in complete
+        ]
 
 
-def _number(event: bytes) -> int | None:
+def _parse_number(event: bytes) -> int | None:
     for line in event.split(b"\n"):
-        if line.startswith(_ID):
-            text = line[len(_ID) :].strip()
+        if line.startswith(_ID_PREFIX):
+            text = line[len(_ID_PREFIX) :].strip()
             return int(text) if text.isdigit() else None
     return None
--- a/src/jujubewharf/forwarding/follower.py
+++ b/src/jujubewharf/forwarding/follower.py
@@ -26,10 +26,10 @@
 
 # Mean pause after a failed read. Jittered, so that instances that lost the
 # store at the same time do not reconnect at the same time.
-_RETRY_MS = 250.0
+_RETRY_PAUSE_MS = 250.0
 # Interval of full reads. They find changes that incremental reads missed
 # because the store dropped them or returned an outdated end offset.
-_WHOLE_EVERY_MS = 15_000.0
+_FULL_READ_INTERVAL_MS = 15_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -82,8 +82,8 @@
         self._on_lost = on_lost
         self._is_watched = is_watched
         self._offset: int | None = None
-        self._whole_ms = 0.0
-        self._lost_ms: float | None = None
+        self._last_full_read_ms = 0.0
+        self._unavailable_since_ms: float | None = None
         self._logger = structlog.get_logger()
 
     @property
@@ -97,9 +97,9 @@
             try:
                 await self._read()
             except log.LogUnavailableError as error:
-                self._lost(str(error))
+                self._handle_outage(str(error))
                 await self._clock.sleep_ms(
-                    _RETRY_MS * (0.5 + self._rng.random())
+                    _RETRY_PAUSE_MS * (0.5 + self._rng.random())
                 )
             except log.LogTruncatedError as error:
                 self._logger.info(
@@ -123,7 +123,7 @@
             took_ms = self._clock.now_ms() - began_ms
             labels = {"table": self._name, "outcome": outcome}
             _STORE_CALL_MS.record(took_ms, labels)
-        self._take(page, is_whole=is_whole)
+        self._handle_page(page, is_whole=is_whole)
         if not is_whole:
             await self._clock.sleep_ms(self._pace.pause_ms)
 
@@ -132,10 +132,13 @@
         now_ms = self._clock.now_ms()
         is_whole = self._offset is None
         if not is_whole and self._is_watched():
-            self._whole_ms = now_ms
-        if is_whole or now_ms - self._whole_ms > _WHOLE_EVERY_MS:
+            self._last_full_read_ms = now_ms
+        if (
+            is_whole
+            or now_ms - self._last_full_read_ms > _FULL_READ_INTERVAL_MS
+        ):
             page = await self._table.newest()
-            self._whole_ms = now_ms
+            self._last_full_read_ms = now_ms
             return page, True
         assert self._offset is not None
         page = await self._table.changes(
@@ -143,19 +146,21 @@
         )
         return page, False
 
-    def _take(self, page: tables.TablePage[T], *, is_whole: bool) -> None:
-        if self._lost_ms is not None:
-            away_ms = round(self._clock.now_ms() - self._lost_ms)
+    def _handle_page(
+        self, page: tables.TablePage[T], *, is_whole: bool
+    ) -> None:
+        if self._unavailable_since_ms is not None:
+            away_ms = round(self._clock.now_ms() - self._unavailable_since_ms)
             self._logger.info(
                 "store_regained", table=self._name, away_ms=away_ms
             )
-            self._lost_ms = None
+            self._unavailable_since_ms = None
         # A full read can be older than changes that were already read.
         self._offset = max(page.end, self._offset or 0)
         self._on_page(page, is_whole)
 
-    def _lost(self, detail: str) -> None:
-        if self._lost_ms is None:
-            self._lost_ms = self._clock.now_ms()
+    def _handle_outage(self, detail: str) -> None:
+        if self._unavailable_since_ms is None:
+            self._unavailable_since_ms = self._clock.now_ms()
             self._logger.warning("store_lost", table=self._name, detail=detail)
         self._on_lost()
--- a/src/jujubewharf/forwarding/following.py
+++ b/src/jujubewharf/forwarding/following.py
@@ -23,12 +23,12 @@
 # a change must be in force. A change that arrives just as a read begins is
 # returned only when the read times out, so the timeout must be well below that
 # time.
-_CONFIGURATION_PART = 0.5
+_CONFIGURATION_WAIT_SHARE = 0.5
 # Polling interval of endpoint reads, as a share of the time within which an
 # endpoint that drains must get no more work. Allows two reads in that time.
-_REGISTRY_PART = 0.4
+_ENDPOINT_PAUSE_SHARE = 0.4
 # The same for the leader, which reads on behalf of all instances.
-_LEADING_REGISTRY_PART = 0.2
+_LEADER_ENDPOINT_PAUSE_SHARE = 0.2
 
 
 def configurations(
@@ -52,7 +52,8 @@
     """
     feed = fleet.feeds.configurations
     pace = follower.Pace(
-        wait_ms=store.in_force_within_ms * _CONFIGURATION_PART, pause_ms=0.0
+        wait_ms=store.in_force_within_ms * _CONFIGURATION_WAIT_SHARE,
+        pause_ms=0.0,
     )
     return follower.TableFollower(
         "configuration",
@@ -89,11 +90,15 @@
     feed = fleet.feeds.endpoints
 
     def pause_ms() -> float:
-        part = _LEADING_REGISTRY_PART if fleet.is_leading else _REGISTRY_PART
-        return store.leaving_within_ms * part
+        share = (
+            _LEADER_ENDPOINT_PAUSE_SHARE
+            if fleet.is_leading
+            else _ENDPOINT_PAUSE_SHARE
+        )
+        return store.leaving_within_ms * share
 
     pace = follower.Pace(
-        wait_ms=store.leaving_within_ms * _REGISTRY_PART, pause_ms=0.0
+        wait_ms=store.leaving_within_ms * _ENDPOINT_PAUSE_SHARE, pause_ms=0.0
     )
     return follower.TableFollower(
         "endpoints",
--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -23,7 +23,7 @@
 from jujubewharf.forwarding import runs
 from jujubewharf.forwarding import stream
 
-_NOT_READY_AFTER_MS = 500.0
+_NOT_READY_RETRY_AFTER_MS = 500.0
 
 
 class RouteSource:
@@ -65,7 +65,8 @@
         """
         if self.current is None:
             raise errors.WharfError(
-                errors.ErrorKind.NOT_READY, retry_after_ms=_NOT_READY_AFTER_MS
+                errors.ErrorKind.NOT_READY,
+                retry_after_ms=_NOT_READY_RETRY_AFTER_MS,
             )
         route = self._table.match(host, path)
         if route is None:
@@ -88,9 +89,9 @@
         if self.accounts.is_open:
             return None
         assert self.current is not None
-        given = [v for name, v in headers if _is_authorization(name)]
+        values = [v for name, v in headers if _is_authorization(name)]
         try:
-            return self.accounts.identify(given)
+            return self.accounts.identify(values)
         except errors.WharfError as error:
             if route.is_public:
                 return None
@@ -153,7 +154,10 @@
             raise
         outcome = decisions.CANCELLED
         try:
-            async with self._bounded(run), contextlib.AsyncExitStack() as stack:
+            async with (
+                self._with_deadline(run),
+                contextlib.AsyncExitStack() as stack,
+            ):
                 await self._quarantine.admit(run)
                 reply = await self._begin(stack, run)
                 self._quotas.admitted(run)
@@ -182,12 +186,12 @@
         route = self._source.match(call.host, call.path)
         account = self._source.account_of(route, call.headers)
         call = self._without_key(call, account)
-        service = self._pick(route)
+        service = self._select_service(route)
         self._budget.accepted(service)
-        within_ms = route.timeout_ms
+        timeout_ms = route.timeout_ms
         if call.patience_ms is not None:
-            within_ms = min(within_ms, call.patience_ms)
-        deadline_at_ms = call.arrived_ms + within_ms
+            timeout_ms = min(timeout_ms, call.patience_ms)
+        deadline_at_ms = call.arrived_ms + timeout_ms
         return runs.Run(
             call,
             route,
@@ -211,7 +215,7 @@
         name = None if account is None else account.name
         return dataclasses.replace(call, headers=kept, account=name)
 
-    def _pick(self, route: routes.Route) -> str:
+    def _select_service(self, route: routes.Route) -> str:
         """Selects one of the route's services by weight."""
         names = [share.service for share in route.shares]
         if len(names) == 1:
@@ -220,7 +224,7 @@
         return self._rng.choices(names, weights)[0]
 
     @contextlib.asynccontextmanager
-    async def _bounded(self, run: runs.Run) -> AsyncIterator[None]:
+    async def _with_deadline(self, run: runs.Run) -> AsyncIterator[None]:
         """Enforces the deadline and maps failures to errors for the caller."""
         try:
             async with self._clock.timeout_ms(run.left_ms(self._clock)):
--- a/src/jujubewharf/forwarding/limits.py
+++ b/src/jujubewharf/forwarding/limits.py
@@ -15,13 +15,13 @@
 
 # Burst of the token buckets, in seconds of the limit. Requests arrive unevenly,
 # and a smaller burst would leave much of a high limit unused.
-_SAVED_UP_S = 0.25
+_BURST_S = 0.25
 # Lower bound of limits. Without any request an instance would never learn that
 # the limit has ended.
-_LEAST_PER_S = 0.1
+_MIN_LIMIT_PER_S = 0.1
 # Upper bound of the retry-after time, because limits may be raised and other
 # instances may not use their permits.
-_LONGEST_WAIT_MS = 5_000.0
+_MAX_RETRY_AFTER_MS = 5_000.0
 
 
 class Permits(Protocol):
@@ -47,7 +47,7 @@
     def __init__(self, first_permits: Callable[[], float]) -> None:
         self._first_permits = first_permits
         self._by_name: dict[str, buckets.TokenBucket] = {}
-        self._promised_ms: dict[str, float] = {}
+        self._last_retry_ms: dict[str, float] = {}
 
     def take(
         self,
@@ -69,18 +69,18 @@
             0 if a permit was taken, else the retry-after time in milliseconds.
             Successive callers get increasing times.
         """
-        rate_per_s = max(limit_per_s, _LEAST_PER_S) * part
+        rate_per_s = max(limit_per_s, _MIN_LIMIT_PER_S) * part
         bucket = self._by_name.get(endpoint)
         if bucket is None:
             bucket = buckets.TokenBucket(self._first_permits(), now_ms)
             self._by_name[endpoint] = bucket
-        bucket.fill(now_ms, rate_per_s, max(1.0, rate_per_s * _SAVED_UP_S))
+        bucket.fill(now_ms, rate_per_s, max(1.0, rate_per_s * _BURST_S))
         if bucket.tokens >= 1.0:
             bucket.tokens -= 1.0
             return 0.0
-        return self._promise(endpoint, bucket, rate_per_s, now_ms)
+        return self._next_retry_after_ms(endpoint, bucket, rate_per_s, now_ms)
 
-    def _promise(
+    def _next_retry_after_ms(
         self,
         endpoint: str,
         bucket: buckets.TokenBucket,
@@ -88,9 +88,9 @@
         now_ms: float,
     ) -> float:
         free_ms = now_ms + bucket.wait_ms(rate_per_s)
-        apart_ms = clocks.MS_PER_S / rate_per_s
-        promised_ms = self._promised_ms.get(endpoint, 0.0) + apart_ms
-        at_ms = min(max(free_ms, promised_ms), now_ms + _LONGEST_WAIT_MS)
-        self._promised_ms[endpoint] = at_ms
+        interval_ms = clocks.MS_PER_S / rate_per_s
+        next_ms = self._last_retry_ms.get(endpoint, 0.0) + interval_ms
+        at_ms = min(max(free_ms, next_ms), now_ms + _MAX_RETRY_AFTER_MS)
+        self._last_retry_ms[endpoint] = at_ms
         # At least 1 ms, so that callers do not retry in a busy loop.
         return max(1.0, at_ms - now_ms)
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -29,10 +29,10 @@
 MAX_BUFFERED_BYTES = 262_144
 # Share of a route's target time after which an unanswered request is retried if
 # it may be repeated. Leaves time for the second attempt.
-_PATIENCE_OF_TARGET = 0.75
+_TIMEOUT_SHARE_OF_TARGET = 0.75
 _SERVER_ERROR = 500
 # Reserve before the deadline for forwarding an earlier endpoint's error.
-_LAST_WORD_MS = 50.0
+_DEADLINE_RESERVE_MS = 50.0
 
 
 class PlainForwarder:
@@ -78,29 +78,32 @@
             WharfError: There is no answer.
         """
         failed: set[str] = set()
-        answered: calls.Reply | None = None
+        error_reply: calls.Reply | None = None
         while True:
             endpoint = await self._choose(run, failed)
             if endpoint is None:
-                if answered is not None:
-                    return answered
-                raise self._nobody(run)
+                if error_reply is not None:
+                    return error_reply
+                raise self._no_endpoint_error(run)
             failed.add(endpoint.name)
             try:
                 reply = await self._attempt(
-                    stack, run, endpoint, has_answer=answered is not None
+                    stack,
+                    run,
+                    endpoint,
+                    has_error_reply=error_reply is not None,
                 )
             except client.EngineError as error:
                 reason = error.fault.value
-                if self._may_repeat(run, reason):
+                if self._may_retry(run, reason):
                     continue
-                if answered is not None:
-                    return answered
+                if error_reply is not None:
+                    return error_reply
                 raise run.failure() from error
             if reply.status < _SERVER_ERROR:
                 return reply
-            answered = reply
-            if not self._may_repeat(run, "failed"):
+            error_reply = reply
+            if not self._may_retry(run, "failed"):
                 return reply
 
     async def _choose(
@@ -120,7 +123,7 @@
                 # It may have started to drain while the leader was asked.
                 return endpoint
 
-    def _nobody(self, run: runs.Run) -> errors.WharfError:
+    def _no_endpoint_error(self, run: runs.Run) -> errors.WharfError:
         """Returns the error for a request that no endpoint accepts."""
         names = [e.name for e in self._registry.of_service(run.service)]
         wait_ms = self._restraints.wait_ms(names)
@@ -135,7 +138,7 @@
         )
         return run.failure("all endpoints deferred", retry_after_ms=after_ms)
 
-    def _may_repeat(self, run: runs.Run, reason: str) -> bool:
+    def _may_retry(self, run: runs.Run, reason: str) -> bool:
         left = self._budget.left(run.service)
         if not run.tried:
             # No endpoint has received any part of the request.
@@ -154,7 +157,7 @@
         run: runs.Run,
         endpoint: resources.Endpoint,
         *,
-        has_answer: bool,
+        has_error_reply: bool,
     ) -> calls.Reply:
         began_ms = self._clock.now_ms()
         before = run.sent(endpoint.name)
@@ -166,8 +169,10 @@
             age_ms=self._registry.age_ms,
         )
         try:
-            patience_ms = self._patience_ms(run, has_answer=has_answer)
-            return await self._exchange(stack, run, endpoint, patience_ms)
+            timeout_ms = self._attempt_timeout_ms(
+                run, has_error_reply=has_error_reply
+            )
+            return await self._exchange(stack, run, endpoint, timeout_ms)
         except client.EngineError as error:
             run.learn(error, before=before)
             if error.fault is client.EngineFault.REFUSED_IDENTITY:
@@ -183,7 +188,7 @@
         stack: contextlib.AsyncExitStack,
         run: runs.Run,
         endpoint: resources.Endpoint,
-        patience_ms: float | None,
+        timeout_ms: float | None,
     ) -> calls.Reply:
         sending = calls.Sending(
             run.call,
@@ -193,7 +198,7 @@
         async with contextlib.AsyncExitStack() as attempt:
             attempt.enter_context(self._chooser.track_call(endpoint))
             try:
-                async with self._clock.timeout_ms(patience_ms):
+                async with self._clock.timeout_ms(timeout_ms):
                     reply = await attempt.enter_async_context(
                         self._backends.send(endpoint, sending)
                     )
@@ -207,21 +212,23 @@
             stack.push_async_exit(attempt.pop_all())
         return reply
 
-    def _patience_ms(self, run: runs.Run, *, has_answer: bool) -> float | None:
+    def _attempt_timeout_ms(
+        self, run: runs.Run, *, has_error_reply: bool
+    ) -> float | None:
         """Returns the timeout of an attempt; ``None`` to wait for the deadline.
 
         Args:
             run: The request.
-            has_answer: Whether another endpoint has already answered with an
-                error, which is forwarded if this attempt times out.
+            has_error_reply: Whether another endpoint has already answered with
+                an error, which is forwarded if this attempt times out.
         """
-        if has_answer:
-            return max(0.0, run.left_ms(self._clock) - _LAST_WORD_MS)
+        if has_error_reply:
+            return max(0.0, run.left_ms(self._clock) - _DEADLINE_RESERVE_MS)
         if run.route.repeat is not routes.Repeat.AGAIN:
             return None
         if not run.has_attempts or self._budget.left(run.service) < 1.0:
             return None
-        return run.route.target_ms * _PATIENCE_OF_TARGET
+        return run.route.target_ms * _TIMEOUT_SHARE_OF_TARGET
 
 
 async def _buffered(reply: calls.Reply) -> calls.Reply:
@@ -232,11 +239,15 @@
         parts.append(part)
         size += len(part)
         if size > MAX_BUFFERED_BYTES:
-            return dataclasses.replace(reply, body=_joined(parts, reply.body))
-    return dataclasses.replace(reply, body=_joined(parts, None), length=size)
+            return dataclasses.replace(
+                reply, body=_concatenated(parts, reply.body)
+            )
+    return dataclasses.replace(
+        reply, body=_concatenated(parts, None), length=size
+    )
 
 
-async def _joined(
+async def _concatenated(
     parts: list[bytes], rest: AsyncIterator[bytes] | None
 ) -> AsyncIterator[bytes]:
     yield b"".join(parts)
--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -20,7 +20,7 @@
 # Share of the burst that an account starts with if its use is unknown, for
 # example after a change of leader. The whole burst would be granted again on
 # each change; none at all would reject accounts that are within their quota.
-_UNKNOWN_PART = 0.25
+_INITIAL_BURST_SHARE = 0.25
 
 
 class Quotas(Protocol):
@@ -64,17 +64,17 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Use:
+class _AccountUse:
     """Use of one account's quota.
 
     Attributes:
         bucket: Units available now.
-        promised_ms: Latest retry-after time that was given to a refused
+        last_retry_ms: Latest retry-after time that was given to a refused
             request, as a clock reading.
     """
 
     bucket: buckets.TokenBucket
-    promised_ms: float = 0.0
+    last_retry_ms: float = 0.0
 
 
 class QuotaLedger:
@@ -89,12 +89,12 @@
     """
 
     def __init__(self, now_ms: float = 0.0) -> None:
-        self._uses: dict[str, _Use] = {}
-        self._since_ms = now_ms
+        self._uses: dict[str, _AccountUse] = {}
+        self._started_ms = now_ms
 
     def left(self, account: str, quota: accounts.Quota, now_ms: float) -> float:
         """Returns the units available now; negative in debt."""
-        return self._filled(account, quota, now_ms).bucket.tokens
+        return self._refilled(account, quota, now_ms).bucket.tokens
 
     def take(
         self,
@@ -118,11 +118,11 @@
             0 if the units were charged, else the retry-after time in
             milliseconds.
         """
-        use = self._filled(account, quota, now_ms)
+        use = self._refilled(account, quota, now_ms)
         if use.bucket.tokens > -debt:
             use.bucket.tokens -= units
             return 0.0
-        return self._promise(use, quota, units, now_ms)
+        return self._retry_after_ms(use, quota, units, now_ms)
 
     def charge(
         self,
@@ -132,7 +132,7 @@
         now_ms: float,
     ) -> None:
         """Charges units unconditionally; negative units are a refund."""
-        self._filled(account, quota, now_ms).bucket.tokens -= units
+        self._refilled(account, quota, now_ms).bucket.tokens -= units
 
     @property
     def names(self) -> frozenset[str]:
@@ -145,7 +145,7 @@
 
     def put(self, account: str, units: float, now_ms: float) -> None:
         """Sets an account's available units to a value counted elsewhere."""
-        self._uses[account] = _Use(buckets.TokenBucket(units, now_ms))
+        self._uses[account] = _AccountUse(buckets.TokenBucket(units, now_ms))
 
     def keep_only(self, names: Collection[str]) -> None:
         """Removes all accounts but the given ones."""
@@ -164,25 +164,29 @@
         capped. Debts are kept; otherwise frequent changes of the counting
         instance would let accounts exceed their quotas.
         """
-        self._since_ms = now_ms
+        self._started_ms = now_ms
 
-    def _filled(
+    def _refilled(
         self, account: str, quota: accounts.Quota, now_ms: float
-    ) -> _Use:
+    ) -> _AccountUse:
         use = self._uses.get(account)
-        most = quota.burst * _UNKNOWN_PART
+        cap = quota.burst * _INITIAL_BURST_SHARE
         if use is None:
-            bucket = buckets.TokenBucket(most, self._since_ms)
-            use = self._uses[account] = _Use(bucket)
+            bucket = buckets.TokenBucket(cap, self._started_ms)
+            use = self._uses[account] = _AccountUse(bucket)
         bucket = use.bucket
-        if bucket.filled_at_ms < self._since_ms:
-            bucket.fill(self._since_ms, quota.rate_per_s, quota.burst)
-            bucket.tokens = min(bucket.tokens, most)
+        if bucket.filled_at_ms < self._started_ms:
+            bucket.fill(self._started_ms, quota.rate_per_s, quota.burst)
+            bucket.tokens = min(bucket.tokens, cap)
         bucket.fill(now_ms, quota.rate_per_s, quota.burst)
         return use
 
-    def _promise(
-        self, use: _Use, quota: accounts.Quota, units: float, now_ms: float
+    def _retry_after_ms(
+        self,
+        use: _AccountUse,
+        quota: accounts.Quota,
+        units: float,
+        now_ms: float,
     ) -> float:
         """Returns the retry-after time of a refused request in milliseconds.
 
@@ -191,8 +195,8 @@
         refused again.
         """
         needed = min(units, quota.burst)
-        own_ms = units / quota.rate_per_s * clocks.MS_PER_S
+        interval_ms = units / quota.rate_per_s * clocks.MS_PER_S
         free_ms = now_ms + use.bucket.wait_ms(quota.rate_per_s, needed)
-        at_ms = max(free_ms, use.promised_ms + own_ms)
-        use.promised_ms = at_ms
+        at_ms = max(free_ms, use.last_retry_ms + interval_ms)
+        use.last_retry_ms = at_ms
         return at_ms - now_ms
--- a/src/jujubewharf/forwarding/refusals.py
+++ b/src/jujubewharf/forwarding/refusals.py
@@ -11,7 +11,7 @@
 # Callers retry requests that got one of these, even non-idempotent ones,
 # because they take them to mean that the request was not processed.
 PROMISES = frozenset({408, 421, 429, 503})
-_UNKNOWN_OUTCOME = 504
+_GATEWAY_TIMEOUT = 504
 
 
 def status_of(error: errors.WharfError) -> int:
@@ -22,7 +22,7 @@
     """
     status = error.answer.http_status
     if status in PROMISES and error.ran is not errors.Ran.NO:
-        return _UNKNOWN_OUTCOME
+        return _GATEWAY_TIMEOUT
     return status
 
 
@@ -32,10 +32,10 @@
     ``Retry-After`` is only set if the request was certainly not processed, so
     that a request of unknown outcome is not repeated.
     """
-    found: dict[str, str] = {}
+    headers: dict[str, str] = {}
     if error.retry_after_ms is not None and error.ran is errors.Ran.NO:
         seconds = error.retry_after_ms / clocks.MS_PER_S
-        found["Retry-After"] = f"{seconds:.2f}"
+        headers["Retry-After"] = f"{seconds:.2f}"
     if error.kind is errors.ErrorKind.UNAUTHENTICATED:
-        found["WWW-Authenticate"] = "Bearer"
-    return found
+        headers["WWW-Authenticate"] = "Bearer"
+    return headers
--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -73,9 +73,9 @@
         self._started_ms: dict[str, int] = {}
         self._by_name: dict[str, resources.Endpoint] = {}
         self._by_service: dict[str, list[resources.Endpoint]] = {}
-        self._is_away = False
-        self._back_ms = -LAPSE_GRACE_MS
-        self._heard_ms: float | None = None
+        self._is_unavailable = False
+        self._available_since_ms = -LAPSE_GRACE_MS
+        self._last_read_ms: float | None = None
         self._listeners: list[Listener] = []
         self._logger = structlog.get_logger()
 
@@ -87,19 +87,19 @@
     @property
     def is_away(self) -> bool:
         """Whether the store is unavailable."""
-        return self._is_away
+        return self._is_unavailable
 
     @property
     def age_ms(self) -> float:
         """Time since the last successful read, for log lines."""
-        if self._heard_ms is None:
+        if self._last_read_ms is None:
             return float("inf")
-        return self._clock.now_ms() - self._heard_ms
+        return self._clock.now_ms() - self._last_read_ms
 
     def present(self) -> list[resources.Endpoint]:
         """Returns all registered endpoints, including draining ones."""
         return [
-            self._as_it_says(record.endpoint)
+            self._with_drain_notice(record.endpoint)
             for record in self._records.values()
             if record.endpoint
         ]
@@ -110,7 +110,7 @@
 
     def of_service(self, service: str) -> Sequence[resources.Endpoint]:
         """Returns the endpoints of a service that accept work."""
-        self._forget_lapsed()
+        self._remove_lapsed()
         return self._by_service.get(service, ())
 
     def takes_work(self, name: str) -> bool:
@@ -119,7 +119,7 @@
         Checked again right before each attempt, because the endpoint may have
         started to drain while the request waited.
         """
-        self._forget_lapsed()
+        self._remove_lapsed()
         endpoint = self._by_name.get(name)
         return endpoint is not None and not endpoint.drained
 
@@ -129,7 +129,7 @@
 
     def begins_to_leave(self) -> None:
         """Updates the index after an endpoint has sent a drain notice."""
-        self._index()
+        self._rebuild_index()
 
     def get(self, name: str) -> resources.Endpoint | None:
         """Returns an endpoint's registration, even if it drains.
@@ -158,18 +158,18 @@
         if known is not None and known.endpoint is not None:
             self._replace(known, Record(key, known.offset, None))
         self._lapsed.pop(key, None)
-        self._index()
+        self._rebuild_index()
 
     def store_lost(self) -> None:
         """Records that the store is unavailable."""
-        self._is_away = True
+        self._is_unavailable = True
 
     def store_back(self) -> None:
         """Records that the store answers."""
-        self._heard_ms = self._clock.now_ms()
-        if self._is_away:
-            self._is_away = False
-            self._back_ms = self._clock.now_ms()
+        self._last_read_ms = self._clock.now_ms()
+        if self._is_unavailable:
+            self._is_unavailable = False
+            self._available_since_ms = self._clock.now_ms()
 
     def take(self, records: Iterable[Record]) -> None:
         """Applies changed records."""
@@ -178,7 +178,7 @@
             is_later = known is None or record.offset > known.offset
             if is_later and not self._is_of_earlier_start(record):
                 self._replace(known, record)
-        self._index()
+        self._rebuild_index()
 
     def take_all(self, records: Sequence[Record], end: int) -> None:
         """Applies a full read of the store.
@@ -194,7 +194,7 @@
             was_there = known.offset < end
             if key not in keys and was_there and known.endpoint is not None:
                 self._replace(known, Record(key, end - 1, None))
-        self._index()
+        self._rebuild_index()
 
     def _is_of_earlier_start(self, record: Record) -> bool:
         """Returns whether a later start of the record's endpoint is known."""
@@ -213,8 +213,12 @@
         self._records[record.key] = record
         if now is not None or record.is_unreadable:
             self._lapsed.pop(record.key, None)
-        elif before is not None and not before.drained and self._is_lapse():
-            until_ms = self._back_ms + LAPSE_GRACE_MS
+        elif (
+            before is not None
+            and not before.drained
+            and self._is_after_outage()
+        ):
+            until_ms = self._available_since_ms + LAPSE_GRACE_MS
             self._lapsed[record.key] = (before, until_ms)
         known = now or before
         if before != now and known is not None:
@@ -229,30 +233,34 @@
                 role=known.role.value,
             )
 
-    def _is_lapse(self) -> bool:
-        return self._clock.now_ms() < self._back_ms + LAPSE_GRACE_MS
+    def _is_after_outage(self) -> bool:
+        return self._clock.now_ms() < self._available_since_ms + LAPSE_GRACE_MS
 
-    def _forget_lapsed(self) -> None:
+    def _remove_lapsed(self) -> None:
         if not self._lapsed:
             return
         now_ms = self._clock.now_ms()
-        over = [n for n, (_, until) in self._lapsed.items() if now_ms >= until]
-        for name in over:
+        expired = [
+            n for n, (_, until) in self._lapsed.items() if now_ms >= until
+        ]
+        for name in expired:
             del self._lapsed[name]
             self._logger.info("endpoint_gone_after_outage", endpoint=name)
-        if over:
-            self._index()
+        if expired:
+            self._rebuild_index()
 
-    def _as_it_says(self, endpoint: resources.Endpoint) -> resources.Endpoint:
+    def _with_drain_notice(
+        self, endpoint: resources.Endpoint
+    ) -> resources.Endpoint:
         """Marks an endpoint as draining if it has sent a drain notice."""
         if endpoint.drained or not self._says_it_leaves(endpoint.name):
             return endpoint
         return dataclasses.replace(endpoint, drained=True)
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         self._by_service = {}
         present = self.present()
-        lapsed = [self._as_it_says(e) for e, _ in self._lapsed.values()]
+        lapsed = [self._with_drain_notice(e) for e, _ in self._lapsed.values()]
         self._by_name = {e.name: e for e in (*present, *lapsed)}
         for endpoint in (*present, *lapsed):
             if not endpoint.drained:
--- a/src/jujubewharf/forwarding/reloading.py
+++ b/src/jujubewharf/forwarding/reloading.py
@@ -49,50 +49,52 @@
         self.settings = settings
         self._path = path
         # Includes changes that need a restart, so that each is logged once.
-        self._seen = settings
+        self._last_read = settings
         self._clock = clock
         self._apply = apply
-        self._asked = asyncio.Event()
+        self._requested = asyncio.Event()
         self._logger = structlog.get_logger()
 
     def request(self) -> None:
         """Requests an immediate reload; for signal handlers."""
-        self._asked.set()
+        self._requested.set()
 
     @mode.Service.task
     async def _watch(self) -> None:
         while not self.should_stop:
-            is_asked = await self._wait()
+            is_requested = await self._wait()
             try:
-                found = all_settings.read(self._path)
+                new_settings = all_settings.read(self._path)
             except (ValueError, OSError) as error:
                 self._logger.warning(
                     "settings_rejected", detail=str(error)[:_MAX_DETAIL]
                 )
                 continue
-            if is_asked or found != self._seen:
-                self._take(found)
+            if is_requested or new_settings != self._last_read:
+                self._apply_changes(new_settings)
 
     async def _wait(self) -> bool:
         """Waits for the next reload; returns whether it was requested."""
         try:
             async with self._clock.timeout_ms(CHECK_MS):
-                await self._asked.wait()
+                await self._requested.wait()
         except TimeoutError:
             return False
-        self._asked.clear()
+        self._requested.clear()
         return True
 
-    def _take(self, found: all_settings.ForwardingSettings) -> None:
+    def _apply_changes(
+        self, new_settings: all_settings.ForwardingSettings
+    ) -> None:
         changed = {
             field
-            for field in type(found).model_fields
-            if getattr(found, field) != getattr(self.settings, field)
+            for field in type(new_settings).model_fields
+            if getattr(new_settings, field) != getattr(self.settings, field)
         }
         live = changed & LIVE_FIELDS
-        self._seen = found
+        self._last_read = new_settings
         if live:
-            update = {field: getattr(found, field) for field in live}
+            update = {field: getattr(new_settings, field) for field in live}
             self.settings = self.settings.model_copy(update=update)
             self._apply(self.settings)
         self._logger.info(
--- a/src/jujubewharf/forwarding/restraints.py
+++ b/src/jujubewharf/forwarding/restraints.py
@@ -18,17 +18,17 @@
 
 # Retention for endpoints that are not registered. Their entry may be missing
 # because of an outage of the store and return later.
-_KEPT_MS = 600_000.0
+_RETENTION_MS = 600_000.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Restraint:
+class _EndpointState:
     """Restraints of one endpoint.
 
     Attributes:
         terms: Rate limit and drain notice, valid for all instances.
-        since_ms: Time of the last change of the terms.
-        limit_heard_ms: Time at which the rate limit was last received.
+        changed_ms: Time of the last change of the terms.
+        limit_received_ms: Time at which the rate limit was last received.
         backoff_until_ms: End of the backoff of this instance.
         deferred_until_ms: Time until which the rate limit leaves no permits for
             this instance.
@@ -36,14 +36,14 @@
     """
 
     terms: notices.Terms
-    since_ms: float = 0.0
-    limit_heard_ms: float = 0.0
+    changed_ms: float = 0.0
+    limit_received_ms: float = 0.0
     backoff_until_ms: float = 0.0
     deferred_until_ms: float = 0.0
     deferred_for_ms: float = 0.0
 
 
-def _nobody(terms: notices.Terms) -> None:
+def _ignore(terms: notices.Terms) -> None:
     """Default callback that does nothing."""
 
 
@@ -65,11 +65,11 @@
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
-        self.on_news: Callable[[notices.Terms], None] = _nobody
+        self.on_news: Callable[[notices.Terms], None] = _ignore
         self.on_leaving: Callable[[], None] = lambda: None
         self.is_registered: Callable[[str], bool] = lambda name: True
         self._clock = clock
-        self._by_name: dict[str, _Restraint] = {}
+        self._by_name: dict[str, _EndpointState] = {}
 
     def heard(
         self, endpoint: resources.Endpoint, notice: notices.Notice
@@ -77,22 +77,22 @@
         """Applies a notice from an answer to this instance."""
         if endpoint.name not in self._by_name and not notice.restrains:
             return
-        known = self._of(endpoint.name)
+        state = self._get(endpoint.name)
         terms = notices.Terms(
             endpoint.name,
-            self._limit_after(known, notice),
-            known.terms.is_leaving or notice.is_leaving,
+            self._resolve_limit(state, notice),
+            state.terms.is_leaving or notice.is_leaving,
         )
         now_ms = self._clock.now_ms()
         if notice.rate_limit_per_s is not None:
-            known.limit_heard_ms = now_ms
+            state.limit_received_ms = now_ms
         until_ms = now_ms + notice.backoff_ms
-        known.backoff_until_ms = max(known.backoff_until_ms, until_ms)
-        is_news = terms != known.terms
-        if is_news or notice.backoff_ms > 0.0:
-            self._take(known, terms)
+        state.backoff_until_ms = max(state.backoff_until_ms, until_ms)
+        is_changed = terms != state.terms
+        if is_changed or notice.backoff_ms > 0.0:
+            self._set_terms(state, terms)
             _log(terms, told_by="answer", backoff_ms=notice.backoff_ms)
-        if is_news:
+        if is_changed:
             self.on_news(terms)
 
     def told(self, terms: notices.Terms, *, is_news: bool) -> bool:
@@ -107,15 +107,15 @@
         Returns:
             Whether the terms have changed.
         """
-        known = self._of(terms.endpoint)
+        state = self._get(terms.endpoint)
         if not is_news:
-            terms = terms.stricter(known.terms)
-        elif known.terms.is_leaving:
+            terms = terms.stricter(state.terms)
+        elif state.terms.is_leaving:
             terms = dataclasses.replace(terms, is_leaving=True)
-        known.limit_heard_ms = self._clock.now_ms()
-        if terms == known.terms:
+        state.limit_received_ms = self._clock.now_ms()
+        if terms == state.terms:
             return False
-        self._take(known, terms)
+        self._set_terms(state, terms)
         _log(terms, told_by="peer")
         return True
 
@@ -123,9 +123,9 @@
     def terms(self) -> tuple[notices.Terms, ...]:
         """Terms of all endpoints that limit their requests."""
         return tuple(
-            known.terms
-            for known in self._by_name.values()
-            if known.terms.restrains
+            state.terms
+            for state in self._by_name.values()
+            if state.terms.restrains
         )
 
     @property
@@ -143,8 +143,8 @@
 
     def is_leaving(self, name: str) -> bool:
         """Returns whether an endpoint has sent a drain notice."""
-        known = self._by_name.get(name)
-        return known is not None and known.terms.is_leaving
+        state = self._by_name.get(name)
+        return state is not None and state.terms.is_leaving
 
     def is_limited(self, name: str) -> bool:
         """Returns whether an endpoint has a rate limit."""
@@ -152,30 +152,30 @@
 
     def rate_limit_per_s(self, name: str) -> float | None:
         """Returns an endpoint's rate limit for all instances, if it has one."""
-        known = self._by_name.get(name)
-        return None if known is None else known.terms.rate_limit_per_s
+        state = self._by_name.get(name)
+        return None if state is None else state.terms.rate_limit_per_s
 
     def is_backing_off(self, name: str) -> bool:
         """Returns whether this instance must back off from an endpoint."""
-        known = self._by_name.get(name)
+        state = self._by_name.get(name)
         return (
-            known is not None and known.backoff_until_ms > self._clock.now_ms()
+            state is not None and state.backoff_until_ms > self._clock.now_ms()
         )
 
     def backoffs_ms(self) -> dict[str, float]:
         """Returns the remaining backoff times of this instance by endpoint."""
         now_ms = self._clock.now_ms()
         return {
-            name: known.backoff_until_ms - now_ms
-            for name, known in self._by_name.items()
-            if known.backoff_until_ms > now_ms
+            name: state.backoff_until_ms - now_ms
+            for name, state in self._by_name.items()
+            if state.backoff_until_ms > now_ms
         }
 
     def defer(self, name: str, wait_ms: float) -> None:
         """Defers calls to an endpoint whose rate limit leaves no permits."""
-        known = self._of(name)
-        known.deferred_until_ms = self._clock.now_ms() + wait_ms
-        known.deferred_for_ms = wait_ms
+        state = self._get(name)
+        state.deferred_until_ms = self._clock.now_ms() + wait_ms
+        state.deferred_for_ms = wait_ms
 
     def must_wait(self, name: str) -> bool:
         """Returns whether an endpoint must not be called now."""
@@ -205,14 +205,14 @@
         return 1.0 / per_ms if per_ms else 0.0
 
     def _wait_ms(self, name: str) -> float:
-        known = self._by_name.get(name)
-        if known is None:
+        state = self._by_name.get(name)
+        if state is None:
             return 0.0
-        until_ms = max(known.deferred_until_ms, known.backoff_until_ms)
+        until_ms = max(state.deferred_until_ms, state.backoff_until_ms)
         return until_ms - self._clock.now_ms()
 
-    def _limit_after(
-        self, known: _Restraint, notice: notices.Notice
+    def _resolve_limit(
+        self, state: _EndpointState, notice: notices.Notice
     ) -> float | None:
         """Returns the rate limit that applies after a notice.
 
@@ -220,36 +220,36 @@
         the limit of an overloaded endpoint, so only an answer to a later
         request does.
         """
-        limit, named = known.terms.rate_limit_per_s, notice.rate_limit_per_s
-        if named is not None and (limit is None or named < limit):
-            return named
-        is_later = notice.asked_ms > known.limit_heard_ms
-        if is_later and (named is not None or notice.ends_limit):
-            return named
+        limit, new_limit = state.terms.rate_limit_per_s, notice.rate_limit_per_s
+        if new_limit is not None and (limit is None or new_limit < limit):
+            return new_limit
+        is_later = notice.asked_ms > state.limit_received_ms
+        if is_later and (new_limit is not None or notice.ends_limit):
+            return new_limit
         return limit
 
-    def _of(self, name: str) -> _Restraint:
-        known = self._by_name.get(name)
-        return known or _Restraint(notices.Terms(name))
+    def _get(self, name: str) -> _EndpointState:
+        state = self._by_name.get(name)
+        return state or _EndpointState(notices.Terms(name))
 
-    def _take(self, known: _Restraint, terms: notices.Terms) -> None:
-        if terms.rate_limit_per_s != known.terms.rate_limit_per_s:
+    def _set_terms(self, state: _EndpointState, terms: notices.Terms) -> None:
+        if terms.rate_limit_per_s != state.terms.rate_limit_per_s:
             # The deferral was computed from the former limit.
-            known.deferred_until_ms = 0.0
-            known.deferred_for_ms = 0.0
-        begins_to_leave = terms.is_leaving and not known.terms.is_leaving
-        known.terms = terms
-        known.since_ms = self._clock.now_ms()
+            state.deferred_until_ms = 0.0
+            state.deferred_for_ms = 0.0
+        begins_to_leave = terms.is_leaving and not state.terms.is_leaving
+        state.terms = terms
+        state.changed_ms = self._clock.now_ms()
         if terms.endpoint not in self._by_name:
-            self._forget_gone()
-        self._by_name[terms.endpoint] = known
+            self._remove_unregistered()
+        self._by_name[terms.endpoint] = state
         if begins_to_leave:
             self.on_leaving()
 
-    def _forget_gone(self) -> None:
-        oldest_ms = self._clock.now_ms() - _KEPT_MS
-        for name, known in list(self._by_name.items()):
-            if known.since_ms < oldest_ms and not self.is_registered(name):
+    def _remove_unregistered(self) -> None:
+        oldest_ms = self._clock.now_ms() - _RETENTION_MS
+        for name, state in list(self._by_name.items()):
+            if state.changed_ms < oldest_ms and not self.is_registered(name):
                 del self._by_name[name]
 
 
--- a/src/jujubewharf/forwarding/routes.py
+++ b/src/jujubewharf/forwarding/routes.py
@@ -139,8 +139,8 @@
     def __init__(self, routes: Sequence[Route]) -> None:
         self._by_host: dict[str, dict[str, Route]] = {}
         for route in routes:
-            of_host = self._by_host.setdefault(route.host, {})
-            of_host[route.path_prefix] = route
+            by_prefix = self._by_host.setdefault(route.host, {})
+            by_prefix[route.path_prefix] = route
 
     def match(self, host: str, path: str) -> Route | None:
         """Returns the route with the longest matching path prefix, if any.
@@ -148,18 +148,18 @@
         Prefixes end with a slash, so only the prefixes at the path's slashes
         are looked up. The cost does not depend on the number of routes.
         """
-        of_host = self._by_host.get(_bare(host))
-        if of_host is None:
+        by_prefix = self._by_host.get(_normalize_host(host))
+        if by_prefix is None:
             return None
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            route = of_host.get(path[: end + 1])
+            route = by_prefix.get(path[: end + 1])
             if route is not None:
                 return route
         return None
 
 
-def _bare(host: str) -> str:
+def _normalize_host(host: str) -> str:
     """Returns the host in lower case and without a port."""
     name, colon, port = host.rpartition(":")
     if colon and port.isdigit():
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -31,7 +31,7 @@
 # prefill.
 FIRST_EVENT_MS = 1_500.0
 # Number of events from which the total time of an answer is extrapolated.
-_PACE_EVENTS = 8
+_ESTIMATE_EVENTS = 8
 
 
 class StreamForwarder:
@@ -64,7 +64,7 @@
         Raises:
             WharfError: No engine answers.
         """
-        upstream = await self._first(run)
+        upstream = await self._first_attempt(run)
         stack.push_async_exit(upstream.exits)
         if not upstream.reply.is_success:
             return upstream.reply
@@ -72,7 +72,7 @@
         await stack.enter_async_context(contextlib.aclosing(body))
         return dataclasses.replace(upstream.reply, body=body, length=None)
 
-    async def _first(self, run: runs.Run) -> attempts.Upstream:
+    async def _first_attempt(self, run: runs.Run) -> attempts.Upstream:
         """Sends the request until an engine answers or no retry is allowed."""
         while True:
             try:
@@ -107,19 +107,19 @@
             failure: client.EngineError | None = None
             async with upstream.exits:
                 try:
-                    async for event in self._whole_events(run, upstream):
+                    async for event in self._complete_events(run, upstream):
                         if event.number is not None:
                             _check_order(upstream.engine.name, last, event)
                             last = event.number
                         run.passed_on(self._clock.now_ms())
                         yield event.data
-                    self._note_length(run, last)
+                    self._record_length(run, last)
                     return
                 except client.EngineError as error:
                     failure = error
-            upstream = await self._go_on(run, failure, last)
+            upstream = await self._resume(run, failure, last)
 
-    async def _go_on(
+    async def _resume(
         self, run: runs.Run, error: client.EngineError, last: int | None
     ) -> attempts.Upstream:
         """Resumes a broken stream on another engine.
@@ -133,14 +133,14 @@
         run.lost_by.add(error.engine)
         self._observations.failed(error)
         decisions.engine_failed(run, error, stage="stream", took_ms=0.0)
-        upstream = await self._elsewhere(run, error, last)
+        upstream = await self._attempt_elsewhere(run, error, last)
         if not upstream.reply.is_success:
             await upstream.exits.aclose()
-            raise _broken()
+            raise _broken_error()
         decisions.resumed(run, upstream.engine.name, after_event=last or 0)
         return upstream
 
-    async def _elsewhere(
+    async def _attempt_elsewhere(
         self, run: runs.Run, error: client.EngineError, last: int | None
     ) -> attempts.Upstream:
         """Returns another engine's answer, starting after the last event.
@@ -154,22 +154,24 @@
             may_send = is_allowed and run.has_attempts
             if not may_send or not self._budget.take(run.service):
                 decisions.not_retried(run, "stream_broken", budget_left=left)
-                raise _broken() from error
+                raise _broken_error() from error
             try:
                 return await self._attempts.attempt(run, after_event=last)
             except client.EngineError as again:
                 error = again
 
-    async def _whole_events(
+    async def _complete_events(
         self, run: runs.Run, upstream: attempts.Upstream
     ) -> AsyncIterator[events.Event]:
-        cutter = events.EventCutter()
+        splitter = events.EventCutter()
         name = upstream.engine.name
         body = upstream.reply.body
-        pace = _Pace(self._observations, run, upstream, self._clock)
+        estimate = _CompletionEstimate(
+            self._observations, run, upstream, self._clock
+        )
         while True:
             try:
-                limit_ms = self._silence_ms(run, upstream)
+                limit_ms = self._idle_timeout_ms(run, upstream)
                 async with self._clock.timeout_ms(limit_ms):
                     part = await anext(body, None)
             except TimeoutError:
@@ -178,20 +180,20 @@
             if part is None:
                 break
             upstream.has_begun = True
-            for event in cutter.feed(part):
-                pace.event()
+            for event in splitter.feed(part):
+                estimate.event()
                 yield event
-        if cutter.has_partial:
+        if splitter.has_partial:
             fault = client.EngineFault.LOST
             raise client.EngineError(fault, name, "ended inside an event")
 
-    def _note_length(self, run: runs.Run, last: int | None) -> None:
+    def _record_length(self, run: runs.Run, last: int | None) -> None:
         if run.call.work is None or run.traits is None or last is None:
             return
         tokens = last * run.traits.event_tokens
         self._observations.ended(run.call.work.answer_tokens, tokens)
 
-    def _silence_ms(
+    def _idle_timeout_ms(
         self, run: runs.Run, upstream: attempts.Upstream
     ) -> float | None:
         if run.route.repeat is not routes.Repeat.CONTINUE:
@@ -199,7 +201,7 @@
         return SILENCE_MS if upstream.has_begun else FIRST_EVENT_MS
 
 
-class _Pace:
+class _CompletionEstimate:
     """Estimates the total time of an answer from the rate of its events.
 
     Args:
@@ -229,7 +231,7 @@
         if self._count == 1:
             self._first_ms = self._clock.now_ms()
             self._observations.began(self._first_ms - self._upstream.placed_ms)
-        elif self._count == _PACE_EVENTS:
+        elif self._count == _ESTIMATE_EVENTS:
             self._project()
 
     def _project(self) -> None:
@@ -237,7 +239,7 @@
         if work is None or traits is None:
             return
         since_ms = self._clock.now_ms() - self._first_ms
-        event_ms = since_ms / (_PACE_EVENTS - 1)
+        event_ms = since_ms / (_ESTIMATE_EVENTS - 1)
         event_count = work.answer_tokens / traits.event_tokens
         begun_ms = self._first_ms - self._upstream.placed_ms
         self._observations.projected(
@@ -258,7 +260,7 @@
         raise client.EngineError(fault, engine, detail)
 
 
-def _broken() -> errors.WharfError:
+def _broken_error() -> errors.WharfError:
     return errors.WharfError(
         errors.ErrorKind.ANSWER_BROKEN, ran=errors.Ran.UNKNOWN
     )
--- a/src/jujubewharf/forwarding/watched_backends.py
+++ b/src/jujubewharf/forwarding/watched_backends.py
@@ -30,7 +30,7 @@
     ) -> None:
         self._backends = backends
         self._history = history
-        self._looking: set[asyncio.Task[None]] = set()
+        self._checks: set[asyncio.Task[None]] = set()
         # Calls without a caller's request are passed through.
         self.listen = backends.listen
         self.drop_source = backends.drop_source
@@ -56,12 +56,14 @@
                     self._backends.send(endpoint, sending)
                 )
             except client.EngineError as error:
-                await self._failed(endpoint, sending.call, error, stage="run")
+                await self._handle_failure(
+                    endpoint, sending.call, error, stage="run"
+                )
                 raise
-            body = self._body(endpoint, sending.call, reply)
+            body = self._watched_body(endpoint, sending.call, reply)
             yield dataclasses.replace(reply, body=body)
 
-    async def _body(
+    async def _watched_body(
         self,
         endpoint: resources.Endpoint,
         call: calls.Call,
@@ -71,7 +73,7 @@
             async for part in reply.body:
                 yield part
         except client.EngineError as error:
-            await self._failed(endpoint, call, error, stage="run")
+            await self._handle_failure(endpoint, call, error, stage="run")
             raise
 
     async def prefill(
@@ -86,10 +88,12 @@
         try:
             return await self._backends.prefill(endpoint, sending)
         except client.EngineError as error:
-            await self._failed(endpoint, sending.call, error, stage="prefill")
+            await self._handle_failure(
+                endpoint, sending.call, error, stage="prefill"
+            )
             raise
 
-    async def _failed(
+    async def _handle_failure(
         self,
         endpoint: resources.Endpoint,
         call: calls.Call,
@@ -100,14 +104,14 @@
         """Checks whether an engine that lost a request has crashed."""
         if error.fault is not client.EngineFault.LOST:
             return
-        looking = asyncio.ensure_future(self._look(endpoint, call, stage))
-        self._looking.add(looking)
-        looking.add_done_callback(self._looking.discard)
+        check = asyncio.ensure_future(self._check_crash(endpoint, call, stage))
+        self._checks.add(check)
+        check.add_done_callback(self._checks.discard)
         # Continues if the caller disconnects, because the crash must still be
         # recorded before the caller tries again.
-        await asyncio.shield(looking)
+        await asyncio.shield(check)
 
-    async def _look(
+    async def _check_crash(
         self, endpoint: resources.Endpoint, call: calls.Call, stage: str
     ) -> None:
         if await self._backends.has_crashed(endpoint):
--- a/src/jujubewharf/forwarding/watched_places.py
+++ b/src/jujubewharf/forwarding/watched_places.py
@@ -37,7 +37,7 @@
         self._quarantine = quarantine
         self._history = history
         self._waiting: dict[asyncio.Timeout, calls.Call] = {}
-        history.on_quarantine = self._end
+        history.on_quarantine = self._cancel_waits
 
     @contextlib.asynccontextmanager
     async def place(self, run: runs.Run) -> AsyncIterator[places.Place]:
@@ -65,7 +65,7 @@
             finally:
                 self._waiting.pop(scope, None)
 
-    def _end(self, fingerprint: fingerprints.Fingerprint) -> None:
+    def _cancel_waits(self, fingerprint: fingerprints.Fingerprint) -> None:
         """Ends the waits of a request that was quarantined."""
         for scope, call in list(self._waiting.items()):
             if fingerprints.Outline.from_call(call) != fingerprint.outline:
