--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -84,7 +84,7 @@
         backends: ports.Backends,
         registry: registries.Registry,
         places: all_places.Places,
-        budget: budgets.FleetBudget,
+        budget: budgets.FleetRetryBudget,
         observations: observed.Observations,
         limits: all_limits.Permits,
         restraints: all_restraints.Restraints,
--- a/src/jujubewharf/forwarding/budget.py
+++ b/src/jujubewharf/forwarding/budget.py
@@ -12,7 +12,7 @@
 _USABLE_SHARE = 0.85
 
 
-class FleetBudget:
+class FleetRetryBudget:
     """This instance's share of the fleet's retry budget.
 
     Retries are allowed in proportion to the instance's own requests, plus its
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -128,7 +128,7 @@
         )
         self.work = costs.WorkCosts()
         self.crashes = crashes.CrashHistory(clock)
-        self.budget = budget.FleetBudget(
+        self.budget = budget.FleetRetryBudget(
             clock,
             ratio=settings.retries.ratio,
             slack=settings.retries.slack,
--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -120,7 +120,7 @@
         source: RouteSource,
         plain_forwarder: plain.PlainForwarder,
         stream_forwarder: stream.StreamForwarder,
-        budget: budgets.FleetBudget,
+        budget: budgets.FleetRetryBudget,
         quotas: all_quotas.Quotas,
         history: crashes.CrashHistory,
         quarantine: quarantines.Quarantine,
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -54,7 +54,7 @@
         backends: ports.Backends,
         registry: registries.Registry,
         chooser: plain_endpoints.EndpointChooser,
-        budget: budgets.FleetBudget,
+        budget: budgets.FleetRetryBudget,
         limits: all_limits.Permits,
         restraints: all_restraints.Restraints,
         clock: clocks.Clock,
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -47,7 +47,7 @@
     def __init__(
         self,
         sender: attempts.StreamAttempts,
-        budget: budgets.FleetBudget,
+        budget: budgets.FleetRetryBudget,
         observations: observed.Observations,
         clock: clocks.Clock,
     ) -> None:
--- a/tests/forwarding/test_budget.py
+++ b/tests/forwarding/test_budget.py
@@ -8,7 +8,7 @@
 
 
 def _budget(clock, share=1.0):
-    return budgets.FleetBudget(
+    return budgets.FleetRetryBudget(
         clock, ratio=0.2, slack=40.0, window_ms=10_000.0, share=lambda: share
     )
 
