--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -117,7 +117,7 @@
         self._clock = clock
         self._leadership: leadership.Leadership | None = None
         self.admission = shutdown.AdmissionState()
-        self.source = forwarder.RouteSource()
+        self.source = forwarder.ActiveConfiguration()
         self.restraints = restraints.Restraints(clock)
         self.registry = registry.Registry(clock, self.restraints.is_leaving)
         self.restraints.on_leaving = self.registry.begins_to_leave
--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -26,7 +26,7 @@
 _NOT_READY_RETRY_AFTER_MS = 500.0
 
 
-class RouteSource:
+class ActiveConfiguration:
     """The configuration in force, with its route and account tables.
 
     Attributes:
@@ -117,7 +117,7 @@
 
     def __init__(
         self,
-        source: RouteSource,
+        source: ActiveConfiguration,
         plain_forwarder: plain.PlainForwarder,
         stream_forwarder: stream.StreamForwarder,
         budget: budgets.FleetRetryBudget,
--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -230,7 +230,7 @@
 def new_placement_server_of(
     places: placements.Placement,
     observations: observed.Observations,
-    source: forwarder.RouteSource,
+    source: forwarder.ActiveConfiguration,
     fleet_costs: costs.ReportedCosts,
     quotas: servers.FollowerQuotas,
     limits: servers.FollowerLimits,
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -82,7 +82,7 @@
     def __init__(
         self,
         fleet: fleets.Fleet,
-        source: forwarder.RouteSource,
+        source: forwarder.ActiveConfiguration,
         share: Callable[[], float],
         tolerated: settings.QuotaSettings,
         clock: clocks.Clock,
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -114,7 +114,7 @@
         self,
         places: placements.Placement,
         observations: observed.Observations,
-        source: forwarder.RouteSource,
+        source: forwarder.ActiveConfiguration,
         fleet_costs: costs.ReportedCosts,
         quotas: FollowerQuotas,
         limits: FollowerLimits,
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -67,7 +67,7 @@
 
 
 def test_the_same_version_changes_nothing():
-    source = forwarder.RouteSource()
+    source = forwarder.ActiveConfiguration()
     assert source.take(deployments.configuration(3))
     assert not source.take(deployments.configuration(3))
     assert not source.take(deployments.configuration(2))
