--- a/src/jujubewharf/forwarding/events.py
+++ b/src/jujubewharf/forwarding/events.py
@@ -27,7 +27,7 @@
     data: bytes
 
 
-class EventCutter:
+class EventSplitter:
     """Buffers bytes and returns complete events."""
 
     def __init__(self) -> None:
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -163,7 +163,7 @@
     async def _complete_events(
         self, run: runs.Run, upstream: attempts.Upstream
     ) -> AsyncIterator[events.Event]:
-        splitter = events.EventCutter()
+        splitter = events.EventSplitter()
         name = upstream.engine.name
         body = upstream.reply.body
         estimate = _CompletionEstimate(
--- a/tests/forwarding/test_events.py
+++ b/tests/forwarding/test_events.py
@@ -15,7 +15,7 @@
 @given(strategies.lists(strategies.integers(0, len(STREAM)), max_size=6))
 def test_any_split_gives_the_same_events(cuts):
     places = [0, *sorted(cuts), len(STREAM)]
-    cutter = events.EventCutter()
+    cutter = events.EventSplitter()
     found = [
         event
         for start, end in itertools.pairwise(places)
@@ -27,7 +27,7 @@
 
 
 def test_a_part_of_an_event_is_kept_back():
-    cutter = events.EventCutter()
+    cutter = events.EventSplitter()
     found = cutter.feed(b"id: 7\ndata: x\n\nid: 8\nda")
     assert [event.number for event in found] == [7]
     assert cutter.has_partial
