--- a/src/jujubewharf/forwarding/limits.py
+++ b/src/jujubewharf/forwarding/limits.py
@@ -37,7 +37,7 @@
         ...
 
 
-class LimitLedger:
+class EndpointRateLimiter:
     """Token buckets that enforce the rate limits of endpoints.
 
     Args:
--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -56,7 +56,7 @@
         self._clock = clock
         self._rng = rng
         self._role = fleets.Role.ALONE
-        self._ledger = limits.LimitLedger(rng.random)
+        self._ledger = limits.EndpointRateLimiter(rng.random)
         restraints.on_news = self._spread
 
     async def take(self, endpoint: str) -> bool:
@@ -104,7 +104,7 @@
         """
         self._role = role
         is_leading = role is fleets.Role.LEADING
-        self._ledger = limits.LimitLedger(
+        self._ledger = limits.EndpointRateLimiter(
             (lambda: 0.0) if is_leading else self._rng.random
         )
 
