--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -77,7 +77,7 @@
     last_retry_ms: float = 0.0
 
 
-class QuotaLedger:
+class QuotaBuckets:
     """Token buckets of all accounts.
 
     A request is admitted while any units are left, and may take its bucket into
--- a/src/jujubewharf/leadership/account_feed.py
+++ b/src/jujubewharf/leadership/account_feed.py
@@ -23,7 +23,7 @@
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._ledger = quotas.QuotaLedger()
+        self._ledger = quotas.QuotaBuckets()
 
     @property
     def low(self) -> frozenset[str]:
@@ -48,7 +48,7 @@
     def take(
         self, name: str, quota: accounts.Quota, units: float, *, debt: float
     ) -> float:
-        """Takes units of a low account; see ``quotas.QuotaLedger.take``."""
+        """Takes units of a low account; see ``quotas.QuotaBuckets.take``."""
         if not self._ledger.knows(name):
             return 0.0
         now_ms = self._clock.now_ms()
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -96,8 +96,8 @@
         self._clock = clock
         self._rng = rng
         self._role = fleets.Role.ALONE
-        self._led = quotas.QuotaLedger(clock.now_ms())
-        self._alone = quotas.QuotaLedger(clock.now_ms())
+        self._led = quotas.QuotaBuckets(clock.now_ms())
+        self._alone = quotas.QuotaBuckets(clock.now_ms())
         # Units per account that have not been reported to the leader.
         self._untold: dict[str, float] = collections.defaultdict(float)
         self._has_news = asyncio.Event()
@@ -161,7 +161,7 @@
         return max(self._largest.get(name, 0.0), quota.burst * _LARGE_PART)
 
     @property
-    def _ledger(self) -> quotas.QuotaLedger:
+    def _ledger(self) -> quotas.QuotaBuckets:
         """Ledger of the current role."""
         return self._led if self._role is fleets.Role.LEADING else self._alone
 
--- a/tests/forwarding/test_quotas.py
+++ b/tests/forwarding/test_quotas.py
@@ -13,8 +13,8 @@
 NAME = "shop"
 
 
-def _full() -> quotas.QuotaLedger:
-    ledger = quotas.QuotaLedger()
+def _full() -> quotas.QuotaBuckets:
+    ledger = quotas.QuotaBuckets()
     ledger.put(NAME, QUOTA.burst, 0.0)
     return ledger
 
@@ -71,7 +71,7 @@
 
 
 def test_a_count_begun_anew_grants_no_second_burst():
-    ledger = quotas.QuotaLedger(5_000.0)
+    ledger = quotas.QuotaBuckets(5_000.0)
     assert ledger.left(NAME, QUOTA, 5_000.0) < QUOTA.burst / 2
     # First seen long after counting started: the whole burst is available.
     assert ledger.left("other", QUOTA, 9_000.0) == QUOTA.burst
