--- a/src/jujubewharf/forwarding/refusals.py
+++ b/src/jujubewharf/forwarding/refusals.py
@@ -10,18 +10,18 @@
 
 # Callers retry requests that got one of these, even non-idempotent ones,
 # because they take them to mean that the request was not processed.
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 _GATEWAY_TIMEOUT = 504
 
 
 def status_of(error: errors.WharfError) -> int:
     """Returns the HTTP status of an error.
 
-    Statuses in ``PROMISES`` are only used if the request was certainly not
-    processed; otherwise they are replaced by 504.
+    Statuses in ``NOT_RUN_STATUSES`` are only used if the request was certainly
+    not processed; otherwise they are replaced by 504.
     """
     status = error.answer.http_status
-    if status in PROMISES and error.ran is not errors.Ran.NO:
+    if status in NOT_RUN_STATUSES and error.ran is not errors.Ran.NO:
         return _GATEWAY_TIMEOUT
     return status
 
--- a/tests/forwarding/test_refusals.py
+++ b/tests/forwarding/test_refusals.py
@@ -12,5 +12,5 @@
 @pytest.mark.parametrize("ran", list(errors.Ran))
 def test_promises_are_kept(kind, ran):
     status = refusals.status_of(errors.WharfError(kind, ran=ran))
-    if status in refusals.PROMISES:
+    if status in refusals.NOT_RUN_STATUSES:
         assert ran is errors.Ran.NO
