--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -26,7 +26,7 @@
 # Time without an event after which a resumable stream is moved to another
 # engine. Longer than the pauses in which an engine frees memory for other
 # requests.
-SILENCE_MS = 1_000.0
+IDLE_TIMEOUT_MS = 1_000.0
 # The same for the first event, which waits for the prefill result or for
 # prefill.
 FIRST_EVENT_MS = 1_500.0
@@ -198,7 +198,7 @@
     ) -> float | None:
         if run.route.repeat is not routes.Repeat.CONTINUE:
             return None
-        return SILENCE_MS if upstream.has_begun else FIRST_EVENT_MS
+        return IDLE_TIMEOUT_MS if upstream.has_begun else FIRST_EVENT_MS
 
 
 class _CompletionEstimate:
