--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -29,7 +29,7 @@
 IDLE_TIMEOUT_MS = 1_000.0
 # The same for the first event, which waits for the prefill result or for
 # prefill.
-FIRST_EVENT_MS = 1_500.0
+FIRST_EVENT_TIMEOUT_MS = 1_500.0
 # Number of events from which the total time of an answer is extrapolated.
 _ESTIMATE_EVENTS = 8
 
@@ -198,7 +198,7 @@
     ) -> float | None:
         if run.route.repeat is not routes.Repeat.CONTINUE:
             return None
-        return IDLE_TIMEOUT_MS if upstream.has_begun else FIRST_EVENT_MS
+        return IDLE_TIMEOUT_MS if upstream.has_begun else FIRST_EVENT_TIMEOUT_MS
 
 
 class _CompletionEstimate:
