--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -28,7 +28,7 @@
 # Bounds the trials of one request, since each may crash an engine.
 _MAX_TRIALS = 2
 # Retention of crashes, after which a wrongly quarantined request is released.
-KEPT_MS = 600_000.0
+RETENTION_MS = 600_000.0
 # Bound the memory, because callers can send any number of distinct requests.
 MOST_RECORDS = 1_024
 _MAX_CRASHES = 8
@@ -126,7 +126,7 @@
         record = self._get_or_create(fingerprint, label=call.request_id)
         is_new = engine not in record.crashes_ms
         record.crashes_ms.setdefault(engine, self._clock.now_ms())
-        record.remove_expired(self._clock.now_ms() - KEPT_MS)
+        record.remove_expired(self._clock.now_ms() - RETENTION_MS)
         beliefs.engine_crashed(
             call.request_id,
             engine,
@@ -167,7 +167,7 @@
         record.trials = max(record.trials, report.trials)
         for crash in report.crashes:
             record.crashes_ms.setdefault(crash.engine, now_ms - crash.age_ms)
-        record.remove_expired(now_ms - KEPT_MS)
+        record.remove_expired(now_ms - RETENTION_MS)
         if record.snapshot() == before:
             return False
         self._notify_quarantine(report.fingerprint)
@@ -214,7 +214,7 @@
         record = self._find(call)
         if record is None:
             return 0
-        record.remove_expired(self._clock.now_ms() - KEPT_MS)
+        record.remove_expired(self._clock.now_ms() - RETENTION_MS)
         return len(record.crashes_ms)
 
     def is_quarantined(self, call: calls.Call) -> bool:
@@ -234,7 +234,7 @@
             # The receiving instance has a record that has not arrived here.
             return False
         now_ms = self._clock.now_ms()
-        record.remove_expired(now_ms - KEPT_MS)
+        record.remove_expired(now_ms - RETENTION_MS)
         if len(record.crashes_ms) > QUARANTINE_CRASHES:
             return False
         if record.trials and now_ms - record.trial_ms < TRIAL_MS:
@@ -308,7 +308,7 @@
             self._remove(self._eviction_candidate())
 
     def _remove_expired(self) -> None:
-        oldest_ms = self._clock.now_ms() - KEPT_MS
+        oldest_ms = self._clock.now_ms() - RETENTION_MS
         for fingerprint, record in list(self._records.items()):
             record.remove_expired(oldest_ms)
             if record.changed_ms <= oldest_ms:
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -95,7 +95,7 @@
         _crash(history, world.call(), "a")
         await world.clock.sleep_ms(1_000.0)
         _crash(history, world.call(), "b", "c")
-        await world.clock.sleep_ms(crashes.KEPT_MS - 500.0)
+        await world.clock.sleep_ms(crashes.RETENTION_MS - 500.0)
         assert not _is_quarantined(history, world.call())
         _crash(history, world.call(), "d")
         assert _is_quarantined(history, world.call())
@@ -199,7 +199,7 @@
                 second.learn(report)
             for report in second.reports():
                 first.learn(report)
-            await world.clock.sleep_ms(crashes.KEPT_MS / 20)
+            await world.clock.sleep_ms(crashes.RETENTION_MS / 20)
         assert len(first) == len(second) == 0
 
     _run(test)
--- a/tests/leadership/test_crash_keeper.py
+++ b/tests/leadership/test_crash_keeper.py
@@ -134,7 +134,7 @@
     async def main():
         async with _world() as world:
             _crash(world, "a", "b", "c")
-            await world.clock.sleep_ms(crashes.KEPT_MS + 120_000.0)
+            await world.clock.sleep_ms(crashes.RETENTION_MS + 120_000.0)
             assert (await world.crashes.newest()).records == ()
 
     deployments.run(main())
