--- a/benchmarks/crash_checks.py
+++ b/benchmarks/crash_checks.py
@@ -57,7 +57,7 @@
     print(f"record in the store: {len(kept)} bytes")
     for crashes_each in (1, 8):
         tracemalloc.start()
-        history = _history(crashes.MOST_RECORDS, crashes_each=crashes_each)
+        history = _history(crashes.MAX_RECORDS, crashes_each=crashes_each)
         size_bytes, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         print(
--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -30,7 +30,7 @@
 # Retention of crashes, after which a wrongly quarantined request is released.
 RETENTION_MS = 600_000.0
 # Bound the memory, because callers can send any number of distinct requests.
-MOST_RECORDS = 1_024
+MAX_RECORDS = 1_024
 _MAX_CRASHES = 8
 _MAX_LABEL_CHARS = 64
 # Tolerance for timestamps of one event that two instances compute from ages.
@@ -301,10 +301,10 @@
         account that sends many distinct requests thus cannot evict the records
         of other accounts.
         """
-        if len(self._records) < MOST_RECORDS:
+        if len(self._records) < MAX_RECORDS:
             return
         self._remove_expired()
-        while len(self._records) >= MOST_RECORDS:
+        while len(self._records) >= MAX_RECORDS:
             self._remove(self._eviction_candidate())
 
     def _remove_expired(self) -> None:
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -112,10 +112,10 @@
         _crash(history, known, "a", "b", "c")
         sure = world.call(b"sure", account="large")
         _crash(history, sure, "a", "b", "c")
-        for number in range(3 * crashes.MOST_RECORDS):
+        for number in range(3 * crashes.MAX_RECORDS):
             made_up = world.call(b"%d" % number, account="large")
             _crash(history, made_up, f"e{number}")
-        assert len(history) <= crashes.MOST_RECORDS
+        assert len(history) <= crashes.MAX_RECORDS
         assert _is_quarantined(history, known)
         assert _is_quarantined(history, sure)
 
