--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -24,7 +24,7 @@
 # Number of crashes that quarantines a request. One or two can be coincidence.
 QUARANTINE_CRASHES = 3
 # Time after which a trial is considered to have ended without a result.
-TRIAL_MS = 15_000.0
+TRIAL_TIMEOUT_MS = 15_000.0
 # Bounds the trials of one request, since each may crash an engine.
 _MAX_TRIALS = 2
 # Retention of crashes, after which a wrongly quarantined request is released.
@@ -237,7 +237,7 @@
         record.remove_expired(now_ms - RETENTION_MS)
         if len(record.crashes_ms) > QUARANTINE_CRASHES:
             return False
-        if record.trials and now_ms - record.trial_ms < TRIAL_MS:
+        if record.trials and now_ms - record.trial_ms < TRIAL_TIMEOUT_MS:
             return False
         if record.trials >= _MAX_TRIALS:
             return False
