--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -361,7 +361,7 @@
         ):
             yield reply
 
-    def take_settings(self, settings: all_settings.ForwardingSettings) -> None:
+    def apply_settings(self, settings: all_settings.ForwardingSettings) -> None:
         """Applies settings that can change while the process runs."""
         self._settings = settings
         self.quotas.tolerated = settings.quotas
--- a/tests/forwarding/test_reloading.py
+++ b/tests/forwarding/test_reloading.py
@@ -119,7 +119,7 @@
                 test_settings.GOOD
                 | {"retries": {"ratio": 0.0, "slack": 0.0, "window_s": 10}}
             )
-            instance.take_settings(settings)
+            instance.apply_settings(settings)
             assert instance.retries_left()[deployments.PLAIN] <= 0.0
 
     deployments.run(main())
