--- a/src/jujubewharf/experiments/request_costs.py
+++ b/src/jujubewharf/experiments/request_costs.py
@@ -207,7 +207,7 @@
     tracemalloc.start()
     holders = claim_records.Holders()
     for number in range(20_000):
-        holders.fold(_claim(number))
+        holders.apply(_claim(number))
     held_bytes = tracemalloc.get_traced_memory()[0] / 20_000
     tracemalloc.stop()
     _print(
--- a/src/jujubewharf/requests/claim_records.py
+++ b/src/jujubewharf/requests/claim_records.py
@@ -80,7 +80,7 @@
     def __len__(self) -> int:
         return len(self._claims)
 
-    def fold(self, claim: ClaimRecord) -> None:
+    def apply(self, claim: ClaimRecord) -> None:
         """Applies the next claim of the log."""
         held = self._claims.get(claim.key)
         if held is None or held.request_id == claim.replaces:
--- a/src/jujubewharf/requests/claim_shard.py
+++ b/src/jujubewharf/requests/claim_shard.py
@@ -279,7 +279,7 @@
     def _apply(self, record: log.LogRecord) -> None:
         batch = claim_records.decode(record.payload)
         for claim in batch.claims:
-            self.holders.fold(claim)
+            self.holders.apply(claim)
             if not claim.is_dated:
                 self._appended_wall_ms[claim.key] = batch.appended_wall_ms
 
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -287,7 +287,7 @@
         _claim("r4", replaces="r1"),
         _claim("r1"),
     ):
-        holders.fold(claim)
+        holders.apply(claim)
     assert holders.get(b"k").request_id == "r3"
 
 
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -91,7 +91,7 @@
     payload = claim_records.encode(claim_records.Batch(0.0, tuple(wanted)))
     (offset,) = await self._log.append(self._stream, [payload])
     for claim in wanted:
-        self.holders.fold(claim)
+        self.holders.apply(claim)
     self._next_offset = offset + 1
 
 
@@ -205,7 +205,7 @@
     Off(
         "the first claim in log order holds",
         claim_records.Holders,
-        "fold",
+        "apply",
         _last_wins,
         test_claims.test_the_fold_knows_one_holder_and_one_successor,
     ),
