--- a/src/jujubewharf/requests/claim_shard.py
+++ b/src/jujubewharf/requests/claim_shard.py
@@ -63,15 +63,15 @@
         dated_ms: Keys with a creation time are refused before this age, and
             their claims are removed after it.
         undated_ms: Claims of other keys are removed after this age.
-        carry_after_ms: Age at which a claim without a creation time is appended
-            again, before the log's retention drops it. Claims with a creation
-            time expire before that.
+        reappend_after_ms: Age at which a claim without a creation time is
+            appended again, before the log's retention drops it. Claims with a
+            creation time expire before that.
         carry_every_ms: Interval between checks for such claims.
     """
 
     dated_ms: float = 900_000.0
     undated_ms: float = 86_400_000.0
-    carry_after_ms: float = 900_000.0
+    reappend_after_ms: float = 900_000.0
     carry_every_ms: float = 60_000.0
 
 
@@ -174,11 +174,11 @@
         due = [
             claim
             for claim in self.holders.older_than(
-                wall_ms - self._windows.carry_after_ms
+                wall_ms - self._windows.reappend_after_ms
             )
             if not claim.is_dated
             and wall_ms - self._appended_wall_ms.get(claim.key, 0.0)
-            >= self._windows.carry_after_ms
+            >= self._windows.reappend_after_ms
         ]
         for start in range(0, len(due), MAX_BATCH):
             await self._append(due[start : start + MAX_BATCH])
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -225,7 +225,7 @@
 WINDOWS = claim_shard.Windows(
     dated_ms=20_000,
     undated_ms=200_000,
-    carry_after_ms=8_000,
+    reappend_after_ms=8_000,
     carry_every_ms=4_000,
 )
 
