--- a/src/jujubewharf/requests/claim_shard.py
+++ b/src/jujubewharf/requests/claim_shard.py
@@ -66,13 +66,13 @@
         reappend_after_ms: Age at which a claim without a creation time is
             appended again, before the log's retention drops it. Claims with a
             creation time expire before that.
-        carry_every_ms: Interval between checks for such claims.
+        reappend_interval_ms: Interval between checks for such claims.
     """
 
     dated_ms: float = 900_000.0
     undated_ms: float = 86_400_000.0
     reappend_after_ms: float = 900_000.0
-    carry_every_ms: float = 60_000.0
+    reappend_interval_ms: float = 60_000.0
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/jujubewharf/requests/claims.py
+++ b/src/jujubewharf/requests/claims.py
@@ -295,7 +295,7 @@
                 await self._carry_owned()
             except (log.LogUnavailableError, log.AppendUnknownError) as error:
                 self._logger.warning("claims_not_carried", why=str(error))
-            await self._clock.sleep_ms(self._windows.carry_every_ms)
+            await self._clock.sleep_ms(self._windows.reappend_interval_ms)
 
     async def _carry_owned(self) -> None:
         for number in range(claim_shard.SHARDS):
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -226,7 +226,7 @@
     dated_ms=20_000,
     undated_ms=200_000,
     reappend_after_ms=8_000,
-    carry_every_ms=4_000,
+    reappend_interval_ms=4_000,
 )
 
 
