--- a/src/jujubewharf/requests/claim_shard.py
+++ b/src/jujubewharf/requests/claim_shard.py
@@ -161,7 +161,7 @@
             if offset >= page.next_offset:
                 return
 
-    async def carry(self) -> None:
+    async def reappend(self) -> None:
         """Appends claims again before the log's retention drops them.
 
         Raises:
--- a/src/jujubewharf/requests/claims.py
+++ b/src/jujubewharf/requests/claims.py
@@ -301,7 +301,7 @@
         for number in range(claim_shard.SHARDS):
             owners = self._owners(number)
             if owners and owners[0] == self._instance:
-                await self._shard(number).carry()
+                await self._shard(number).reappend()
             else:
                 self._shards.pop(number, None)
 
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -235,7 +235,7 @@
     Off(
         "undated claims are carried on",
         claim_shard.ClaimShard,
-        "carry",
+        "reappend",
         _nothing,
         test_claims.test_an_undated_key_is_carried_beyond_the_logs_retention,
     ),
