--- a/src/jujubewharf/requests/claim_shard.py
+++ b/src/jujubewharf/requests/claim_shard.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Windows:
+class Retention:
     """Retention periods of keys and claims.
 
     Attributes:
@@ -88,7 +88,7 @@
         shard: Number of the shard.
         platform_log: Log of the platform.
         clock: Source of time and timeouts.
-        windows: Retention periods.
+        retention: Retention periods.
 
     Attributes:
         appends: Number of appends that the log confirmed.
@@ -100,14 +100,14 @@
         shard: int,
         platform_log: log.Log,
         clock: clocks.Clock,
-        windows: Windows,
+        retention: Retention,
     ) -> None:
         self.appends = 0
         self.holders = claim_records.Holders()
         self._stream = stream_of(shard)
         self._log = platform_log
         self._clock = clock
-        self._windows = windows
+        self._retention = retention
         self._next_offset: int | None = None
         self._appended_wall_ms: dict[bytes, float] = {}
         self._waiting: list[_PendingClaim] = []
@@ -174,11 +174,11 @@
         due = [
             claim
             for claim in self.holders.older_than(
-                wall_ms - self._windows.reappend_after_ms
+                wall_ms - self._retention.reappend_after_ms
             )
             if not claim.is_dated
             and wall_ms - self._appended_wall_ms.get(claim.key, 0.0)
-            >= self._windows.reappend_after_ms
+            >= self._retention.reappend_after_ms
         ]
         for start in range(0, len(due), MAX_BATCH):
             await self._append(due[start : start + MAX_BATCH])
@@ -241,7 +241,7 @@
 
     def _refuse_old(self, batch: list[_PendingClaim]) -> None:
         """Refuses keys well before their claims may be removed."""
-        oldest_ms = self._clock.wall_ms() - self._windows.dated_ms / 2
+        oldest_ms = self._clock.wall_ms() - self._retention.dated_ms / 2
         for pending in batch:
             claim = pending.claim
             if claim.is_dated and claim.wall_ms < oldest_ms:
@@ -288,8 +288,8 @@
         if wall_ms - self._last_expiry_wall_ms < _EXPIRE_INTERVAL_MS:
             return
         self._last_expiry_wall_ms = wall_ms
-        dated_ms = wall_ms - self._windows.dated_ms
-        undated_ms = wall_ms - self._windows.undated_ms
+        dated_ms = wall_ms - self._retention.dated_ms
+        undated_ms = wall_ms - self._retention.undated_ms
         due = [
             claim
             for claim in self.holders.older_than(dated_ms)
--- a/src/jujubewharf/requests/claims.py
+++ b/src/jujubewharf/requests/claims.py
@@ -37,7 +37,7 @@
 _MAX_ABANDONED = 20_000
 _MAX_CLOCK_SKEW_MS = 60_000.0
 _UUID7_MS_SHIFT = 80
-_DEFAULT_WINDOWS = claim_shard.Windows()
+_DEFAULT_RETENTION = claim_shard.Retention()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
         membership: Instances that are present.
         platform_log: Log of the platform.
         clock: Source of time and timeouts.
-        windows: Retention periods of keys and claims.
+        retention: Retention periods of keys and claims.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         platform_log: log.Log,
         clock: clocks.Clock,
         *,
-        windows: claim_shard.Windows = _DEFAULT_WINDOWS,
+        retention: claim_shard.Retention = _DEFAULT_RETENTION,
     ) -> None:
         super().__init__()
         self._instance = instance
@@ -96,7 +96,7 @@
         self._membership = membership
         self._log = platform_log
         self._clock = clock
-        self._windows = windows
+        self._retention = retention
         self._shards: dict[int, claim_shard.ClaimShard] = {}
         self._abandoned: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
@@ -131,7 +131,7 @@
         if created_ms is None:
             return None
         age_ms = self._clock.wall_ms() - created_ms
-        if age_ms > self._windows.dated_ms / 2:
+        if age_ms > self._retention.dated_ms / 2:
             raise errors.WharfError(errors.ErrorKind.KEY_EXPIRED)
         if age_ms < -_MAX_CLOCK_SKEW_MS:
             detail = "The key's time lies in the future."
@@ -274,7 +274,7 @@
         shard = self._shards.get(number)
         if shard is None:
             shard = claim_shard.ClaimShard(
-                number, self._log, self._clock, self._windows
+                number, self._log, self._clock, self._retention
             )
             self._shards[number] = shard
         return shard
@@ -295,7 +295,7 @@
                 await self._carry_owned()
             except (log.LogUnavailableError, log.AppendUnknownError) as error:
                 self._logger.warning("claims_not_carried", why=str(error))
-            await self._clock.sleep_ms(self._windows.reappend_interval_ms)
+            await self._clock.sleep_ms(self._retention.reappend_interval_ms)
 
     async def _carry_owned(self) -> None:
         for number in range(claim_shard.SHARDS):
--- a/tests/requests/deployments.py
+++ b/tests/requests/deployments.py
@@ -69,7 +69,7 @@
         service: Fields of the service.
         specs: Fields of an engine's spec, by engine name.
         seed: Seed of the bench.
-        windows: Retention periods of claims; ``None`` for the default.
+        retention: Retention periods of claims; ``None`` for the default.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         service=None,
         specs=None,
         seed=1,
-        windows=None,
+        retention=None,
         **bench,
     ):
         self.bench = benches.Bench(seed=seed, **bench)
@@ -98,7 +98,7 @@
         self._names = [f"p{i + 1}" for i in range(prefillers)]
         self._names += [f"d{i + 1}" for i in range(decoders)]
         self._specs = specs or {}
-        self._windows = windows
+        self._retention = retention
         self._numbers = itertools.count(1)
 
     async def start(self):
@@ -108,17 +108,17 @@
             await self._add_engine(name, domains[place % len(domains)])
         for name, domain in self._instances.items():
             await self.bench.start_instance(name, domain, policy=self.policy)
-            self._set_windows(name)
+            self._set_retention(name)
         await self.clock.sleep_ms(2_500)
         return self
 
     async def restart(self, name):
         await self.bench.restart_instance(name)
-        self._set_windows(name)
+        self._set_retention(name)
 
-    def _set_windows(self, name):
-        if self._windows is not None:
-            self.core(name).claims._windows = self._windows
+    def _set_retention(self, name):
+        if self._retention is not None:
+            self.core(name).claims._retention = self._retention
 
     async def _add_engine(self, name, domain):
         is_prefill = name.startswith("p")
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -222,7 +222,7 @@
     assert dispatches == 1
 
 
-WINDOWS = claim_shard.Windows(
+RETENTION = claim_shard.Retention(
     dated_ms=20_000,
     undated_ms=200_000,
     reappend_after_ms=8_000,
@@ -249,7 +249,9 @@
         again = await d.ask(once(d, key), asked)
         return first, again[-1], d.dispatches()
 
-    first, again, dispatches = run(story, retention_ms=25_000, windows=WINDOWS)
+    first, again, dispatches = run(
+        story, retention_ms=25_000, retention=RETENTION
+    )
     assert deployments.is_whole(first)
     assert deployments.kind_of(again) is errors.ErrorKind.KEY_EXPIRED
     assert deployments.ran_of(again) is errors.Ran.UNKNOWN
@@ -267,7 +269,7 @@
         again = await d.ask(once(d), "e2")
         return again[-1], d.dispatches()
 
-    again, dispatches = run(story, retention_ms=25_000, windows=WINDOWS)
+    again, dispatches = run(story, retention_ms=25_000, retention=RETENTION)
     assert deployments.ran_of(again) is errors.Ran.UNKNOWN
     assert dispatches == 1
 
