--- a/src/jujubewharf/requests/claims.py
+++ b/src/jujubewharf/requests/claims.py
@@ -32,7 +32,7 @@
 _DID_NOT_RUN_DETAIL = (
     "This sending did not run; an earlier one of its key may have."
 )
-_FIRST_CARRY_DELAY_MS = 1_000.0
+_FIRST_REAPPEND_DELAY_MS = 1_000.0
 _MAX_TRIES = 3
 _MAX_ABANDONED = 20_000
 _MAX_CLOCK_SKEW_MS = 60_000.0
@@ -284,20 +284,20 @@
         return hashing.rank(claim_shard.stream_of(shard), names)
 
     @mode.Service.task
-    async def _carry(self) -> None:
+    async def _reappend(self) -> None:
         """Keeps owned shards in memory and their claims on the log.
 
         Claims in memory can be looked up while the log is unavailable.
         """
-        await self._clock.sleep_ms(_FIRST_CARRY_DELAY_MS)
+        await self._clock.sleep_ms(_FIRST_REAPPEND_DELAY_MS)
         while not self.should_stop:
             try:
-                await self._carry_owned()
+                await self._reappend_owned()
             except (log.LogUnavailableError, log.AppendUnknownError) as error:
                 self._logger.warning("claims_not_carried", why=str(error))
             await self._clock.sleep_ms(self._retention.reappend_interval_ms)
 
-    async def _carry_owned(self) -> None:
+    async def _reappend_owned(self) -> None:
         for number in range(claim_shard.SHARDS):
             owners = self._owners(number)
             if owners and owners[0] == self._instance:
