--- a/src/jujubewharf/requests/answers.py
+++ b/src/jujubewharf/requests/answers.py
@@ -125,7 +125,7 @@
 
     async def on_stop(self) -> None:
         """Hands over answers, cancels running requests, flushes releases."""
-        await self._handover.give_all(_HANDOVER_TIMEOUT_MS)
+        await self._handover.hand_over_all(_HANDOVER_TIMEOUT_MS)
         tasks = [held.task for held in self._by_id.values() if held.task]
         for task in tasks:
             task.cancel()
--- a/src/jujubewharf/requests/handover.py
+++ b/src/jujubewharf/requests/handover.py
@@ -45,7 +45,7 @@
         self._clock = clock
         peers.handle(key_messages.HandOver, self._on_hand_over)
 
-    async def give_all(self, timeout_ms: float) -> int:
+    async def hand_over_all(self, timeout_ms: float) -> int:
         """Hands over all finished answers that callers may ask for again.
 
         Args:
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -288,7 +288,7 @@
     Off(
         "answers are handed over at a shutdown",
         handover.Handover,
-        "give_all",
+        "hand_over_all",
         _nothing,
         lambda: (
             test_answers.test_a_finished_answer_outlives_its_instances_shutdown(
