--- a/src/jujubewharf/requests/keys.py
+++ b/src/jujubewharf/requests/keys.py
@@ -149,7 +149,7 @@
         """Returns the homes of a key by this instance's current membership."""
         return homes_of(key, self._membership.present())
 
-    def places(self, key: bytes) -> list[Home]:
+    def home_processes(self, key: bytes) -> list[Home]:
         """Returns the homes of a key with the incarnation of each."""
         return [
             Home(name, self._incarnation_of(name)) for name in self.homes(key)
--- a/src/jujubewharf/requests/ownership.py
+++ b/src/jujubewharf/requests/ownership.py
@@ -145,7 +145,7 @@
                 # A failure domain that is cut off from both homes continues to
                 # serve. Requests that are not repeatable still need a claim.
                 return True
-            self.homes_of[held.key] = self._homes.places(held.key)
+            self.homes_of[held.key] = self._homes.home_processes(held.key)
             if record.request_id == request.request_id:
                 return True
             if record.body != held.body:
--- a/src/jujubewharf/requests/rehoming.py
+++ b/src/jujubewharf/requests/rehoming.py
@@ -64,7 +64,7 @@
 
     async def _copy_record(self, record: keys.KeyRecord) -> None:
         known_homes = self._homes_of.get(record.key, [])
-        homes = self._homes.places(record.key)
+        homes = self._homes.home_processes(record.key)
         if homes == known_homes:
             return
         self._homes_of[record.key] = homes
