--- a/src/jujubewharf/requests/keys.py
+++ b/src/jujubewharf/requests/keys.py
@@ -199,7 +199,7 @@
             return found if found.request_id else None
         raise HomesUnreachableError
 
-    def note_dispatch(
+    def send_dispatch(
         self, key: bytes, attempt_id: str, engines: tuple[str, ...]
     ) -> None:
         """Informs the homes what to release if this instance is lost."""
--- a/src/jujubewharf/requests/ownership.py
+++ b/src/jujubewharf/requests/ownership.py
@@ -102,7 +102,7 @@
             return life.Hooks(may_have_run=held.may_have_run)
 
         def on_dispatch(attempt_id: str, engines: tuple[str, ...]) -> None:
-            self._homes.note_dispatch(held.key, attempt_id, engines)
+            self._homes.send_dispatch(held.key, attempt_id, engines)
 
         async def confirm() -> None:
             # A claimed request can't be taken over, whatever the records at the
