--- a/src/jujubewharf/requests/answer.py
+++ b/src/jujubewharf/requests/answer.py
@@ -62,7 +62,7 @@
             self.end = end
             self._wake()
 
-    async def wait_beyond(self, index: int, until_ms: float) -> bool:
+    async def wait_for_token(self, index: int, until_ms: float) -> bool:
         """Waits until the token at ``index`` exists or the answer has ended.
 
         Args:
--- a/src/jujubewharf/requests/answers.py
+++ b/src/jujubewharf/requests/answers.py
@@ -292,7 +292,7 @@
         held.was_pulled = True
         try:
             until_ms = self._clock.now_ms() + message.wait_ms
-            await held.answer.wait_beyond(message.first_index, until_ms)
+            await held.answer.wait_for_token(message.first_index, until_ms)
         finally:
             held.pulls -= 1
             self._on_reader_left(held)
