--- a/src/jujubewharf/requests/relay.py
+++ b/src/jujubewharf/requests/relay.py
@@ -25,7 +25,7 @@
     {errors.ErrorKind.CANCELLED, errors.ErrorKind.SHUTTING_DOWN}
 )
 
-AskSelf = Callable[[key_messages.Pull], Awaitable[key_messages.Pulled]]
+PullHandler = Callable[[key_messages.Pull], Awaitable[key_messages.Pulled]]
 
 
 class Ending(enum.Enum):
@@ -78,7 +78,7 @@
         peers: network.PeerNetwork,
         membership: views.MembershipView,
         clock: clocks.Clock,
-        ask_self: AskSelf,
+        ask_self: PullHandler,
     ) -> None:
         self._peers = peers
         self._membership = membership
