--- a/src/jujubewharf/requests/sweep.py
+++ b/src/jujubewharf/requests/sweep.py
@@ -34,7 +34,7 @@
 
 SWEEP_EVERY_MS = 2_000.0
 GRACE_MS = 1_000.0
-SILENT_OWNER_MS = 8_000.0
+OWNER_TIMEOUT_MS = 8_000.0
 _ASK_TIMEOUT_MS = 1_000.0
 _MAX_INTERMEDIARIES = 2
 
@@ -198,7 +198,7 @@
             (engine, attempt_id), _Unconfirmed(now_ms)
         )
         unconfirmed.checks += 1
-        is_old = now_ms - unconfirmed.since_ms >= SILENT_OWNER_MS
+        is_old = now_ms - unconfirmed.since_ms >= OWNER_TIMEOUT_MS
         return is_old and unconfirmed.checks > 1
 
     def _free(
