--- a/src/jujubewharf/requests/sweep.py
+++ b/src/jujubewharf/requests/sweep.py
@@ -38,7 +38,7 @@
 _ASK_TIMEOUT_MS = 1_000.0
 _MAX_INTERMEDIARIES = 2
 
-Current = Callable[[], states.State]
+StateProvider = Callable[[], states.State]
 
 
 @dataclasses.dataclass(slots=True)
@@ -71,7 +71,7 @@
     def __init__(
         self,
         instance: str,
-        current: Current,
+        current: StateProvider,
         fleet: fleets.Fleet,
         releaser: releases.Releaser,
         peers: network.PeerNetwork,
