--- a/src/jujubewharf/requests/limits.py
+++ b/src/jujubewharf/requests/limits.py
@@ -128,7 +128,7 @@
         self._cleanup_threshold = _CLEANUP_THRESHOLD
 
     @property
-    def accounts_held(self) -> int:
+    def tracked_accounts(self) -> int:
         """Number of accounts whose usage is tracked."""
         return len(self._shares)
 
--- a/tests/requests/test_limits.py
+++ b/tests/requests/test_limits.py
@@ -214,6 +214,6 @@
         for name in accounts:
             await _hold(limited, 0, account=name, service=WIDE)
             await clocks.Clock().sleep_ms(10)
-        assert limited.accounts_held <= 1_024
+        assert limited.tracked_accounts <= 1_024
 
     virtual_time.run(main())
