--- a/src/jujubewharf/requests/limits.py
+++ b/src/jujubewharf/requests/limits.py
@@ -40,7 +40,7 @@
 )
 
 
-def one_member() -> int:
+def single_member() -> int:
     """Returns 1, for an instance that doesn't know of others."""
     return 1
 
@@ -118,7 +118,7 @@
         clock: clocks.Clock,
         account_of: AccountOf,
         *,
-        member_count: MemberCount = one_member,
+        member_count: MemberCount = single_member,
     ) -> None:
         self._clock = clock
         self._account_of = account_of
