--- a/src/jujubewharf/requests/attempt.py
+++ b/src/jujubewharf/requests/attempt.py
@@ -45,7 +45,8 @@
     Attributes:
         answer: Answer of the request.
         dispatch: Whether any attempt may have started to decode.
-        is_read: Whether any engine may have started a prefill of the prompt.
+        may_have_prefilled: Whether any engine may have started a prefill of the
+            prompt.
         attempts: Number of attempts started.
         exclusions: Engines excluded after a failure.
         lost_engines: Engines that were lost after a dispatch.
@@ -53,7 +54,7 @@
 
     answer: answers.Answer
     dispatch: Dispatch = Dispatch.NO
-    is_read: bool = False
+    may_have_prefilled: bool = False
     attempts: int = 0
     exclusions: retries.Exclusions = dataclasses.field(
         default_factory=retries.Exclusions
@@ -213,13 +214,13 @@
         job = client.PrefillJob(
             request.service.model, request.prompt, request.priority
         )
-        was_prefilled = self._progress.is_read
-        self._progress.is_read = True
+        was_prefilled = self._progress.may_have_prefilled
+        self._progress.may_have_prefilled = True
         try:
             done = await view.client.prefill(self._attempt, job)
         except client.EngineError as error:
             if error.fault in retries.NO_EFFECT_FAULTS:
-                self._progress.is_read = was_prefilled
+                self._progress.may_have_prefilled = was_prefilled
             raise
         self._unused_prompt_tokens = done.prompt_tokens
         self._waste_cause = request_counters.WasteCause.ENGINE_FAILED
--- a/src/jujubewharf/requests/life.py
+++ b/src/jujubewharf/requests/life.py
@@ -310,7 +310,7 @@
     started, so the result is ``UNKNOWN``.
     """
     match progress.dispatch:
-        case attempts.Dispatch.NO if progress.is_read:
+        case attempts.Dispatch.NO if progress.may_have_prefilled:
             return errors.Ran.UNKNOWN
         case attempts.Dispatch.NO:
             return errors.Ran.NO
