--- a/src/jujubewharf/requests/attempt.py
+++ b/src/jujubewharf/requests/attempt.py
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tools:
+class AttemptDependencies:
     """Dependencies shared by all attempts."""
 
     instance: str
@@ -91,7 +91,7 @@
 
     def __init__(
         self,
-        tools: Tools,
+        tools: AttemptDependencies,
         request: model_request.ModelRequest,
         progress: Progress,
         make_job: Callable[[], jobs.Job],
--- a/src/jujubewharf/requests/life.py
+++ b/src/jujubewharf/requests/life.py
@@ -103,7 +103,7 @@
         self.releaser = releases.Releaser(
             fleet, clock, self.counters, self._rng
         )
-        self._tools = attempts.Tools(
+        self._tools = attempts.AttemptDependencies(
             instance, fleet, placer, clock, self.releaser, self.counters
         )
         self._placer = placer
