--- a/src/jujubewharf/requests/releases.py
+++ b/src/jujubewharf/requests/releases.py
@@ -17,7 +17,7 @@
 
 _FIRST_DELAY_MS = 100.0
 _LONGEST_DELAY_MS = 2_000.0
-GIVE_UP_MS = 30_000.0
+RETRY_WINDOW_MS = 30_000.0
 MARK_BYTES = 8
 
 
@@ -42,9 +42,9 @@
     """Releases attempts and retries until the engine confirms.
 
     A release without a response may not have arrived, and the engine would hold
-    a slot that is never used. Retries end after ``GIVE_UP_MS``: an engine that
-    is unreachable for longer was restarted or is cut off, and the sweep in its
-    own failure domain frees it.
+    a slot that is never used. Retries end after ``RETRY_WINDOW_MS``: an engine
+    that is unreachable for longer was restarted or is cut off, and the sweep in
+    its own failure domain frees it.
 
     Args:
         fleet: Views of the engines.
@@ -111,7 +111,7 @@
         backoff = retries.Backoff(
             self._rng, first_ms=_FIRST_DELAY_MS, longest_ms=_LONGEST_DELAY_MS
         )
-        until_ms = self._clock.now_ms() + GIVE_UP_MS
+        until_ms = self._clock.now_ms() + RETRY_WINDOW_MS
         while self._clock.now_ms() < until_ms:
             view = self._fleet.view(endpoint.name)
             if view is None or view.endpoint.address != endpoint.address:
