--- a/src/jujubewharf/requests/plain_body.py
+++ b/src/jujubewharf/requests/plain_body.py
@@ -6,7 +6,7 @@
 
 from jujubewharf import errors
 
-MAX_KEPT_BYTES = 65_536
+MAX_BUFFERED_BYTES = 65_536
 
 
 class ReplayableBody:
@@ -26,7 +26,7 @@
         self,
         source: AsyncIterator[bytes] | None,
         *,
-        max_kept_bytes: int = MAX_KEPT_BYTES,
+        max_kept_bytes: int = MAX_BUFFERED_BYTES,
     ) -> None:
         self.failure: errors.WharfError | None = None
         self._source = source
--- a/tests/requests/test_plain.py
+++ b/tests/requests/test_plain.py
@@ -171,7 +171,7 @@
     async def main() -> None:
         bench = await _bench(_endpoint("a1"), _endpoint("a2"))
         _die_while_running(bench)
-        body = _chunks([b"x" * plain_body.MAX_KEPT_BYTES, b"x"])
+        body = _chunks([b"x" * plain_body.MAX_BUFFERED_BYTES, b"x"])
         error = await _call(bench, is_repeatable=True, body=body)
         assert error.kind is errors.ErrorKind.ENDPOINT_FAILED
         assert error.ran is errors.Ran.UNKNOWN
