--- a/src/jujubewharf/requests/plain_body.py
+++ b/src/jujubewharf/requests/plain_body.py
@@ -14,7 +14,7 @@
 
     Args:
         source: Body stream; ``None`` without a body.
-        max_kept_bytes: Number of bytes buffered for a retry.
+        max_buffered_bytes: Number of bytes buffered for a retry.
 
     Attributes:
         failure: Error raised by the caller's body stream, if any. It needs
@@ -26,11 +26,11 @@
         self,
         source: AsyncIterator[bytes] | None,
         *,
-        max_kept_bytes: int = MAX_BUFFERED_BYTES,
+        max_buffered_bytes: int = MAX_BUFFERED_BYTES,
     ) -> None:
         self.failure: errors.WharfError | None = None
         self._source = source
-        self._max_buffered_bytes = max_kept_bytes
+        self._max_buffered_bytes = max_buffered_bytes
         self._buffer: list[bytes] = []
         self._read_bytes = 0
         self._is_truncated = False
