--- a/src/jujubewharf/routing/baselines.py
+++ b/src/jujubewharf/routing/baselines.py
@@ -7,7 +7,7 @@
 import random
 
 from jujubewharf import errors
-from jujubewharf.routing import fitting
+from jujubewharf.routing import eligibility
 from jujubewharf.routing import fleet as fleets
 from jujubewharf.routing import jobs
 
@@ -30,11 +30,11 @@
 
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         """Decides for a request that holds no resources yet."""
-        views = fitting.usable(job, fleet)
-        decode = self._choose_decode(fitting.decoders(views))
+        views = eligibility.usable(job, fleet)
+        decode = self._choose_decode(eligibility.decoders(views))
         if not isinstance(decode, fleets.EngineView):
             return decode
-        prefillers = fitting.exporters(views)
+        prefillers = eligibility.exporters(views)
         if not prefillers or not decode.endpoint.capabilities.kv_import:
             return jobs.Choice(decode.endpoint)
         prefill = self._pick_prefill(prefillers)
@@ -44,8 +44,8 @@
 
     def place_decode(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         """Decides for a request whose prefill is complete."""
-        views = fitting.usable(job, fleet)
-        decode = self._choose_decode(fitting.importers(views))
+        views = eligibility.usable(job, fleet)
+        decode = self._choose_decode(eligibility.importers(views))
         if not isinstance(decode, fleets.EngineView):
             return decode
         return jobs.Choice(decode.endpoint)
@@ -107,9 +107,9 @@
 
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         """Decides for a request that holds no resources yet."""
-        views = fitting.usable(job, fleet)
-        prefillers = fitting.exporters(views)
-        if not prefillers or not fitting.importers(views):
+        views = eligibility.usable(job, fleet)
+        prefillers = eligibility.exporters(views)
+        if not prefillers or not eligibility.importers(views):
             return super().place(job, fleet)
         prefill = min(prefillers, key=queued_tokens)
         return jobs.Choice(None, prefill.endpoint)
--- a/src/jujubewharf/routing/keeping.py
+++ b/src/jujubewharf/routing/keeping.py
@@ -13,7 +13,7 @@
 from jujubewharf.peers import network
 from jujubewharf.peers import slot_messages
 from jujubewharf.routing import cache_events
-from jujubewharf.routing import fitting
+from jujubewharf.routing import eligibility
 from jujubewharf.routing import fleet as fleets
 from jujubewharf.routing import hold_times
 from jujubewharf.routing import keepers
@@ -308,7 +308,7 @@
 
     def _is_usable(self, view: fleets.EngineView) -> bool:
         service = self._fleet.service(view.endpoint.service)
-        has_model = service is None or fitting.has_model(view, service)
+        has_model = service is None or eligibility.has_model(view, service)
         return view.takes_work and has_model
 
     def _on_members(self) -> None:
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -13,7 +13,7 @@
 from jujubewharf import clock as clocks
 from jujubewharf import errors
 from jujubewharf.engines import client
-from jujubewharf.routing import fitting
+from jujubewharf.routing import eligibility
 from jujubewharf.routing import fleet as fleets
 from jujubewharf.routing import hold_times
 from jujubewharf.routing import jobs
@@ -108,8 +108,8 @@
     async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
         """Waits for a slot that will be free when prefill completes."""
         views = self._usable(job)
-        prefill_views = fitting.exporters(views)
-        if not prefill_views or not fitting.importers(views):
+        prefill_views = eligibility.exporters(views)
+        if not prefill_views or not eligibility.importers(views):
             return await self._wait_standalone(job)
         prefill = min(prefill_views, key=lambda v: self._prefill_ms(v, job))
         prefill_ms = self._prefill_ms(prefill, job)
@@ -124,7 +124,7 @@
         """Claims a slot on the least loaded engine as soon as one is free."""
         self._reading.done(job.number)
         await self._wait(job, 0.0, -math.inf, is_ready=True)
-        return await self._claim(job, fitting.importers)
+        return await self._claim(job, eligibility.importers)
 
     def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
         """Releases the request's resources; see ``policy.WaitingPolicy``."""
@@ -135,13 +135,13 @@
             claimed.discard(holder)
 
     async def _wait_standalone(self, job: jobs.Job) -> jobs.Decision:
-        views = fitting.loners(self._usable(job))
+        views = eligibility.loners(self._usable(job))
         if not views:
             return jobs.Refusal(errors.ErrorKind.NO_FITTING_ENGINE)
         first_ms = min(self._prefill_ms(view, job) for view in views)
         if not await self._wait(job, 0.0, first_ms):
             return jobs.Refusal(errors.ErrorKind.DEADLINE_UNREACHABLE)
-        return await self._claim(job, fitting.loners)
+        return await self._claim(job, eligibility.loners)
 
     async def _wait(
         self,
@@ -152,7 +152,9 @@
         is_ready: bool = False,
     ) -> bool:
         pool = self._truth.pool(job)
-        names = [v.endpoint.name for v in fitting.decoders(self._usable(job))]
+        names = [
+            v.endpoint.name for v in eligibility.decoders(self._usable(job))
+        ]
         pool.ledger.slots = sum(
             self._truth.load_now(name).slots_total for name in names
         )
@@ -190,7 +192,7 @@
         return jobs.Choice(view.endpoint)
 
     def _usable(self, job: jobs.Job) -> list[fleets.EngineView]:
-        return fitting.usable(job, self._context.fleet)
+        return eligibility.usable(job, self._context.fleet)
 
     def _prefill_ms(self, view: fleets.EngineView, job: jobs.Job) -> float:
         name = view.endpoint.name
@@ -204,7 +206,7 @@
         prefill: fleets.EngineView,
         views: list[fleets.EngineView],
     ) -> float:
-        decode = fitting.importers(views)[0]
+        decode = eligibility.importers(views)[0]
         kv_bytes = job.prompt_tokens * self._context.fleet.kv_bytes_per_token(
             job.service.model
         )
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -17,7 +17,7 @@
 from jujubewharf import errors
 from jujubewharf.configuration import resources
 from jujubewharf.peers import slot_messages
-from jujubewharf.routing import fitting
+from jujubewharf.routing import eligibility
 from jujubewharf.routing import fleet as fleets
 from jujubewharf.routing import hold_times
 from jujubewharf.routing import jobs
@@ -85,7 +85,7 @@
         self._slots.end_read(job.number, is_read=True)
         promised = self._slots.granted_engine(job.number)
         while True:
-            views = fitting.importers(self._candidates(job))
+            views = eligibility.importers(self._candidates(job))
             if not views:
                 return jobs.Refusal(errors.ErrorKind.NO_FITTING_ENGINE)
             preferred = self._by_free_slots(views, first=promised)
@@ -255,9 +255,9 @@
         plans = []
         if prefill is not None:
             kv_ready_ms = self._kv_ready_ms(prefill, job)
-            for decode in fitting.importers(views):
+            for decode in eligibility.importers(views):
                 plans.append(self._pair_plan(job, decode, prefill, kv_ready_ms))
-        for decode in fitting.loners(views):
+        for decode in eligibility.loners(views):
             is_paired = prefill is not None
             if not is_paired or not decode.endpoint.capabilities.kv_import:
                 plans.append(self._standalone_plan(job, decode))
@@ -303,10 +303,10 @@
         if len(views) > _MAX_CANDIDATES:
             same_domain = fleet.views_near(service, self._context.domain)
             sampled = self._sample(same_domain) | self._sample(views)
-            found = fitting.among(job, list(sampled.values()))
-            if fitting.decoders(found) and fitting.exporters(found):
+            found = eligibility.among(job, list(sampled.values()))
+            if eligibility.decoders(found) and eligibility.exporters(found):
                 return found
-        return fitting.usable(job, fleet)
+        return eligibility.usable(job, fleet)
 
     def _sample(
         self, views: list[fleets.EngineView]
@@ -320,7 +320,7 @@
         self, job: jobs.Job, views: list[fleets.EngineView]
     ) -> fleets.EngineView | None:
         return min(
-            fitting.exporters(views),
+            eligibility.exporters(views),
             key=lambda v: self._kv_ready_ms(v, job),
             default=None,
         )
@@ -389,7 +389,7 @@
 
     def _refusal(self, kind: errors.ErrorKind, job: jobs.Job) -> jobs.Refusal:
         """Rejects the request with the expected wait as retry-after."""
-        views = fitting.decoders(self._candidates(job))
+        views = eligibility.decoders(self._candidates(job))
         expected_waits_ms = [self._wait_ms(job, view) for view in views]
         wait_ms = min(expected_waits_ms, default=0.0)
         return jobs.Refusal(kind, max(_MIN_RETRY_AFTER_MS, wait_ms))
