--- a/src/jujubewharf/routing/baselines.py
+++ b/src/jujubewharf/routing/baselines.py
@@ -30,7 +30,7 @@
 
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         """Decides for a request that holds no resources yet."""
-        views = eligibility.usable(job, fleet)
+        views = eligibility.eligible_engines(job, fleet)
         decode = self._choose_decode(eligibility.decoders(views))
         if not isinstance(decode, fleets.EngineView):
             return decode
@@ -44,7 +44,7 @@
 
     def place_decode(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         """Decides for a request whose prefill is complete."""
-        views = eligibility.usable(job, fleet)
+        views = eligibility.eligible_engines(job, fleet)
         decode = self._choose_decode(eligibility.importers(views))
         if not isinstance(decode, fleets.EngineView):
             return decode
@@ -107,7 +107,7 @@
 
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         """Decides for a request that holds no resources yet."""
-        views = eligibility.usable(job, fleet)
+        views = eligibility.eligible_engines(job, fleet)
         prefillers = eligibility.exporters(views)
         if not prefillers or not eligibility.importers(views):
             return super().place(job, fleet)
--- a/src/jujubewharf/routing/eligibility.py
+++ b/src/jujubewharf/routing/eligibility.py
@@ -7,7 +7,9 @@
 from jujubewharf.routing import jobs
 
 
-def usable(job: jobs.Job, fleet: fleets.Fleet) -> list[fleets.EngineView]:
+def eligible_engines(
+    job: jobs.Job, fleet: fleets.Fleet
+) -> list[fleets.EngineView]:
     """Returns the engines of the job's service that can run the job."""
     return among(job, fleet.views_of(job.service.name))
 
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -192,7 +192,7 @@
         return jobs.Choice(view.endpoint)
 
     def _usable(self, job: jobs.Job) -> list[fleets.EngineView]:
-        return eligibility.usable(job, self._context.fleet)
+        return eligibility.eligible_engines(job, self._context.fleet)
 
     def _prefill_ms(self, view: fleets.EngineView, job: jobs.Job) -> float:
         name = view.endpoint.name
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -306,7 +306,7 @@
             found = eligibility.among(job, list(sampled.values()))
             if eligibility.decoders(found) and eligibility.exporters(found):
                 return found
-        return eligibility.usable(job, fleet)
+        return eligibility.eligible_engines(job, fleet)
 
     def _sample(
         self, views: list[fleets.EngineView]
