--- a/src/jujubewharf/routing/eligibility.py
+++ b/src/jujubewharf/routing/eligibility.py
@@ -11,10 +11,10 @@
     job: jobs.Job, fleet: fleets.Fleet
 ) -> list[fleets.EngineView]:
     """Returns the engines of the job's service that can run the job."""
-    return among(job, fleet.views_of(job.service.name))
+    return filter_eligible(job, fleet.views_of(job.service.name))
 
 
-def among(
+def filter_eligible(
     job: jobs.Job, views: list[fleets.EngineView]
 ) -> list[fleets.EngineView]:
     """Returns those of ``views`` that accept work and have the job's model.
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -303,7 +303,7 @@
         if len(views) > _MAX_CANDIDATES:
             same_domain = fleet.views_near(service, self._context.domain)
             sampled = self._sample(same_domain) | self._sample(views)
-            found = eligibility.among(job, list(sampled.values()))
+            found = eligibility.filter_eligible(job, list(sampled.values()))
             if eligibility.decoders(found) and eligibility.exporters(found):
                 return found
         return eligibility.eligible_engines(job, fleet)
