--- a/src/jujubewharf/routing/baselines.py
+++ b/src/jujubewharf/routing/baselines.py
@@ -31,7 +31,7 @@
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         """Decides for a request that holds no resources yet."""
         views = eligibility.eligible_engines(job, fleet)
-        decode = self._choose_decode(eligibility.decoders(views))
+        decode = self._choose_decode(eligibility.decode_engines(views))
         if not isinstance(decode, fleets.EngineView):
             return decode
         prefillers = eligibility.exporters(views)
--- a/src/jujubewharf/routing/eligibility.py
+++ b/src/jujubewharf/routing/eligibility.py
@@ -30,7 +30,7 @@
         and has_model(view, job.service)
     ]
     healthy = [view for view in candidates if not view.breaker.is_doubtful]
-    can_decode = bool(decoders(healthy))
+    can_decode = bool(decode_engines(healthy))
     can_prefill = bool(exporters(healthy)) or not exporters(candidates)
     return healthy if can_decode and can_prefill else candidates
 
@@ -51,7 +51,7 @@
     return report.model_version == service.model_version
 
 
-def decoders(views: list[fleets.EngineView]) -> list[fleets.EngineView]:
+def decode_engines(views: list[fleets.EngineView]) -> list[fleets.EngineView]:
     """Returns the engines that may decode."""
     return [view for view in views if view.endpoint.can_decode]
 
@@ -59,7 +59,9 @@
 def importers(views: list[fleets.EngineView]) -> list[fleets.EngineView]:
     """Returns the engines that can decode from another engine's KV cache."""
     return [
-        view for view in decoders(views) if view.endpoint.capabilities.kv_import
+        view
+        for view in decode_engines(views)
+        if view.endpoint.capabilities.kv_import
     ]
 
 
@@ -76,6 +78,6 @@
     """Returns the engines that run both prefill and decode of a request."""
     return [
         view
-        for view in decoders(views)
+        for view in decode_engines(views)
         if view.endpoint.can_prefill or not view.endpoint.capabilities.kv_import
     ]
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -153,7 +153,8 @@
     ) -> bool:
         pool = self._truth.pool(job)
         names = [
-            v.endpoint.name for v in eligibility.decoders(self._usable(job))
+            v.endpoint.name
+            for v in eligibility.decode_engines(self._usable(job))
         ]
         pool.ledger.slots = sum(
             self._truth.load_now(name).slots_total for name in names
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -304,7 +304,9 @@
             same_domain = fleet.views_near(service, self._context.domain)
             sampled = self._sample(same_domain) | self._sample(views)
             found = eligibility.filter_eligible(job, list(sampled.values()))
-            if eligibility.decoders(found) and eligibility.exporters(found):
+            if eligibility.decode_engines(found) and eligibility.exporters(
+                found
+            ):
                 return found
         return eligibility.eligible_engines(job, fleet)
 
@@ -389,7 +391,7 @@
 
     def _refusal(self, kind: errors.ErrorKind, job: jobs.Job) -> jobs.Refusal:
         """Rejects the request with the expected wait as retry-after."""
-        views = eligibility.decoders(self._candidates(job))
+        views = eligibility.decode_engines(self._candidates(job))
         expected_waits_ms = [self._wait_ms(job, view) for view in views]
         wait_ms = min(expected_waits_ms, default=0.0)
         return jobs.Refusal(kind, max(_MIN_RETRY_AFTER_MS, wait_ms))
