--- a/src/jujubewharf/routing/baselines.py
+++ b/src/jujubewharf/routing/baselines.py
@@ -45,7 +45,7 @@
     def place_decode(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         """Decides for a request whose prefill is complete."""
         views = eligibility.eligible_engines(job, fleet)
-        decode = self._choose_decode(eligibility.importers(views))
+        decode = self._choose_decode(eligibility.kv_importers(views))
         if not isinstance(decode, fleets.EngineView):
             return decode
         return jobs.Choice(decode.endpoint)
@@ -109,7 +109,7 @@
         """Decides for a request that holds no resources yet."""
         views = eligibility.eligible_engines(job, fleet)
         prefillers = eligibility.exporters(views)
-        if not prefillers or not eligibility.importers(views):
+        if not prefillers or not eligibility.kv_importers(views):
             return super().place(job, fleet)
         prefill = min(prefillers, key=queued_tokens)
         return jobs.Choice(None, prefill.endpoint)
--- a/src/jujubewharf/routing/eligibility.py
+++ b/src/jujubewharf/routing/eligibility.py
@@ -56,7 +56,7 @@
     return [view for view in views if view.endpoint.can_decode]
 
 
-def importers(views: list[fleets.EngineView]) -> list[fleets.EngineView]:
+def kv_importers(views: list[fleets.EngineView]) -> list[fleets.EngineView]:
     """Returns the engines that can decode from another engine's KV cache."""
     return [
         view
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -109,7 +109,7 @@
         """Waits for a slot that will be free when prefill completes."""
         views = self._usable(job)
         prefill_views = eligibility.exporters(views)
-        if not prefill_views or not eligibility.importers(views):
+        if not prefill_views or not eligibility.kv_importers(views):
             return await self._wait_standalone(job)
         prefill = min(prefill_views, key=lambda v: self._prefill_ms(v, job))
         prefill_ms = self._prefill_ms(prefill, job)
@@ -124,7 +124,7 @@
         """Claims a slot on the least loaded engine as soon as one is free."""
         self._reading.done(job.number)
         await self._wait(job, 0.0, -math.inf, is_ready=True)
-        return await self._claim(job, eligibility.importers)
+        return await self._claim(job, eligibility.kv_importers)
 
     def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
         """Releases the request's resources; see ``policy.WaitingPolicy``."""
@@ -207,7 +207,7 @@
         prefill: fleets.EngineView,
         views: list[fleets.EngineView],
     ) -> float:
-        decode = eligibility.importers(views)[0]
+        decode = eligibility.kv_importers(views)[0]
         kv_bytes = job.prompt_tokens * self._context.fleet.kv_bytes_per_token(
             job.service.model
         )
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -85,7 +85,7 @@
         self._slots.end_read(job.number, is_read=True)
         promised = self._slots.granted_engine(job.number)
         while True:
-            views = eligibility.importers(self._candidates(job))
+            views = eligibility.kv_importers(self._candidates(job))
             if not views:
                 return jobs.Refusal(errors.ErrorKind.NO_FITTING_ENGINE)
             preferred = self._by_free_slots(views, first=promised)
@@ -255,7 +255,7 @@
         plans = []
         if prefill is not None:
             kv_ready_ms = self._kv_ready_ms(prefill, job)
-            for decode in eligibility.importers(views):
+            for decode in eligibility.kv_importers(views):
                 plans.append(self._pair_plan(job, decode, prefill, kv_ready_ms))
         for decode in eligibility.loners(views):
             is_paired = prefill is not None
