--- a/src/jujubewharf/routing/baselines.py
+++ b/src/jujubewharf/routing/baselines.py
@@ -34,7 +34,7 @@
         decode = self._choose_decode(eligibility.decode_engines(views))
         if not isinstance(decode, fleets.EngineView):
             return decode
-        prefillers = eligibility.exporters(views)
+        prefillers = eligibility.kv_exporters(views)
         if not prefillers or not decode.endpoint.capabilities.kv_import:
             return jobs.Choice(decode.endpoint)
         prefill = self._pick_prefill(prefillers)
@@ -108,7 +108,7 @@
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         """Decides for a request that holds no resources yet."""
         views = eligibility.eligible_engines(job, fleet)
-        prefillers = eligibility.exporters(views)
+        prefillers = eligibility.kv_exporters(views)
         if not prefillers or not eligibility.kv_importers(views):
             return super().place(job, fleet)
         prefill = min(prefillers, key=queued_tokens)
--- a/src/jujubewharf/routing/eligibility.py
+++ b/src/jujubewharf/routing/eligibility.py
@@ -31,7 +31,7 @@
     ]
     healthy = [view for view in candidates if not view.breaker.is_doubtful]
     can_decode = bool(decode_engines(healthy))
-    can_prefill = bool(exporters(healthy)) or not exporters(candidates)
+    can_prefill = bool(kv_exporters(healthy)) or not kv_exporters(candidates)
     return healthy if can_decode and can_prefill else candidates
 
 
@@ -65,7 +65,7 @@
     ]
 
 
-def exporters(views: list[fleets.EngineView]) -> list[fleets.EngineView]:
+def kv_exporters(views: list[fleets.EngineView]) -> list[fleets.EngineView]:
     """Returns the engines whose KV cache another engine can import."""
     return [
         view
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -108,7 +108,7 @@
     async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
         """Waits for a slot that will be free when prefill completes."""
         views = self._usable(job)
-        prefill_views = eligibility.exporters(views)
+        prefill_views = eligibility.kv_exporters(views)
         if not prefill_views or not eligibility.kv_importers(views):
             return await self._wait_standalone(job)
         prefill = min(prefill_views, key=lambda v: self._prefill_ms(v, job))
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -304,7 +304,7 @@
             same_domain = fleet.views_near(service, self._context.domain)
             sampled = self._sample(same_domain) | self._sample(views)
             found = eligibility.filter_eligible(job, list(sampled.values()))
-            if eligibility.decode_engines(found) and eligibility.exporters(
+            if eligibility.decode_engines(found) and eligibility.kv_exporters(
                 found
             ):
                 return found
@@ -322,7 +322,7 @@
         self, job: jobs.Job, views: list[fleets.EngineView]
     ) -> fleets.EngineView | None:
         return min(
-            eligibility.exporters(views),
+            eligibility.kv_exporters(views),
             key=lambda v: self._kv_ready_ms(v, job),
             default=None,
         )
