--- a/src/jujubewharf/routing/eligibility.py
+++ b/src/jujubewharf/routing/eligibility.py
@@ -74,7 +74,9 @@
     ]
 
 
-def loners(views: list[fleets.EngineView]) -> list[fleets.EngineView]:
+def standalone_engines(
+    views: list[fleets.EngineView],
+) -> list[fleets.EngineView]:
     """Returns the engines that run both prefill and decode of a request."""
     return [
         view
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -135,13 +135,13 @@
             claimed.discard(holder)
 
     async def _wait_standalone(self, job: jobs.Job) -> jobs.Decision:
-        views = eligibility.loners(self._usable(job))
+        views = eligibility.standalone_engines(self._usable(job))
         if not views:
             return jobs.Refusal(errors.ErrorKind.NO_FITTING_ENGINE)
         first_ms = min(self._prefill_ms(view, job) for view in views)
         if not await self._wait(job, 0.0, first_ms):
             return jobs.Refusal(errors.ErrorKind.DEADLINE_UNREACHABLE)
-        return await self._claim(job, eligibility.loners)
+        return await self._claim(job, eligibility.standalone_engines)
 
     async def _wait(
         self,
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -257,7 +257,7 @@
             kv_ready_ms = self._kv_ready_ms(prefill, job)
             for decode in eligibility.kv_importers(views):
                 plans.append(self._pair_plan(job, decode, prefill, kv_ready_ms))
-        for decode in eligibility.loners(views):
+        for decode in eligibility.standalone_engines(views):
             is_paired = prefill is not None
             if not is_paired or not decode.endpoint.capabilities.kv_import:
                 plans.append(self._standalone_plan(job, decode))
