--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -1,7 +1,7 @@
 """Messages about decode slots and load; numbers 40 to 49.
 
-An engine's keeper (see ``routing.keepers``) answers for its slots. Times are
-spans and never instants, for clocks differ between instances.
+An engine's coordinator (see ``routing.coordinators``) answers for its
+slots. Times are spans and never instants, for clocks differ between instances.
 """
 
 from __future__ import annotations
--- a/src/jujubewharf/routing/keeping.py
+++ b/src/jujubewharf/routing/keeping.py
@@ -13,10 +13,10 @@
 from jujubewharf.peers import network
 from jujubewharf.peers import slot_messages
 from jujubewharf.routing import cache_events
+from jujubewharf.routing import coordinators
 from jujubewharf.routing import eligibility
 from jujubewharf.routing import fleet as fleets
 from jujubewharf.routing import hold_times
-from jujubewharf.routing import keepers
 from jujubewharf.routing import read_ledger
 from jujubewharf.routing import slot_ledger
 
@@ -74,7 +74,7 @@
         self._present: frozenset[str] = frozenset()
         self._prefill_ledgers: dict[str, read_ledger.ReadLedger] = {}
         self._digest_rotation: collections.deque[str] = collections.deque()
-        self._keepers = keepers.Keepers(members)
+        self._keepers = coordinators.Keepers(members)
         peers.handle(slot_messages.SlotAsk, self.on_ask)
         peers.handle(slot_messages.SlotEnd, self.on_end)
         peers.handle(slot_messages.SlotsHeld, self.on_held)
--- a/src/jujubewharf/routing/slots.py
+++ b/src/jujubewharf/routing/slots.py
@@ -7,9 +7,9 @@
 from jujubewharf import clock as clocks
 from jujubewharf.peers import network
 from jujubewharf.peers import slot_messages
+from jujubewharf.routing import coordinators
 from jujubewharf.routing import counters
 from jujubewharf.routing import fleet as fleets
-from jujubewharf.routing import keepers
 from jujubewharf.routing import policy as policies
 
 _ANSWER_MARGIN_MS = 250.0
@@ -50,7 +50,7 @@
         self._prefills: dict[int, tuple[str, str]] = {}
         self._unresponsive_until_ms: dict[str, float] = {}
         self._known_coordinators: dict[str, str | None] = {}
-        self._coordinators = keepers.Keepers(surroundings.members)
+        self._coordinators = coordinators.Keepers(surroundings.members)
         self._peers.handle(slot_messages.LoadDigest, self._on_digest)
         self._members.listen(self._on_members)
 
--- a/tests/scenarios/test_policy.py
+++ b/tests/scenarios/test_policy.py
@@ -17,7 +17,7 @@
 from jujubewharf.configuration import resources
 from jujubewharf.engines import client
 from jujubewharf.requests import model_request
-from jujubewharf.routing import keepers
+from jujubewharf.routing import coordinators
 from jujubewharf.standins import engine as engines
 from tests.scenarios import steps
 
@@ -169,7 +169,7 @@
 def keeper_dies(story):
     core = story.living()[0].core
     endpoint = core.fleet.view("d1").endpoint
-    keeper = keepers.keeper_of(endpoint, core.membership.present())
+    keeper = coordinators.keeper_of(endpoint, core.membership.present())
     story.world.act(lambda: story.bench.kill_instance(keeper))
 
 
