--- a/src/jujubewharf/routing/coordinators.py
+++ b/src/jujubewharf/routing/coordinators.py
@@ -15,7 +15,7 @@
 from jujubewharf.membership import view as membership
 
 
-def keeper_of(
+def coordinator_of(
     endpoint: resources.Endpoint, present: tuple[membership.Member, ...]
 ) -> str | None:
     """Returns the coordinator of an engine; ``None`` if no instance is present.
@@ -48,5 +48,5 @@
         key = (endpoint.name, endpoint.domain)
         if key not in self._cache:
             present = self._members.present()
-            self._cache[key] = keeper_of(endpoint, present)
+            self._cache[key] = coordinator_of(endpoint, present)
         return self._cache[key]
--- a/tests/scenarios/test_policy.py
+++ b/tests/scenarios/test_policy.py
@@ -169,7 +169,7 @@
 def keeper_dies(story):
     core = story.living()[0].core
     endpoint = core.fleet.view("d1").endpoint
-    keeper = coordinators.keeper_of(endpoint, core.membership.present())
+    keeper = coordinators.coordinator_of(endpoint, core.membership.present())
     story.world.act(lambda: story.bench.kill_instance(keeper))
 
 
