--- a/src/jujubewharf/routing/coordinators.py
+++ b/src/jujubewharf/routing/coordinators.py
@@ -29,7 +29,7 @@
     return ranked[0] if ranked else None
 
 
-class Keepers:
+class CoordinatorCache:
     """Caches the coordinator of each engine until the membership changes.
 
     Without the cache each decision would rank all members for each engine.
--- a/src/jujubewharf/routing/keeping.py
+++ b/src/jujubewharf/routing/keeping.py
@@ -74,7 +74,7 @@
         self._present: frozenset[str] = frozenset()
         self._prefill_ledgers: dict[str, read_ledger.ReadLedger] = {}
         self._digest_rotation: collections.deque[str] = collections.deque()
-        self._keepers = coordinators.Keepers(members)
+        self._keepers = coordinators.CoordinatorCache(members)
         peers.handle(slot_messages.SlotAsk, self.on_ask)
         peers.handle(slot_messages.SlotEnd, self.on_end)
         peers.handle(slot_messages.SlotsHeld, self.on_held)
--- a/src/jujubewharf/routing/slots.py
+++ b/src/jujubewharf/routing/slots.py
@@ -50,7 +50,7 @@
         self._prefills: dict[int, tuple[str, str]] = {}
         self._unresponsive_until_ms: dict[str, float] = {}
         self._known_coordinators: dict[str, str | None] = {}
-        self._coordinators = coordinators.Keepers(surroundings.members)
+        self._coordinators = coordinators.CoordinatorCache(surroundings.members)
         self._peers.handle(slot_messages.LoadDigest, self._on_digest)
         self._members.listen(self._on_members)
 
