--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -26,9 +26,9 @@
 from jujubewharf.platform import log
 from jujubewharf.routing import fleet as fleets
 from jujubewharf.routing import jobs
-from jujubewharf.routing import keeping
 from jujubewharf.routing import policy as policies
 from jujubewharf.routing import product
+from jujubewharf.routing import slot_coordinator
 
 _ENGINES_IN_VIEW = (10, 100, 400)
 _DECISIONS = 400
@@ -98,7 +98,7 @@
     clock = clocks.Clock()
     fleet = _fleet(count, clock)
     peers = cast(Any, _Alone())
-    keeping.Keeping(fleet, peers, peers, clock)
+    slot_coordinator.Keeping(fleet, peers, peers, clock)
     policy = product.Product(clock, random.Random(1))
     policy.join(policies.Surroundings(fleet, peers, peers, "a"))
     began_s = time.process_time()
--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -47,10 +47,10 @@
 from jujubewharf.requests import plain_replies
 from jujubewharf.requests import sweep as sweeps
 from jujubewharf.routing import fleet as fleets
-from jujubewharf.routing import keeping
 from jujubewharf.routing import placer as placers
 from jujubewharf.routing import policy as policies
 from jujubewharf.routing import product
+from jujubewharf.routing import slot_coordinator
 from jujubewharf.settings import models
 from jujubewharf.telemetry import goodput
 
@@ -149,7 +149,7 @@
         self.changes = changes.Changes(self.configuration, adapters.log, clock)
         self.fleet = fleets.Fleet(adapters.make_engine_client, clock)
         self.configuration.listen(self.fleet.on_configuration)
-        self.keeping = keeping.Keeping(
+        self.keeping = slot_coordinator.Keeping(
             self.fleet, self.peers, self.membership, clock
         )
         self.leases = leases.Leases(settings.instance, adapters.log, clock)
