--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -98,7 +98,7 @@
     clock = clocks.Clock()
     fleet = _fleet(count, clock)
     peers = cast(Any, _Alone())
-    slot_coordinator.Keeping(fleet, peers, peers, clock)
+    slot_coordinator.SlotCoordinator(fleet, peers, peers, clock)
     policy = product.Product(clock, random.Random(1))
     policy.join(policies.Surroundings(fleet, peers, peers, "a"))
     began_s = time.process_time()
--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -149,7 +149,7 @@
         self.changes = changes.Changes(self.configuration, adapters.log, clock)
         self.fleet = fleets.Fleet(adapters.make_engine_client, clock)
         self.configuration.listen(self.fleet.on_configuration)
-        self.keeping = slot_coordinator.Keeping(
+        self.keeping = slot_coordinator.SlotCoordinator(
             self.fleet, self.peers, self.membership, clock
         )
         self.leases = leases.Leases(settings.instance, adapters.log, clock)
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -46,7 +46,7 @@
         self.reported_ms = -1.0
 
 
-class Keeping(mode.Service):
+class SlotCoordinator(mode.Service):
     """Grants the decode slots of the engines that this instance coordinates.
 
     Args:
