--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -176,7 +176,7 @@
             rng = random.Random(seed)
             policy = product.Product(clock, rng)
         if isinstance(policy, policies.WaitingPolicy):
-            self.fleet.polls = self.keeping.is_keeper
+            self.fleet.polls = self.keeping.is_coordinator
             policy.join(
                 policies.Surroundings(
                     self.fleet, self.peers, self.membership, settings.domain
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -90,12 +90,12 @@
             )
         )
 
-    def is_keeper(self, view: fleets.EngineView) -> bool:
+    def is_coordinator(self, view: fleets.EngineView) -> bool:
         """Whether this instance coordinates an engine."""
         return self._keepers.of(view.endpoint) == self._peers.instance
 
     def _coordinated_views(self) -> list[fleets.EngineView]:
-        return [v for v in self._fleet.all_views() if self.is_keeper(v)]
+        return [v for v in self._fleet.all_views() if self.is_coordinator(v)]
 
     def _answer_digests(
         self, engine: str
@@ -321,11 +321,11 @@
         self._present = present
         for name, queue in list(self._queues.items()):
             view = self._fleet.view(name)
-            if view is None or not self.is_keeper(view):
+            if view is None or not self.is_coordinator(view):
                 self._close_queue(name, queue)
         for name in list(self._prefill_ledgers):
             view = self._fleet.view(name)
-            if view is None or not self.is_keeper(view):
+            if view is None or not self.is_coordinator(view):
                 del self._prefill_ledgers[name]
 
     def _close_queue(self, name: str, queue: _Queue) -> None:
