--- a/src/jujubewharf/entry.py
+++ b/src/jujubewharf/entry.py
@@ -24,7 +24,7 @@
 from jujubewharf.platform import live_list
 from jujubewharf.platform import weights
 from jujubewharf.requests import model_request
-from jujubewharf.routing import looked_around
+from jujubewharf.routing import initial_discovery
 from jujubewharf.settings import models
 from jujubewharf.telemetry import gauges
 
@@ -72,7 +72,7 @@
             ),
             plain_paths.PlainServices(self.core, self._clock, callers),
             readiness.Readiness(
-                looked_around.LookedAround(
+                initial_discovery.LookedAround(
                     self.core.configuration, self.core.fleet, self._clock
                 ),
                 self.core.admission,
--- a/tests/routing/test_looked_around.py
+++ b/tests/routing/test_initial_discovery.py
@@ -10,7 +10,7 @@
 from jujubewharf.configuration import resources
 from jujubewharf.experiments import bench as benches
 from jujubewharf.experiments import virtual_time
-from jujubewharf.routing import looked_around
+from jujubewharf.routing import initial_discovery
 from jujubewharf.standins import engine as engines
 
 SERVICE = resources.Service(
@@ -31,7 +31,7 @@
             await engine.die()
         await bench.declare(SERVICE, endpoint)
         core = (await bench.start_instance("entry-1", "a")).core
-        discovery = looked_around.LookedAround(
+        discovery = initial_discovery.LookedAround(
             core.configuration, core.fleet, bench.clock
         )
         await core.configuration.caught_up.wait()
