--- a/src/jujubewharf/entry.py
+++ b/src/jujubewharf/entry.py
@@ -72,7 +72,7 @@
             ),
             plain_paths.PlainServices(self.core, self._clock, callers),
             readiness.Readiness(
-                initial_discovery.LookedAround(
+                initial_discovery.InitialDiscovery(
                     self.core.configuration, self.core.fleet, self._clock
                 ),
                 self.core.admission,
--- a/src/jujubewharf/routing/initial_discovery.py
+++ b/src/jujubewharf/routing/initial_discovery.py
@@ -10,7 +10,7 @@
 _MAX_WAIT_MS = 1_500.0
 
 
-class LookedAround:
+class InitialDiscovery:
     """Completes when each model service has an engine known to accept work.
 
     An instance that has only read the configuration has no engine status yet
--- a/tests/routing/test_initial_discovery.py
+++ b/tests/routing/test_initial_discovery.py
@@ -31,7 +31,7 @@
             await engine.die()
         await bench.declare(SERVICE, endpoint)
         core = (await bench.start_instance("entry-1", "a")).core
-        discovery = initial_discovery.LookedAround(
+        discovery = initial_discovery.InitialDiscovery(
             core.configuration, core.fleet, bench.clock
         )
         await core.configuration.caught_up.wait()
