--- a/src/jujubewharf/requests/held.py
+++ b/src/jujubewharf/requests/active_answer.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Held:
+class ActiveAnswer:
     """An answer that runs on this instance or is relayed from another.
 
     Attributes:
@@ -29,14 +29,14 @@
         followers: Number of local callers that read the answer.
         pulls: Number of pull requests in progress from other instances.
         was_pulled: Whether another instance ever read the answer.
-        left_ms: Clock reading when the last reader left, in ms.
+        last_reader_left_ms: Clock reading when the last reader left, in ms.
         source: Run that the answer is relayed from, while it is.
         taken_over: Run at the instance that took the request over.
         has_run: Whether this instance started to run the request.
         is_claimed: Whether a claim was requested.
         may_have_run: Whether an earlier run of the key may have been
             dispatched.
-        lingering: Task that waits for a reader to return.
+        linger_task: Task that waits for a reader to return.
     """
 
     request: model_request.ModelRequest
@@ -48,13 +48,13 @@
     followers: int = 0
     pulls: int = 0
     was_pulled: bool = False
-    left_ms: float = 0.0
+    last_reader_left_ms: float = 0.0
     source: relays.Source | None = None
     taken_over: relays.Source | None = None
     has_run: bool = False
     is_claimed: bool = False
     may_have_run: bool = False
-    lingering: asyncio.Task[None] | None = None
+    linger_task: asyncio.Task[None] | None = None
 
     @property
     def body(self) -> bytes:
--- a/src/jujubewharf/requests/answers.py
+++ b/src/jujubewharf/requests/answers.py
@@ -13,10 +13,10 @@
 from jujubewharf.membership import view as views
 from jujubewharf.peers import key_messages
 from jujubewharf.peers import network
+from jujubewharf.requests import active_answer as active_answers
 from jujubewharf.requests import answer as answers
 from jujubewharf.requests import claims as request_claims
 from jujubewharf.requests import handover
-from jujubewharf.requests import held as holding
 from jujubewharf.requests import kept as kept_answers
 from jujubewharf.requests import keys
 from jujubewharf.requests import life
@@ -82,8 +82,8 @@
             membership,
             clock,
         )
-        self._by_key: dict[bytes, holding.Held] = {}
-        self._by_id: dict[str, holding.Held] = {}
+        self._by_key: dict[bytes, active_answers.ActiveAnswer] = {}
+        self._by_id: dict[str, active_answers.ActiveAnswer] = {}
         self._logger = structlog.get_logger()
         peers.handle(key_messages.Pull, self._on_pull)
         peers.handle(key_messages.TakenOver, self._on_taken_over)
@@ -101,23 +101,23 @@
         A caller that disconnects closes the iterator early.
         """
         try:
-            held = self._join_or_start(request)
+            active = self._join_or_start(request)
         except errors.WharfError as error:
             self._runner.counters.refused(error.kind.value)
-            yield holding.failed(error)
+            yield active_answers.failed(error)
             return
         until_ms = request.arrived_ms + request.deadline_ms
-        if held.request is request:
+        if active.request is request:
             # The run enforces this deadline itself and reports whether an
             # engine ran, so it gets some extra time to do so.
             until_ms += _DEADLINE_SLACK_MS
-        held.followers += 1
+        active.followers += 1
         try:
-            async for event in held.answer.follow(until_ms):
+            async for event in active.answer.follow(until_ms):
                 yield event
         finally:
-            held.followers -= 1
-            self._on_reader_left(held)
+            active.followers -= 1
+            self._on_reader_left(active)
 
     async def on_start(self) -> None:
         """Starts the rehoming service."""
@@ -126,7 +126,7 @@
     async def on_stop(self) -> None:
         """Hands over answers, cancels running requests, flushes releases."""
         await self._handover.hand_over_all(_HANDOVER_TIMEOUT_MS)
-        tasks = [held.task for held in self._by_id.values() if held.task]
+        tasks = [active.task for active in self._by_id.values() if active.task]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -134,134 +134,138 @@
 
     def _join_or_start(
         self, request: model_request.ModelRequest
-    ) -> holding.Held:
+    ) -> active_answers.ActiveAnswer:
         """Returns the key's answer on this instance, or starts a new one."""
         key = keys.key_of(request.account, request.key)
-        held = self._by_key.get(key) or self._find_kept(key)
+        active = self._by_key.get(key) or self._find_kept(key)
         replaces = ""
-        if held is not None:
-            if held.request.body_digest != request.body_digest:
+        if active is not None:
+            if active.request.body_digest != request.body_digest:
                 raise errors.WharfError(errors.ErrorKind.KEY_CONFLICT)
-            if not held.may_run_again:
+            if not active.may_run_again:
                 self._runner.counters.attached("here")
-                return held
-            replaces = held.request.request_id
+                return active
+            replaces = active.request.request_id
             self._kept.forget_key(key)
         answer = answers.Answer(self._clock)
-        held = holding.Held(request, key, answer, replaces)
-        self._by_key[key] = held
-        self._by_id[request.request_id] = held
+        active = active_answers.ActiveAnswer(request, key, answer, replaces)
+        self._by_key[key] = active
+        self._by_id[request.request_id] = active
         self._runner.counters.accepted()
-        held.task = asyncio.create_task(self._run_to_end(held))
-        return held
+        active.task = asyncio.create_task(self._run_to_end(active))
+        return active
 
-    def _find_kept(self, key: bytes) -> holding.Held | None:
+    def _find_kept(self, key: bytes) -> active_answers.ActiveAnswer | None:
         kept = self._kept.by_key(key)
         if kept is None:
             return None
         answer = answers.Answer(self._clock)
         answer.add(kept.texts())
         answer.finish(kept.end)
-        return holding.Held(kept.request, key, answer)
+        return active_answers.ActiveAnswer(kept.request, key, answer)
 
-    async def _run_to_end(self, held: holding.Held) -> None:
+    async def _run_to_end(self, active: active_answers.ActiveAnswer) -> None:
         """Runs a request from key registration to the end of its answer."""
-        request = held.request
+        request = active.request
         try:
             async with self._until_deadline(request):
-                runs_here = await self._ownership.acquire(held)
+                runs_here = await self._ownership.acquire(active)
             while runs_here:
-                taken_over = await self._run(held)
+                taken_over = await self._run(active)
                 if taken_over is None:
                     break
                 async with self._until_deadline(request):
-                    runs_here = await self._ownership.join(held, taken_over)
+                    runs_here = await self._ownership.join(active, taken_over)
         except TimeoutError:
             kind = errors.ErrorKind.DEADLINE_EXCEEDED
-            self._fail(held, errors.WharfError(kind, ran=held.ran_so_far))
+            self._fail(active, errors.WharfError(kind, ran=active.ran_so_far))
         except errors.WharfError as error:
-            self._fail(held, error)
+            self._fail(active, error)
         except asyncio.CancelledError:
             kind = errors.ErrorKind.CANCELLED
-            self._fail(held, errors.WharfError(kind, ran=held.ran_so_far))
+            self._fail(active, errors.WharfError(kind, ran=active.ran_so_far))
             raise
         except Exception:
             self._logger.exception("answer_crashed", id=request.request_id)
-            self._fail(held, errors.WharfError(errors.ErrorKind.INTERNAL))
+            self._fail(active, errors.WharfError(errors.ErrorKind.INTERNAL))
         finally:
-            self._on_ended(held)
+            self._on_ended(active)
 
-    async def _run(self, held: holding.Held) -> relays.Source | None:
+    async def _run(
+        self, active: active_answers.ActiveAnswer
+    ) -> relays.Source | None:
         """Runs a request.
 
         Returns:
             The run that took the request over, or ``None``.
         """
         run = self._runner.run(
-            held.request, held.answer, self._ownership.hooks(held)
+            active.request, active.answer, self._ownership.hooks(active)
         )
-        held.run_task = asyncio.create_task(run)
-        held.has_run = True
+        active.run_task = asyncio.create_task(run)
+        active.has_run = True
         try:
-            await held.run_task
+            await active.run_task
         except life.TakenOverError as error:
-            held.taken_over = relays.Source(error.owner, error.request_id)
+            active.taken_over = relays.Source(error.owner, error.request_id)
         except asyncio.CancelledError:
             task = asyncio.current_task()
-            if held.taken_over is None or (task and task.cancelling()):
+            if active.taken_over is None or (task and task.cancelling()):
                 raise
-        taken_over, held.taken_over = held.taken_over, None
-        if held.answer.end is not None:
+        taken_over, active.taken_over = active.taken_over, None
+        if active.answer.end is not None:
             return None
         return taken_over
 
-    def _on_reader_left(self, held: holding.Held) -> None:
-        if held.has_readers or held.answer.end is not None:
+    def _on_reader_left(self, active: active_answers.ActiveAnswer) -> None:
+        if active.has_readers or active.answer.end is not None:
             return
-        held.left_ms = self._clock.now_ms()
-        if held.linger_ms <= 0.0:
-            self._cancel(held)
-        elif held.lingering is None:
-            held.lingering = asyncio.create_task(self._linger(held))
+        active.last_reader_left_ms = self._clock.now_ms()
+        if active.linger_ms <= 0.0:
+            self._cancel(active)
+        elif active.linger_task is None:
+            active.linger_task = asyncio.create_task(self._linger(active))
 
-    async def _linger(self, held: holding.Held) -> None:
+    async def _linger(self, active: active_answers.ActiveAnswer) -> None:
         """Cancels an answer unless a reader returns within its linger time."""
         try:
-            while held.answer.end is None:
-                if held.has_readers:
+            while active.answer.end is None:
+                if active.has_readers:
                     return
-                due_ms = held.left_ms + held.linger_ms
+                due_ms = active.last_reader_left_ms + active.linger_ms
                 if self._clock.now_ms() >= due_ms:
-                    self._cancel(held)
+                    self._cancel(active)
                     return
                 await self._clock.sleep_until_ms(due_ms)
         finally:
-            held.lingering = None
+            active.linger_task = None
 
-    def _cancel(self, held: holding.Held) -> None:
-        if held.task is not None:
-            held.task.cancel()
+    def _cancel(self, active: active_answers.ActiveAnswer) -> None:
+        if active.task is not None:
+            active.task.cancel()
 
-    def _fail(self, held: holding.Held, error: errors.WharfError) -> None:
-        if held.answer.end is None:
+    def _fail(
+        self, active: active_answers.ActiveAnswer, error: errors.WharfError
+    ) -> None:
+        if active.answer.end is None:
             self._runner.counters.refused(error.kind.value)
-            held.answer.finish(holding.failed(error))
+            active.answer.finish(active_answers.failed(error))
 
-    def _on_ended(self, held: holding.Held) -> None:
-        request = held.request
-        if self._by_id.get(request.request_id) is held:
+    def _on_ended(self, active: active_answers.ActiveAnswer) -> None:
+        request = active.request
+        if self._by_id.get(request.request_id) is active:
             del self._by_id[request.request_id]
-        if self._by_key.get(held.key) is held:
-            del self._by_key[held.key]
-        end = held.answer.end
+        if self._by_key.get(active.key) is active:
+            del self._by_key[active.key]
+        end = active.answer.end
         assert end is not None
-        if held.is_claimed and _did_not_run(end):
+        if active.is_claimed and _did_not_run(end):
             self._claims.abandon(request.request_id)
         # A relay may end early while the run it follows continues. Keeping such
         # an end would hide the run's answer from the next retry.
-        is_own = held.has_run and held.source is None
-        if is_own and not (held.may_run_again and request.is_repeatable):
-            self._kept.keep(held.key, request, held.answer)
+        is_own = active.has_run and active.source is None
+        if is_own and not (active.may_run_again and request.is_repeatable):
+            self._kept.keep(active.key, request, active.answer)
 
     async def _on_pull(
         self, sender: str, message: key_messages.Pull
@@ -271,47 +275,51 @@
     async def _serve_pull(
         self, message: key_messages.Pull
     ) -> key_messages.Pulled:
-        held = self._by_id.get(message.request_id)
-        if held is None:
+        active = self._by_id.get(message.request_id)
+        if active is None:
             kept = self._kept.by_id(message.request_id)
             found = self._find_kept(message.key) if kept else None
             if found is None or found.request.request_id != message.request_id:
                 return _not_here()
-            held = found
-        if held.key != message.key:
+            active = found
+        if active.key != message.key:
             return _not_here()
-        if held.body != message.body:
+        if active.body != message.body:
             return key_messages.Pulled(key_messages.PullState.OTHER_BODY)
-        if held.source is not None:
+        if active.source is not None:
             return key_messages.Pulled(
                 key_messages.PullState.ELSEWHERE,
-                owner=held.source.owner,
-                request_id=held.source.request_id,
+                owner=active.source.owner,
+                request_id=active.source.request_id,
             )
-        held.pulls += 1
-        held.was_pulled = True
+        active.pulls += 1
+        active.was_pulled = True
         try:
             until_ms = self._clock.now_ms() + message.wait_ms
-            await held.answer.wait_for_token(message.first_index, until_ms)
+            await active.answer.wait_for_token(message.first_index, until_ms)
         finally:
-            held.pulls -= 1
-            self._on_reader_left(held)
-        return _pulled(held.answer, message.first_index)
+            active.pulls -= 1
+            self._on_reader_left(active)
+        return _pulled(active.answer, message.first_index)
 
     async def _on_taken_over(
         self, sender: str, message: key_messages.TakenOver
     ) -> None:
-        held = self._by_id.get(message.request_id)
-        if held is None or held.run_task is None or held.source is not None:
+        active = self._by_id.get(message.request_id)
+        if (
+            active is None
+            or active.run_task is None
+            or active.source is not None
+        ):
             return
-        if held.request.is_repeatable and held.answer.end is None:
+        if active.request.is_repeatable and active.answer.end is None:
             # Another instance took the key over while this one was paused or
             # partitioned. Callers that still wait here get the answer of the
             # new run.
-            held.taken_over = relays.Source(
+            active.taken_over = relays.Source(
                 message.by_owner, message.by_request_id
             )
-            held.run_task.cancel()
+            active.run_task.cancel()
 
     def _until_deadline(
         self, request: model_request.ModelRequest
@@ -333,9 +341,9 @@
     def _own_records(self) -> list[keys.KeyRecord]:
         """Records of the keys whose answers run or are kept here."""
         own = [
-            (held.key, held.request)
-            for held in self._by_id.values()
-            if held.source is None
+            (active.key, active.request)
+            for active in self._by_id.values()
+            if active.source is None
         ]
         own += [(key, kept.request) for key, kept in self._kept.items()]
         return [
--- a/src/jujubewharf/requests/ownership.py
+++ b/src/jujubewharf/requests/ownership.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from jujubewharf import errors
+from jujubewharf.requests import active_answer as active_answers
 from jujubewharf.requests import claims as request_claims
 from jujubewharf.requests import counters as request_counters
-from jujubewharf.requests import held as holding
 from jujubewharf.requests import kept as kept_answers
 from jujubewharf.requests import keys
 from jujubewharf.requests import life
@@ -46,7 +46,7 @@
         self._releaser = releaser
         self._counters = counters
 
-    async def acquire(self, held: holding.Held) -> bool:
+    async def acquire(self, active: active_answers.ActiveAnswer) -> bool:
         """Determines whether this instance runs the request.
 
         Returns:
@@ -55,8 +55,8 @@
         Raises:
             WharfError: The request is refused.
         """
-        is_mine = await self._acquire(held)
-        if is_mine and held.request.resume_from > 0:
+        is_mine = await self._acquire(active)
+        if is_mine and active.request.resume_from > 0:
             # The caller has the first tokens of an answer that no longer
             # exists. A new run may produce different tokens, which must not be
             # combined.
@@ -64,78 +64,82 @@
             raise errors.WharfError(errors.ErrorKind.KEY_EXPIRED, detail)
         return is_mine
 
-    async def _acquire(self, held: holding.Held) -> bool:
-        request = held.request
+    async def _acquire(self, active: active_answers.ActiveAnswer) -> bool:
+        request = active.request
         if not request.has_callers_key:
             return True
         minter = model_request.minted_by(request.key)
         if minter is not None:
-            return await self._join_minted(held, minter)
-        if not await self._register(held):
+            return await self._join_minted(active, minter)
+        if not await self._register(active):
             return False
         if not request.is_repeatable:
-            return await self._claim(held)
+            return await self._claim(active)
         return True
 
-    async def join(self, held: holding.Held, source: relays.Source) -> bool:
+    async def join(
+        self, active: active_answers.ActiveAnswer, source: relays.Source
+    ) -> bool:
         """Follows another run of the key.
 
         Returns:
             Whether that run ended without an answer, so that this request may
             proceed. A request that is not repeatable proceeds to its claim.
         """
-        result = await self._follow(held, source)
+        result = await self._follow(active, source)
         if result.ending is relays.Ending.DONE:
             return False
         failure = result.failure
         if failure is not None and failure.ran is errors.Ran.NO:
             return True
-        held.may_have_run = True
-        if failure is not None and not held.request.is_repeatable:
-            held.answer.finish(failure)
+        active.may_have_run = True
+        if failure is not None and not active.request.is_repeatable:
+            active.answer.finish(failure)
             return False
         return True
 
-    def hooks(self, held: holding.Held) -> life.Hooks:
+    def hooks(self, active: active_answers.ActiveAnswer) -> life.Hooks:
         """Builds the callbacks for the run of a request."""
-        if not held.request.has_callers_key:
-            return life.Hooks(may_have_run=held.may_have_run)
+        if not active.request.has_callers_key:
+            return life.Hooks(may_have_run=active.may_have_run)
 
         def on_dispatch(attempt_id: str, engines: tuple[str, ...]) -> None:
-            self._homes.send_dispatch(held.key, attempt_id, engines)
+            self._homes.send_dispatch(active.key, attempt_id, engines)
 
         async def confirm() -> None:
             # A claimed request can't be taken over, whatever the records at the
             # key's homes contain.
-            if held.request.is_repeatable:
-                await self._confirm(held)
+            if active.request.is_repeatable:
+                await self._confirm(active)
 
         def is_taken_over() -> bool:
-            return held.taken_over is not None
+            return active.taken_over is not None
 
         return life.Hooks(
             on_dispatch=on_dispatch,
             confirm=confirm,
             is_taken_over=is_taken_over,
-            may_have_run=held.may_have_run,
+            may_have_run=active.may_have_run,
         )
 
-    async def _join_minted(self, held: holding.Held, minter: str) -> bool:
-        source = relays.Source(minter, held.request.key)
-        if not await self.join(held, source):
+    async def _join_minted(
+        self, active: active_answers.ActiveAnswer, minter: str
+    ) -> bool:
+        source = relays.Source(minter, active.request.key)
+        if not await self.join(active, source):
             return False
-        if not held.request.is_repeatable:
+        if not active.request.is_repeatable:
             # Only the minting instance may run it, and has no record of it.
             raise errors.WharfError(errors.ErrorKind.KEY_EXPIRED)
         return True
 
-    async def _register(self, held: holding.Held) -> bool:
-        request = held.request
+    async def _register(self, active: active_answers.ActiveAnswer) -> bool:
+        request = active.request
         mine = keys.KeyRecord(
-            held.key, held.body, self._instance, request.request_id
+            active.key, active.body, self._instance, request.request_id
         )
         keep_ms = request.deadline_ms + kept_answers.KEEP_MS
-        replaces = held.replaces
+        replaces = active.replaces
         while True:
             try:
                 record = await self._homes.register(
@@ -145,13 +149,13 @@
                 # A failure domain that is cut off from both homes continues to
                 # serve. Requests that are not repeatable still need a claim.
                 return True
-            self.homes_of[held.key] = self._homes.home_processes(held.key)
+            self.homes_of[active.key] = self._homes.home_processes(active.key)
             if record.request_id == request.request_id:
                 return True
-            if record.body != held.body:
+            if record.body != active.body:
                 raise errors.WharfError(errors.ErrorKind.KEY_CONFLICT)
             source = relays.Source(record.owner, record.request_id)
-            if not await self.join(held, source):
+            if not await self.join(active, source):
                 return False
             if record.attempt_id:
                 self._releaser.release_by_names(
@@ -159,21 +163,21 @@
                 )
             replaces = record.request_id
 
-    async def _claim(self, held: holding.Held) -> bool:
-        request = held.request
+    async def _claim(self, active: active_answers.ActiveAnswer) -> bool:
+        request = active.request
         created_ms = self._claims.check_age(request.key)
-        held.is_claimed = True
+        active.is_claimed = True
         claim = await self._claims.claim(
-            held.key, request.request_id, held.body, created_ms=created_ms
+            active.key, request.request_id, active.body, created_ms=created_ms
         )
         if claim.is_won:
-            held.may_have_run = False
+            active.may_have_run = False
             return True
-        held.may_have_run = True
-        if claim.body != held.body:
+        active.may_have_run = True
+        if claim.body != active.body:
             raise errors.WharfError(errors.ErrorKind.KEY_CONFLICT)
         source = relays.Source(claim.owner, claim.request_id)
-        result = await self._follow(held, source)
+        result = await self._follow(active, source)
         match result.ending:
             case relays.Ending.DONE:
                 return False
@@ -187,32 +191,32 @@
                 raise errors.WharfError(kind, ran=errors.Ran.UNKNOWN)
 
     async def _follow(
-        self, held: holding.Held, source: relays.Source
+        self, active: active_answers.ActiveAnswer, source: relays.Source
     ) -> relays.Result:
-        held.source = source
+        active.source = source
         self._counters.attached("elsewhere")
         try:
-            own = relays.Source(self._instance, held.request.request_id)
+            own = relays.Source(self._instance, active.request.request_id)
             return await self._relay.follow(
-                source, own, held.key, held.body, held.answer
+                source, own, active.key, active.body, active.answer
             )
         except BaseException:
-            held.may_have_run = True
+            active.may_have_run = True
             raise
         finally:
-            if held.answer.end is None:
-                held.source = None
+            if active.answer.end is None:
+                active.source = None
 
-    async def _confirm(self, held: holding.Held) -> None:
+    async def _confirm(self, active: active_answers.ActiveAnswer) -> None:
         """Checks for a takeover by another instance after a lost attempt.
 
         An instance that was paused finds its streams broken. It must not start
         another attempt if the request was taken over in the meantime.
         """
         try:
-            record = await self._homes.look_up(held.key)
+            record = await self._homes.look_up(active.key)
         except keys.HomesUnreachableError:
             return
-        mine = held.request.request_id
+        mine = active.request.request_id
         if record is not None and record.request_id != mine:
             raise life.TakenOverError(record.owner, record.request_id)
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -14,12 +14,12 @@
 import pytest
 
 from jujubewharf import errors
+from jujubewharf.requests import active_answer
 from jujubewharf.requests import attempt
 from jujubewharf.requests import claim_records
 from jujubewharf.requests import claim_shard
 from jujubewharf.requests import claims
 from jujubewharf.requests import handover
-from jujubewharf.requests import held
 from jujubewharf.requests import kept
 from jujubewharf.requests import keys
 from jujubewharf.requests import life
@@ -188,7 +188,7 @@
     ),
     Off(
         "a caller that left ends its run",
-        held.Held,
+        active_answer.ActiveAnswer,
         "linger_ms",
         property(lambda self: 1e9),
         lambda: test_answers.test_a_caller_that_left_leaves_no_memory_held(
