--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -236,7 +236,7 @@
         body_digest: Digest of the request's body.
         request_id: The run that wrote it.
         is_repeatable: Whether the request may be repeated.
-        packed: Its tokens, as ``requests.kept`` packs them.
+        packed: Its tokens, as ``requests.answer_cache`` packs them.
         count: Tokens of the whole answer.
         digest: Digest of the whole answer.
         attempt_id: Attempt that finished it.
--- a/src/jujubewharf/requests/kept.py
+++ b/src/jujubewharf/requests/answer_cache.py
@@ -13,13 +13,13 @@
 from jujubewharf.requests import model_request
 
 MAX_BYTES = 8_000_000
-KEEP_MS = 120_000.0
-KEEP_CLAIMED_MS = 900_000.0
+RETENTION_MS = 120_000.0
+CLAIMED_RETENTION_MS = 900_000.0
 _OVERHEAD_BYTES = 600
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeptAnswer:
+class CachedAnswer:
     """One ended answer in packed form.
 
     Attributes:
@@ -44,7 +44,7 @@
         return tuple(msgpack.unpackb(self.packed))
 
 
-class KeptAnswers:
+class AnswerCache:
     """Ended answers, limited in age and bytes; the oldest are evicted first.
 
     Args:
@@ -58,7 +58,7 @@
         self._clock = clock
         self._max_bytes = max_bytes
         self._bytes = 0
-        self._by_id: collections.OrderedDict[str, KeptAnswer] = (
+        self._by_id: collections.OrderedDict[str, CachedAnswer] = (
             collections.OrderedDict()
         )
         self._id_of_key: dict[bytes, str] = {}
@@ -85,27 +85,29 @@
         packed: bytes,
     ) -> None:
         """Adds an answer whose tokens are already packed."""
-        keep_ms = KEEP_MS if request.is_repeatable else KEEP_CLAIMED_MS
-        kept = KeptAnswer(
+        keep_ms = (
+            RETENTION_MS if request.is_repeatable else CLAIMED_RETENTION_MS
+        )
+        cached = CachedAnswer(
             dataclasses.replace(request, prompt=""),
             _end_for_retries(end),
             packed,
             self._clock.now_ms() + keep_ms,
         )
         self._drop(request.request_id)
-        self._by_id[request.request_id] = kept
+        self._by_id[request.request_id] = cached
         self._id_of_key[key] = request.request_id
-        self._bytes += kept.size_bytes
+        self._bytes += cached.size_bytes
         self._evict()
 
-    def by_id(self, request_id: str) -> KeptAnswer | None:
+    def by_id(self, request_id: str) -> CachedAnswer | None:
         """Returns the answer of a run, unless it has expired."""
-        kept = self._by_id.get(request_id)
-        if kept is None or kept.expires_ms <= self._clock.now_ms():
+        cached = self._by_id.get(request_id)
+        if cached is None or cached.expires_ms <= self._clock.now_ms():
             return None
-        return kept
+        return cached
 
-    def by_key(self, key: bytes) -> KeptAnswer | None:
+    def by_key(self, key: bytes) -> CachedAnswer | None:
         """Returns the latest answer of a key."""
         request_id = self._id_of_key.get(key)
         return None if request_id is None else self.by_id(request_id)
@@ -116,7 +118,7 @@
         if request_id is not None:
             self._drop(request_id)
 
-    def items(self) -> list[tuple[bytes, KeptAnswer]]:
+    def items(self) -> list[tuple[bytes, CachedAnswer]]:
         """Returns all answers with their keys."""
         return [
             (key, self._by_id[request_id])
@@ -139,9 +141,9 @@
             self._drop(next(iter(self._by_id)))
 
     def _drop(self, request_id: str) -> None:
-        kept = self._by_id.pop(request_id, None)
-        if kept is not None:
-            self._bytes -= kept.size_bytes
+        cached = self._by_id.pop(request_id, None)
+        if cached is not None:
+            self._bytes -= cached.size_bytes
 
 
 def _end_for_retries(end: answers.End) -> answers.End:
--- a/src/jujubewharf/requests/answers.py
+++ b/src/jujubewharf/requests/answers.py
@@ -15,9 +15,9 @@
 from jujubewharf.peers import network
 from jujubewharf.requests import active_answer as active_answers
 from jujubewharf.requests import answer as answers
+from jujubewharf.requests import answer_cache
 from jujubewharf.requests import claims as request_claims
 from jujubewharf.requests import handover
-from jujubewharf.requests import kept as kept_answers
 from jujubewharf.requests import keys
 from jujubewharf.requests import life
 from jujubewharf.requests import model_request
@@ -67,9 +67,9 @@
         self._runner = runner
         self._claims = claims
         self._clock = clock
-        self._kept = kept_answers.KeptAnswers(clock)
+        self._cache = answer_cache.AnswerCache(clock)
         self._handover = handover.Handover(
-            instance, self._kept, homes, peers, clock
+            instance, self._cache, homes, peers, clock
         )
         relay = relays.Relay(peers, membership, clock, self._serve_pull)
         self._ownership = ownership.Ownership(
@@ -137,7 +137,7 @@
     ) -> active_answers.ActiveAnswer:
         """Returns the key's answer on this instance, or starts a new one."""
         key = keys.key_of(request.account, request.key)
-        active = self._by_key.get(key) or self._find_kept(key)
+        active = self._by_key.get(key) or self._find_cached(key)
         replaces = ""
         if active is not None:
             if active.request.body_digest != request.body_digest:
@@ -146,7 +146,7 @@
                 self._runner.counters.attached("here")
                 return active
             replaces = active.request.request_id
-            self._kept.forget_key(key)
+            self._cache.forget_key(key)
         answer = answers.Answer(self._clock)
         active = active_answers.ActiveAnswer(request, key, answer, replaces)
         self._by_key[key] = active
@@ -155,14 +155,14 @@
         active.task = asyncio.create_task(self._run_to_end(active))
         return active
 
-    def _find_kept(self, key: bytes) -> active_answers.ActiveAnswer | None:
-        kept = self._kept.by_key(key)
-        if kept is None:
+    def _find_cached(self, key: bytes) -> active_answers.ActiveAnswer | None:
+        cached = self._cache.by_key(key)
+        if cached is None:
             return None
         answer = answers.Answer(self._clock)
-        answer.add(kept.texts())
-        answer.finish(kept.end)
-        return active_answers.ActiveAnswer(kept.request, key, answer)
+        answer.add(cached.texts())
+        answer.finish(cached.end)
+        return active_answers.ActiveAnswer(cached.request, key, answer)
 
     async def _run_to_end(self, active: active_answers.ActiveAnswer) -> None:
         """Runs a request from key registration to the end of its answer."""
@@ -265,7 +265,7 @@
         # an end would hide the run's answer from the next retry.
         is_own = active.has_run and active.source is None
         if is_own and not (active.may_run_again and request.is_repeatable):
-            self._kept.keep(active.key, request, active.answer)
+            self._cache.keep(active.key, request, active.answer)
 
     async def _on_pull(
         self, sender: str, message: key_messages.Pull
@@ -277,8 +277,8 @@
     ) -> key_messages.Pulled:
         active = self._by_id.get(message.request_id)
         if active is None:
-            kept = self._kept.by_id(message.request_id)
-            found = self._find_kept(message.key) if kept else None
+            cached = self._cache.by_id(message.request_id)
+            found = self._find_cached(message.key) if cached else None
             if found is None or found.request.request_id != message.request_id:
                 return _not_here()
             active = found
@@ -331,21 +331,21 @@
     async def _expire(self) -> None:
         while not self.should_stop:
             await self._clock.sleep_ms(_EXPIRE_INTERVAL_MS)
-            self._kept.expire()
-            kept = {key for key, _ in self._kept.items()}
+            self._cache.expire()
+            cached = {key for key, _ in self._cache.items()}
             homes_of = self._ownership.homes_of
             for key in list(homes_of):
-                if key not in self._by_key and key not in kept:
+                if key not in self._by_key and key not in cached:
                     del homes_of[key]
 
     def _own_records(self) -> list[keys.KeyRecord]:
-        """Records of the keys whose answers run or are kept here."""
+        """Records of the keys whose answers run or are cached here."""
         own = [
             (active.key, active.request)
             for active in self._by_id.values()
             if active.source is None
         ]
-        own += [(key, kept.request) for key, kept in self._kept.items()]
+        own += [(key, cached.request) for key, cached in self._cache.items()]
         return [
             keys.KeyRecord(
                 key,
--- a/src/jujubewharf/requests/handover.py
+++ b/src/jujubewharf/requests/handover.py
@@ -8,7 +8,7 @@
 from jujubewharf.configuration import resources
 from jujubewharf.peers import key_messages
 from jujubewharf.peers import network
-from jujubewharf.requests import kept as kept_answers
+from jujubewharf.requests import answer_cache
 from jujubewharf.requests import keys
 from jujubewharf.requests import model_request
 
@@ -24,7 +24,7 @@
 
     Args:
         instance: Name of this instance.
-        kept: Answers kept on this instance.
+        cache: Ended answers of this instance.
         homes: Key records and their home instances.
         peers: Messaging between instances.
         clock: Source of time and timeouts.
@@ -33,13 +33,13 @@
     def __init__(
         self,
         instance: str,
-        kept: kept_answers.KeptAnswers,
+        cache: answer_cache.AnswerCache,
         homes: keys.KeyHomes,
         peers: network.PeerNetwork,
         clock: clocks.Clock,
     ) -> None:
         self._instance = instance
-        self._kept = kept
+        self._cache = cache
         self._homes = homes
         self._peers = peers
         self._clock = clock
@@ -64,8 +64,8 @@
 
         tasks = [
             asyncio.create_task(hand_over(key, message))
-            for key, kept in self._kept.items()
-            if (message := _handover_message(kept)) is not None
+            for key, cached in self._cache.items()
+            if (message := _handover_message(cached)) is not None
         ]
         if tasks:
             seconds = timeout_ms / clocks.MS_PER_S
@@ -97,7 +97,7 @@
         end = model_request.Finished(
             message.count, message.digest, message.attempt_id
         )
-        self._kept.keep_packed(key, request, end, message.packed)
+        self._cache.keep_packed(key, request, end, message.packed)
         record = keys.KeyRecord(
             key,
             keys.body_of(message.body_digest),
@@ -107,7 +107,7 @@
         try:
             # The run id is unchanged, so the homes treat this as an update.
             await self._homes.register(
-                record, replaces="", keep_ms=kept_answers.KEEP_CLAIMED_MS
+                record, replaces="", keep_ms=answer_cache.CLAIMED_RETENTION_MS
             )
         except keys.HomesUnreachableError:
             pass
@@ -115,13 +115,13 @@
 
 
 def _handover_message(
-    kept: kept_answers.KeptAnswer,
+    cached: answer_cache.CachedAnswer,
 ) -> key_messages.HandOver | None:
     """Builds the message, or ``None`` if the answer isn't handed over.
 
     Only complete answers to requests with a caller's key are handed over.
     """
-    request, end = kept.request, kept.end
+    request, end = cached.request, cached.end
     if not request.has_callers_key:
         return None
     match end:
@@ -132,7 +132,7 @@
                 body_digest=request.body_digest,
                 request_id=request.request_id,
                 is_repeatable=request.is_repeatable,
-                packed=kept.packed,
+                packed=cached.packed,
                 count=count,
                 digest=digest,
                 attempt_id=attempt_id,
@@ -143,7 +143,7 @@
 def _rebuild_request(
     message: key_messages.HandOver, now_ms: float
 ) -> model_request.ModelRequest:
-    """Rebuilds the parts of the request that a kept answer needs."""
+    """Rebuilds the parts of the request that a cached answer needs."""
     return model_request.ModelRequest(
         request_id=message.request_id,
         key=message.callers_key,
@@ -153,6 +153,6 @@
         prompt="",
         max_tokens=message.count,
         arrived_ms=now_ms,
-        deadline_ms=kept_answers.KEEP_MS,
+        deadline_ms=answer_cache.RETENTION_MS,
         is_repeatable=message.is_repeatable,
     )
--- a/src/jujubewharf/requests/ownership.py
+++ b/src/jujubewharf/requests/ownership.py
@@ -4,9 +4,9 @@
 
 from jujubewharf import errors
 from jujubewharf.requests import active_answer as active_answers
+from jujubewharf.requests import answer_cache
 from jujubewharf.requests import claims as request_claims
 from jujubewharf.requests import counters as request_counters
-from jujubewharf.requests import kept as kept_answers
 from jujubewharf.requests import keys
 from jujubewharf.requests import life
 from jujubewharf.requests import model_request
@@ -138,7 +138,7 @@
         mine = keys.KeyRecord(
             active.key, active.body, self._instance, request.request_id
         )
-        keep_ms = request.deadline_ms + kept_answers.KEEP_MS
+        keep_ms = request.deadline_ms + answer_cache.RETENTION_MS
         replaces = active.replaces
         while True:
             try:
--- a/src/jujubewharf/requests/rehoming.py
+++ b/src/jujubewharf/requests/rehoming.py
@@ -10,7 +10,7 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf.membership import view as views
-from jujubewharf.requests import kept as kept_answers
+from jujubewharf.requests import answer_cache
 from jujubewharf.requests import keys
 
 _DELAY_MS = 500.0
@@ -26,7 +26,7 @@
     Args:
         homes: Key records and their home instances.
         homes_of: Homes that have each key's record; updated here.
-        own_records: Returns the records of answers that run or are kept here.
+        own_records: Returns the records of answers that run or are cached here.
         membership: Instances that are present.
         clock: Source of time.
     """
@@ -71,5 +71,5 @@
         for home in homes:
             if home not in known_homes:
                 await self._homes.copy_to(
-                    home.instance, record, keep_ms=kept_answers.KEEP_MS
+                    home.instance, record, keep_ms=answer_cache.RETENTION_MS
                 )
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -15,12 +15,12 @@
 
 from jujubewharf import errors
 from jujubewharf.requests import active_answer
+from jujubewharf.requests import answer_cache
 from jujubewharf.requests import attempt
 from jujubewharf.requests import claim_records
 from jujubewharf.requests import claim_shard
 from jujubewharf.requests import claims
 from jujubewharf.requests import handover
-from jujubewharf.requests import kept
 from jujubewharf.requests import keys
 from jujubewharf.requests import life
 from jujubewharf.requests import relay
@@ -280,7 +280,7 @@
     ),
     Off(
         "finished answers are kept",
-        kept.KeptAnswers,
+        answer_cache.AnswerCache,
         "keep",
         lambda *args: None,
         test_answers.test_a_retry_after_the_end_gets_the_finished_answer,
