--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -39,12 +39,12 @@
 from jujubewharf.requests import answers as request_answers
 from jujubewharf.requests import claims as request_claims
 from jujubewharf.requests import keys
-from jujubewharf.requests import life
 from jujubewharf.requests import limits
 from jujubewharf.requests import model_request
 from jujubewharf.requests import plain
 from jujubewharf.requests import plain_endpoints
 from jujubewharf.requests import plain_replies
+from jujubewharf.requests import request_runner
 from jujubewharf.requests import sweep as sweeps
 from jujubewharf.routing import fleet as fleets
 from jujubewharf.routing import placer as placers
@@ -183,7 +183,7 @@
                 )
             )
         self._placer = placers.Placer(policy, self.fleet, clock)
-        self.runner = life.RequestRunner(
+        self.runner = request_runner.RequestRunner(
             settings.instance,
             self.fleet,
             self._placer,
--- a/src/jujubewharf/requests/answers.py
+++ b/src/jujubewharf/requests/answers.py
@@ -19,11 +19,11 @@
 from jujubewharf.requests import claims as request_claims
 from jujubewharf.requests import handover
 from jujubewharf.requests import keys
-from jujubewharf.requests import life
 from jujubewharf.requests import model_request
 from jujubewharf.requests import ownership
 from jujubewharf.requests import rehoming
 from jujubewharf.requests import relay as relays
+from jujubewharf.requests import request_runner
 
 _FLUSH_TIMEOUT_MS = 2_000.0
 _HANDOVER_TIMEOUT_MS = 3_000.0
@@ -55,7 +55,7 @@
     def __init__(
         self,
         instance: str,
-        runner: life.RequestRunner,
+        runner: request_runner.RequestRunner,
         homes: keys.KeyHomes,
         claims: request_claims.Claims,
         peers: network.PeerNetwork,
@@ -206,7 +206,7 @@
         active.has_run = True
         try:
             await active.run_task
-        except life.TakenOverError as error:
+        except request_runner.TakenOverError as error:
             active.taken_over = relays.Source(error.owner, error.request_id)
         except asyncio.CancelledError:
             task = asyncio.current_task()
--- a/src/jujubewharf/requests/ownership.py
+++ b/src/jujubewharf/requests/ownership.py
@@ -8,10 +8,10 @@
 from jujubewharf.requests import claims as request_claims
 from jujubewharf.requests import counters as request_counters
 from jujubewharf.requests import keys
-from jujubewharf.requests import life
 from jujubewharf.requests import model_request
 from jujubewharf.requests import relay as relays
 from jujubewharf.requests import releases
+from jujubewharf.requests import request_runner
 
 
 class Ownership:
@@ -98,10 +98,12 @@
             return False
         return True
 
-    def hooks(self, active: active_answers.ActiveAnswer) -> life.Hooks:
+    def hooks(
+        self, active: active_answers.ActiveAnswer
+    ) -> request_runner.Hooks:
         """Builds the callbacks for the run of a request."""
         if not active.request.has_callers_key:
-            return life.Hooks(may_have_run=active.may_have_run)
+            return request_runner.Hooks(may_have_run=active.may_have_run)
 
         def on_dispatch(attempt_id: str, engines: tuple[str, ...]) -> None:
             self._homes.send_dispatch(active.key, attempt_id, engines)
@@ -115,7 +117,7 @@
         def is_taken_over() -> bool:
             return active.taken_over is not None
 
-        return life.Hooks(
+        return request_runner.Hooks(
             on_dispatch=on_dispatch,
             confirm=confirm,
             is_taken_over=is_taken_over,
@@ -219,4 +221,4 @@
             return
         mine = active.request.request_id
         if record is not None and record.request_id != mine:
-            raise life.TakenOverError(record.owner, record.request_id)
+            raise request_runner.TakenOverError(record.owner, record.request_id)
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -22,15 +22,15 @@
 from jujubewharf.requests import claims
 from jujubewharf.requests import handover
 from jujubewharf.requests import keys
-from jujubewharf.requests import life
 from jujubewharf.requests import relay
 from jujubewharf.requests import releases
+from jujubewharf.requests import request_runner
 from jujubewharf.requests import retries
 from jujubewharf.requests import sweep
 from tests import soak
 from tests.requests import test_answers
 from tests.requests import test_claims
-from tests.requests import test_life
+from tests.requests import test_request_runner
 from tests.requests import test_sweep
 
 
@@ -119,15 +119,17 @@
         releases.Releaser,
         "_release",
         _once,
-        test_life.test_an_unanswered_release_is_repeated,
+        test_request_runner.test_an_unanswered_release_is_repeated,
     ),
     Off(
         "every exit releases",
         releases.Releaser,
         "release",
         lambda *args: None,
-        lambda: test_life.test_memory_is_free_at_once_when_the_caller_leaves(
-            300
+        lambda: (
+            test_request_runner.test_memory_is_free_at_once_when_the_caller_leaves(
+                300
+            )
         ),
     ),
     Off(
@@ -243,15 +245,15 @@
         "a lost answer counts as a dispatch",
         retries,
         "NO_EFFECT_FAULTS",
-        retries.NO_EFFECT_FAULTS | {test_life.LOST},
-        test_life.test_not_repeatable_is_never_dispatched_twice,
+        retries.NO_EFFECT_FAULTS | {test_request_runner.LOST},
+        test_request_runner.test_not_repeatable_is_never_dispatched_twice,
     ),
     Off(
         "did not run is said only when certain",
-        life,
+        request_runner,
         "ran_of",
         _says_no,
-        lambda: test_life.test_the_deadline_tells_whether_it_ran(
+        lambda: test_request_runner.test_the_deadline_tells_whether_it_ran(
             400, errors.Ran.YES
         ),
     ),
@@ -260,8 +262,10 @@
         attempt.AttemptRun,
         "_add_chunk",
         _take_unchecked,
-        lambda: test_life.test_an_engines_death_leaves_no_gap_and_no_repeat(
-            {"d2": test_life.NO_RESUME}
+        lambda: (
+            test_request_runner.test_an_engines_death_leaves_no_gap_and_no_repeat(
+                {"d2": test_request_runner.NO_RESUME}
+            )
         ),
     ),
     Off(
@@ -276,7 +280,7 @@
         retries.RetryBudget,
         "take",
         lambda *args: True,
-        test_life.test_retries_stop_when_their_budget_is_used_up,
+        test_request_runner.test_retries_stop_when_their_budget_is_used_up,
     ),
     Off(
         "finished answers are kept",
@@ -312,7 +316,7 @@
     ),
     Off(
         "truth of did not run, under random failures",
-        life,
+        request_runner,
         "ran_of",
         _says_no,
         seeds(2),
