--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -36,7 +36,7 @@
 from jujubewharf.platform import live_list
 from jujubewharf.platform import log
 from jujubewharf.platform import weights
-from jujubewharf.requests import answers as request_answers
+from jujubewharf.requests import answer_service
 from jujubewharf.requests import claims as request_claims
 from jujubewharf.requests import keys
 from jujubewharf.requests import limits
@@ -101,7 +101,7 @@
         facts: Small facts known to the whole fleet.
         membership: Who they are.
         runner: Runs model requests, and counts.
-        answers: All answers of this instance.
+        answers: Runs the answers of this instance.
         claims: Claims of requests that may not be repeated.
     """
 
@@ -199,7 +199,7 @@
             adapters.log,
             clock,
         )
-        self.answers = request_answers.Answers(
+        self.answers = answer_service.AnswerService(
             settings.instance,
             self.runner,
             self.key_homes,
@@ -289,7 +289,7 @@
     async def answer(
         self, request: model_request.ModelRequest
     ) -> AsyncGenerator[model_request.Event, None]:
-        """Answers a model request; see ``answers.Answers.answer``."""
+        """Answers a model request; see ``AnswerService.answer``."""
         deadline_at_ms = request.arrived_ms + request.deadline_ms
         watch = goodput.Stopwatch(
             request.service, request.arrived_ms, self.clock
--- a/src/jujubewharf/requests/answers.py
+++ b/src/jujubewharf/requests/answer_service.py
@@ -32,7 +32,7 @@
 _MAX_PULLED_TOKENS = 2_000
 
 
-class Answers(mode.Service):
+class AnswerService(mode.Service):
     """Starts requests and lets callers and other instances read their answers.
 
     Each answer is written by a task of its own. A retry can therefore join a
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -13,9 +13,9 @@
 from jujubewharf.requests import claims
 from jujubewharf.requests import keys
 from tests.requests import deployments
-from tests.requests.test_answers import THREE
-from tests.requests.test_answers import ask_quietly
-from tests.requests.test_answers import run
+from tests.requests.test_answer_service import THREE
+from tests.requests.test_answer_service import ask_quietly
+from tests.requests.test_answer_service import run
 
 
 def once(d, key="k", **fields):
--- a/tests/requests/test_plain_replies.py
+++ b/tests/requests/test_plain_replies.py
@@ -10,7 +10,7 @@
 from jujubewharf.configuration import resources
 from jujubewharf.requests import plain
 from jujubewharf.requests import plain_replies
-from tests.requests.test_answers import run
+from tests.requests.test_answer_service import run
 
 SERVICE = resources.Service("shop-api", resources.ServiceKind.PLAIN)
 
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -28,7 +28,7 @@
 from jujubewharf.requests import retries
 from jujubewharf.requests import sweep
 from tests import soak
-from tests.requests import test_answers
+from tests.requests import test_answer_service
 from tests.requests import test_claims
 from tests.requests import test_request_runner
 from tests.requests import test_sweep
@@ -158,43 +158,45 @@
         keys.KeyHomes,
         "register",
         _no_home,
-        test_answers.test_a_retry_elsewhere_joins_the_running_answer,
+        test_answer_service.test_a_retry_elsewhere_joins_the_running_answer,
     ),
     Off(
         "records follow their homes",
         keys.KeyHomes,
         "copy_to",
         _nothing,
-        test_answers.test_records_follow_when_their_home_is_lost,
+        test_answer_service.test_records_follow_when_their_home_is_lost,
     ),
     Off(
         "keys are told apart by account",
         keys,
         "key_of",
         lambda account, key: key.encode(),
-        test_answers.test_accounts_do_not_share_keys,
+        test_answer_service.test_accounts_do_not_share_keys,
     ),
     Off(
         "a key's body is compared",
         keys,
         "body_of",
         lambda digest: b"",
-        test_answers.test_the_same_key_with_another_body_is_a_conflict,
+        test_answer_service.test_the_same_key_with_another_body_is_a_conflict,
     ),
     Off(
         "a takeover releases the lost run",
         releases.Releaser,
         "release_by_names",
         lambda *args: None,
-        test_answers.test_a_dead_owners_answer_is_taken_over_and_its_memory_freed,
+        test_answer_service.test_a_dead_owners_answer_is_taken_over_and_its_memory_freed,
     ),
     Off(
         "a caller that left ends its run",
         active_answer.ActiveAnswer,
         "linger_ms",
         property(lambda self: 1e9),
-        lambda: test_answers.test_a_caller_that_left_leaves_no_memory_held(
-            True
+        lambda: (
+            test_answer_service.test_a_caller_that_left_leaves_no_memory_held(
+                True
+            )
         ),
     ),
     Off(
@@ -273,7 +275,7 @@
         relay,
         "_add_pulled",
         _take_anything,
-        test_answers.test_a_paused_owner_finds_its_run_taken_over,
+        test_answer_service.test_a_paused_owner_finds_its_run_taken_over,
     ),
     Off(
         "retry budget",
@@ -287,7 +289,7 @@
         answer_cache.AnswerCache,
         "keep",
         lambda *args: None,
-        test_answers.test_a_retry_after_the_end_gets_the_finished_answer,
+        test_answer_service.test_a_retry_after_the_end_gets_the_finished_answer,
     ),
     Off(
         "answers are handed over at a shutdown",
@@ -295,7 +297,7 @@
         "hand_over_all",
         _nothing,
         lambda: (
-            test_answers.test_a_finished_answer_outlives_its_instances_shutdown(
+            test_answer_service.test_a_finished_answer_outlives_its_instances_shutdown(
                 True
             )
         ),
--- a/tests/requests/test_sweep.py
+++ b/tests/requests/test_sweep.py
@@ -6,8 +6,8 @@
 
 from jujubewharf.engines import client
 from tests.requests import deployments
-from tests.requests.test_answers import ask_quietly
-from tests.requests.test_answers import run
+from tests.requests.test_answer_service import ask_quietly
+from tests.requests.test_answer_service import run
 
 LONG = {"tokens": 900, "deadline_ms": 90_000}
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -39,7 +39,7 @@
     "jujubewharf.requests.claims",
     "jujubewharf.operators",
     "jujubewharf.peers.mesh",
-    "jujubewharf.requests.answers",
+    "jujubewharf.requests.answer_service",
     "looptime",
     "numpy",
     "opentelemetry.exporter.otlp",
