--- a/src/jujubewharf/leadership/account_feed.py
+++ b/src/jujubewharf/leadership/account_feed.py
@@ -23,33 +23,33 @@
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._ledger = quotas.QuotaBuckets()
+        self._buckets = quotas.QuotaBuckets()
 
     @property
     def low(self) -> frozenset[str]:
         """Names of the accounts that were reported as low."""
-        return self._ledger.names
+        return self._buckets.names
 
     def begin(self) -> None:
         """Discards what the previous leader reported."""
-        self._ledger.forget()
+        self._buckets.forget()
 
     def told(self, left: Iterable[quota_messages.AccountLeft]) -> None:
         """Replaces the low accounts by those of a new report."""
-        self._ledger.forget()
+        self._buckets.forget()
         now_ms = self._clock.now_ms()
         for account in left:
-            self._ledger.put(account.account, account.units, now_ms)
+            self._buckets.put(account.account, account.units, now_ms)
 
     def left(self, name: str, quota: accounts.Quota) -> float:
         """Returns the units that a low account has left now."""
-        return self._ledger.left(name, quota, self._clock.now_ms())
+        return self._buckets.left(name, quota, self._clock.now_ms())
 
     def take(
         self, name: str, quota: accounts.Quota, units: float, *, debt: float
     ) -> float:
         """Takes units of a low account; see ``quotas.QuotaBuckets.take``."""
-        if not self._ledger.knows(name):
+        if not self._buckets.knows(name):
             return 0.0
         now_ms = self._clock.now_ms()
-        return self._ledger.take(name, quota, units, now_ms, debt=debt)
+        return self._buckets.take(name, quota, units, now_ms, debt=debt)
--- a/src/jujubewharf/leadership/account_pace.py
+++ b/src/jujubewharf/leadership/account_pace.py
@@ -20,35 +20,37 @@
 
     def add(self, account: str, units: float, now_ms: float) -> None:
         """Adds units that an account uses now."""
-        found = self._sums.get(account)
-        if found is None:
-            found = self._sums[account] = recent.RecentSum(PACE_MS)
-        found.add(now_ms, units)
+        recent_sum = self._sums.get(account)
+        if recent_sum is None:
+            recent_sum = self._sums[account] = recent.RecentSum(PACE_MS)
+        recent_sum.add(now_ms, units)
 
     def total(self, account: str, now_ms: float) -> float:
         """Returns the units that an account has used within the window."""
-        found = self._sums.get(account)
-        return 0.0 if found is None else found.total(now_ms)
+        recent_sum = self._sums.get(account)
+        return 0.0 if recent_sum is None else recent_sum.total(now_ms)
 
-    def parts_of(self, whole: AccountPace, now_ms: float) -> dict[str, float]:
+    def parts_of(
+        self, total_usage: AccountPace, now_ms: float
+    ) -> dict[str, float]:
         """Returns the share of each active account's use in another total.
 
         Args:
-            whole: Use that includes this use.
+            total_usage: Use that includes this use.
             now_ms: Current time in ms.
 
         Returns:
             Shares, 0 to 1, by account.
         """
-        parts: dict[str, float] = {}
-        for account, found in list(self._sums.items()):
-            used = found.total(now_ms)
+        shares: dict[str, float] = {}
+        for account, recent_sum in list(self._sums.items()):
+            used = recent_sum.total(now_ms)
             if used <= 0.0:
                 del self._sums[account]
                 continue
-            all_used = whole.total(account, now_ms)
-            parts[account] = min(1.0, used / max(used, all_used))
-        return parts
+            total_used = total_usage.total(account, now_ms)
+            shares[account] = min(1.0, used / max(used, total_used))
+        return shares
 
 
 @dataclasses.dataclass(eq=False, slots=True)
--- a/src/jujubewharf/leadership/crash_follower.py
+++ b/src/jujubewharf/leadership/crash_follower.py
@@ -24,9 +24,9 @@
 # Name of the table in log lines.
 _TABLE = "crashes"
 # Long poll of a read, which keeps calls rare while there are no changes.
-_WAIT_MS = 5_000.0
+_LONG_POLL_MS = 5_000.0
 # Interval at which a follower checks that it still has a leader.
-_LOOK_MS = 250.0
+_ROLE_CHECK_MS = 250.0
 
 OnRecord = Callable[[str, fingerprints.Fingerprint], None]
 
@@ -34,7 +34,7 @@
 def new_crash_follower(
     table: tables.KeptTable,
     fleet: fleets.Fleet,
-    spread: fleet_crashes.FleetCrashes,
+    shared_crashes: fleet_crashes.FleetCrashes,
     clock: clocks.Clock,
     rng: random.Random,
     *,
@@ -45,23 +45,23 @@
     Args:
         table: The store's table.
         fleet: Role of this instance.
-        spread: Applies the reports and broadcasts them.
+        shared_crashes: Applies the reports and broadcasts them.
         clock: Clock.
         rng: Random jitter of reads.
         on_record: Called with the key and fingerprint of each record.
     """
     return follower.TableFollower(
         _TABLE,
-        _UnledTable(table, fleet, clock),
-        follower.Pace(wait_ms=_WAIT_MS, pause_ms=0.0),
+        _TableWithoutLeader(table, fleet, clock),
+        follower.Pace(wait_ms=_LONG_POLL_MS, pause_ms=0.0),
         clock,
         rng,
-        on_page=_Reports(spread, clock, on_record).take,
+        on_page=_ReportReader(shared_crashes, clock, on_record).take,
         is_watched=lambda: fleet.role is fleets.Role.FOLLOWING,
     )
 
 
-class _UnledTable:
+class _TableWithoutLeader:
     """A table that returns no changes while this instance follows a leader.
 
     Reading resumes at the same offset once there is no leader.
@@ -86,21 +86,21 @@
     ) -> tables.TablePage[bytes]:
         """Returns later records, none for a follower; see ``tables.Table``."""
         if self._fleet.role is fleets.Role.FOLLOWING:
-            await self._clock.sleep_ms(_LOOK_MS)
+            await self._clock.sleep_ms(_ROLE_CHECK_MS)
             return tables.TablePage((), from_offset)
         return await self._table.changes(from_offset, wait_ms=wait_ms)
 
 
-class _Reports:
+class _ReportReader:
     """Applies the crash reports of table pages."""
 
     def __init__(
         self,
-        spread: fleet_crashes.FleetCrashes,
+        shared_crashes: fleet_crashes.FleetCrashes,
         clock: clocks.Clock,
         on_record: OnRecord,
     ) -> None:
-        self._spread = spread
+        self._shared_crashes = shared_crashes
         self._clock = clock
         self._on_record = on_record
         self._errors = record_errors.RecordErrors(_TABLE)
@@ -117,4 +117,4 @@
                 self._errors.note(record.key, record.offset, error)
                 continue
             self._on_record(record.key, report.fingerprint)
-            self._spread.found(report)
+            self._shared_crashes.found(report)
--- a/src/jujubewharf/leadership/crash_services.py
+++ b/src/jujubewharf/leadership/crash_services.py
@@ -19,7 +19,7 @@
     table: tables.KeptTable | None,
     fleet: fleets.Fleet,
     history: crashes.CrashHistory,
-    spread: fleet_crashes.FleetCrashes,
+    shared_crashes: fleet_crashes.FleetCrashes,
     clock: clocks.Clock,
     rng: random.Random,
 ) -> tuple[mode.Service, ...]:
@@ -29,14 +29,16 @@
         table: The store's table; ``None`` disables persistence.
         fleet: Role of this instance.
         history: Crash history of this instance.
-        spread: Broadcasts changes of the history.
+        shared_crashes: Broadcasts changes of the history.
         clock: Clock.
         rng: Random jitter of reads.
     """
     if table is None:
         return ()
-    keeper = crash_keeper.CrashKeeper(table, fleet, history, spread, clock)
+    keeper = crash_keeper.CrashKeeper(
+        table, fleet, history, shared_crashes, clock
+    )
     reader = crash_follower.new_crash_follower(
-        table, fleet, spread, clock, rng, on_record=keeper.found
+        table, fleet, shared_crashes, clock, rng, on_record=keeper.found
     )
     return keeper, reader
--- a/src/jujubewharf/leadership/feeds.py
+++ b/src/jujubewharf/leadership/feeds.py
@@ -35,26 +35,26 @@
         self._clock = clock
         self._fresh_ms = fresh_ms
         # Offset of the newest record that the leader has read but not sent.
-        self._unsent: int | None = None
+        self._unsent_offset: int | None = None
         self._records: dict[str, tables.TableRecord[T]] = {}
-        self._end: int | None = None
+        self._end_offset: int | None = None
         self._confirmed_ms = 0.0
-        self._news = asyncio.Event()
+        self._update_event = asyncio.Event()
 
     @property
     def is_fresh(self) -> bool:
         """Whether the records are recent enough to skip the store."""
-        return self._end is not None and self._left_ms > 0.0
+        return self._end_offset is not None and self._fresh_for_ms > 0.0
 
     @property
-    def _left_ms(self) -> float:
+    def _fresh_for_ms(self) -> float:
         return self._confirmed_ms + self._fresh_ms - self._clock.now_ms()
 
     def begin(self) -> None:
         """Discards what the previous leader sent."""
         self._records.clear()
-        self._unsent = None
-        self._end = None
+        self._unsent_offset = None
+        self._end_offset = None
 
     def confirm(self, end: int, *, age_ms: float) -> None:
         """Extends freshness to a confirmed end offset.
@@ -63,42 +63,45 @@
             end: Offset up to which the leader has read the table.
             age_ms: Time in ms since that read.
         """
-        if self._end is None:
+        if self._end_offset is None:
             # The first records have not arrived yet.
             return
         self._confirmed_ms = self._clock.now_ms() - age_ms
-        if end > self._end:
-            self._end = end
-            self._wake()
+        if end > self._end_offset:
+            self._end_offset = end
+            self._notify()
 
     def take(self, records: Iterable[tables.TableRecord[T]], end: int) -> None:
         """Applies changed records."""
-        if self._end is None:
+        if self._end_offset is None:
             self._confirmed_ms = self._clock.now_ms()
         for record in records:
             self._records[record.key] = record
-            if self._unsent is not None and record.offset >= self._unsent:
-                self._unsent = None
-        self._end = max(end, self._end or 0)
-        self._wake()
+            if (
+                self._unsent_offset is not None
+                and record.offset >= self._unsent_offset
+            ):
+                self._unsent_offset = None
+        self._end_offset = max(end, self._end_offset or 0)
+        self._notify()
 
     def take_unsent(self, offset: int, end: int) -> None:
         """Notes a record that must be read from the store."""
-        self._unsent = max(offset, self._unsent or 0)
+        self._unsent_offset = max(offset, self._unsent_offset or 0)
         self.take((), end)
 
-    def _wake(self) -> None:
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+    def _notify(self) -> None:
+        event, self._update_event = self._update_event, asyncio.Event()
+        event.set()
 
-    async def freshened(self, within_ms: float) -> None:
-        """Waits up to ``within_ms`` until the records are fresh."""
-        until_ms = self._clock.now_ms() + within_ms
+    async def freshened(self, timeout_ms: float) -> None:
+        """Waits up to ``timeout_ms`` until the records are fresh."""
+        deadline_ms = self._clock.now_ms() + timeout_ms
         while not self.is_fresh:
-            left_ms = until_ms - self._clock.now_ms()
+            left_ms = deadline_ms - self._clock.now_ms()
             if left_ms <= 0.0:
                 return
-            await self._changed(left_ms)
+            await self._wait_for_update(left_ms)
 
     async def after(
         self, offset: int, *, wait_ms: float
@@ -108,31 +111,33 @@
         Returns:
             ``None`` if the store must be read instead.
         """
-        until_ms = self._clock.now_ms() + wait_ms
+        deadline_ms = self._clock.now_ms() + wait_ms
         while self.is_fresh:
-            assert self._end is not None
-            if self._end > offset:
-                return None if self._lacks(offset) else self._page(offset)
-            left_ms = min(until_ms - self._clock.now_ms(), self._left_ms)
-            if until_ms <= self._clock.now_ms():
+            assert self._end_offset is not None
+            if self._end_offset > offset:
+                return None if self._is_missing(offset) else self._page(offset)
+            left_ms = min(
+                deadline_ms - self._clock.now_ms(), self._fresh_for_ms
+            )
+            if deadline_ms <= self._clock.now_ms():
                 return tables.TablePage((), offset)
-            await self._changed(left_ms)
+            await self._wait_for_update(left_ms)
         return None
 
-    def _lacks(self, offset: int) -> bool:
+    def _is_missing(self, offset: int) -> bool:
         """Whether a record from an offset on was not sent."""
-        return self._unsent is not None and self._unsent >= offset
+        return self._unsent_offset is not None and self._unsent_offset >= offset
 
     def _page(self, offset: int) -> tables.TablePage[T]:
-        assert self._end is not None
-        found = [r for r in self._records.values() if r.offset >= offset]
-        found.sort(key=lambda record: record.offset)
-        return tables.TablePage(tuple(found), self._end)
+        assert self._end_offset is not None
+        page_records = [r for r in self._records.values() if r.offset >= offset]
+        page_records.sort(key=lambda record: record.offset)
+        return tables.TablePage(tuple(page_records), self._end_offset)
 
-    async def _changed(self, within_ms: float) -> None:
+    async def _wait_for_update(self, timeout_ms: float) -> None:
         with contextlib.suppress(TimeoutError):
-            async with self._clock.timeout_ms(max(1.0, within_ms)):
-                await self._news.wait()
+            async with self._clock.timeout_ms(max(1.0, timeout_ms)):
+                await self._update_event.wait()
 
 
 class LeaderTable(Generic[T]):
@@ -158,11 +163,11 @@
         self._feed = feed
         self._clock = clock
         self._pause_ms = pause_ms
-        self._read_ms: float | None = None
+        self._last_read_ms: float | None = None
 
     async def newest(self) -> tables.TablePage[T]:
         """Returns the newest record of each key; see ``tables.Table``."""
-        self._read_ms = self._clock.now_ms()
+        self._last_read_ms = self._clock.now_ms()
         return await self._table.newest()
 
     async def changes(
@@ -176,8 +181,8 @@
             return await self._read_unsent(from_offset)
         if self._pause_ms is None:
             return await self._read(from_offset, wait_ms=wait_ms)
-        if self._read_ms is not None:
-            due_ms = self._read_ms + self._pause_ms()
+        if self._last_read_ms is not None:
+            due_ms = self._last_read_ms + self._pause_ms()
             await self._feed.freshened(due_ms - self._clock.now_ms())
         return await self._read(from_offset, wait_ms=0.0)
 
@@ -203,4 +208,4 @@
         try:
             return await self._table.changes(from_offset, wait_ms=wait_ms)
         finally:
-            self._read_ms = self._clock.now_ms()
+            self._last_read_ms = self._clock.now_ms()
--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -28,11 +28,11 @@
 # Shares of the time limits for a change to take effect during which the
 # leader's read counts as this instance's own. The rest leaves time for an own
 # read of the store when the leader becomes unreachable.
-_CONFIGURATION_PART = 0.75
-_ENDPOINTS_PART = 0.5
+_CONFIGURATION_FRESH_SHARE = 0.75
+_ENDPOINTS_FRESH_SHARE = 0.5
 # Multiple of the mean time an answer holds memory, after which nearly all
 # earlier answers have ended.
-_ENDED_AFTER_STAYS = 2.0
+_ENDED_AFTER_MEAN_STAYS = 2.0
 
 
 class Role(enum.Enum):
@@ -84,11 +84,11 @@
         self.feeds = leader_link.Feeds(
             all_feeds.Feed(
                 clock,
-                fresh_ms=in_force_within_ms * _CONFIGURATION_PART,
+                fresh_ms=in_force_within_ms * _CONFIGURATION_FRESH_SHARE,
             ),
             all_feeds.Feed(
                 clock,
-                fresh_ms=leaving_within_ms * _ENDPOINTS_PART,
+                fresh_ms=leaving_within_ms * _ENDPOINTS_FRESH_SHARE,
             ),
             account_feed.AccountFeed(clock),
         )
@@ -97,8 +97,8 @@
         )
         self.feeds.configurations.fetch = self.link.fetch_configuration
         self.followers: all_followers.Followers | None = None
-        self._counted: int | None = None
-        self._counted_ms = 0.0
+        self._last_instances: int | None = None
+        self._last_counted_ms = 0.0
 
     @property
     def is_leading(self) -> bool:
@@ -146,7 +146,7 @@
         stay_ms = self._work.stay_ms
         if self.followers is None or stay_ms is None:
             return False
-        return self.followers.led_ms > stay_ms * _ENDED_AFTER_STAYS
+        return self.followers.led_ms > stay_ms * _ENDED_AFTER_MEAN_STAYS
 
     def retry_share(self, window_ms: float) -> float:
         """Returns the share, 0 to 1, of the fleet's retries for this instance.
@@ -160,7 +160,7 @@
             window_ms: Window in ms over which retries are counted.
         """
         share = self.equal_share()
-        if self._clock.now_ms() - self._counted_ms > window_ms:
+        if self._clock.now_ms() - self._last_counted_ms > window_ms:
             return 0.0
         return share
 
@@ -171,9 +171,11 @@
         """
         instances = self.instances
         if instances is not None:
-            self._counted = instances
-            self._counted_ms = self._clock.now_ms()
-        return 0.0 if self._counted is None else 1.0 / self._counted
+            self._last_instances = instances
+            self._last_counted_ms = self._clock.now_ms()
+        return (
+            0.0 if self._last_instances is None else 1.0 / self._last_instances
+        )
 
     def new_leadership(
         self,
--- a/src/jujubewharf/leadership/fleet_crashes.py
+++ b/src/jujubewharf/leadership/fleet_crashes.py
@@ -24,7 +24,7 @@
 # Delay that batches the reports of one crash, which concerns dozens of
 # requests. Short enough that all instances know of it before a caller can
 # retry.
-_TELL_AFTER_MS = 15.0
+_BATCH_MS = 15.0
 
 
 class FleetCrashes:
@@ -49,10 +49,10 @@
         self._fleet = fleet
         self._history = history
         self._clock = clock
-        self._untold: set[fingerprints.Fingerprint] = set()
+        self._unsent: set[fingerprints.Fingerprint] = set()
         self.on_change: Callable[[fingerprints.Fingerprint], None]
         self.on_change = lambda fingerprint: None
-        history.on_seen = self._spread
+        history.on_seen = self._on_seen
 
     async def take(self, call: calls.Call) -> bool:
         """Returns whether a trial is granted; see ``crashes.Trials``."""
@@ -69,25 +69,27 @@
         """Applies a follower's reports, and broadcasts what is new."""
         for report in message.reports:
             if self._history.learn(report):
-                self._spread(report.fingerprint)
+                self._on_seen(report.fingerprint)
 
     def found(self, report: crash_reports.CrashReport) -> None:
         """Applies a report from the store, and broadcasts it if it is new."""
         if self._history.learn(report):
-            self._tell_soon(report.fingerprint)
+            self._schedule_broadcast(report.fingerprint)
 
-    def _spread(self, fingerprint: fingerprints.Fingerprint) -> None:
-        self._tell_soon(fingerprint)
+    def _on_seen(self, fingerprint: fingerprints.Fingerprint) -> None:
+        self._schedule_broadcast(fingerprint)
         self.on_change(fingerprint)
 
-    def _tell_soon(self, fingerprint: fingerprints.Fingerprint) -> None:
-        if not self._untold:
-            at_ms = self._clock.now_ms() + _TELL_AFTER_MS
-            self._clock.call_at_ms(at_ms, self._tell)
-        self._untold.add(fingerprint)
-
-    def _tell(self) -> None:
-        reports = self._history.reports(self._untold)
-        self._untold.clear()
-        news = crash_messages.CrashesKnown(reports)
-        self._fleet.tell(news)
+    def _schedule_broadcast(
+        self, fingerprint: fingerprints.Fingerprint
+    ) -> None:
+        if not self._unsent:
+            at_ms = self._clock.now_ms() + _BATCH_MS
+            self._clock.call_at_ms(at_ms, self._broadcast)
+        self._unsent.add(fingerprint)
+
+    def _broadcast(self) -> None:
+        reports = self._history.reports(self._unsent)
+        self._unsent.clear()
+        message = crash_messages.CrashesKnown(reports)
+        self._fleet.tell(message)
--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -25,10 +25,10 @@
 from jujubewharf.peers import limit_messages
 
 # Share of its equal share that an instance without a leader may use.
-_ALONE_PART = 0.5
+_STANDALONE_SHARE = 0.5
 # Retry delay when the leader did not answer. By then its link has been closed,
 # or the leader answers again.
-_ASK_AGAIN_MS = 300.0
+_RETRY_DELAY_MS = 300.0
 
 
 class FleetLimits:
@@ -56,8 +56,8 @@
         self._clock = clock
         self._rng = rng
         self._role = fleets.Role.ALONE
-        self._ledger = limits.EndpointRateLimiter(rng.random)
-        restraints.on_news = self._spread
+        self._limiter = limits.EndpointRateLimiter(rng.random)
+        restraints.on_news = self._broadcast
 
     async def take(self, endpoint: str) -> bool:
         """Takes a permit for one request; see ``limits.Permits``."""
@@ -67,7 +67,7 @@
         if role is fleets.Role.FOLLOWING:
             wait_ms = await self._fleet.link.permit(endpoint)
             if wait_ms is None:
-                wait_ms = _ASK_AGAIN_MS
+                wait_ms = _RETRY_DELAY_MS
         else:
             wait_ms = self.grant(endpoint)
         is_granted = wait_ms <= 0.0
@@ -87,14 +87,14 @@
             return 0.0
         role = self._fleet.role
         if role is not self._role:
-            self._begin(role)
+            self._switch_role(role)
         part = 1.0
         if role is not fleets.Role.LEADING:
-            part = self._share() * _ALONE_PART
+            part = self._share() * _STANDALONE_SHARE
         now_ms = self._clock.now_ms()
-        return self._ledger.take(endpoint, limit_per_s, now_ms, part=part)
+        return self._limiter.take(endpoint, limit_per_s, now_ms, part=part)
 
-    def _begin(self, role: fleets.Role) -> None:
+    def _switch_role(self, role: fleets.Role) -> None:
         """Starts a new count for a new role.
 
         A new leader doesn't know how many requests were sent before and starts
@@ -104,7 +104,7 @@
         """
         self._role = role
         is_leading = role is fleets.Role.LEADING
-        self._ledger = limits.EndpointRateLimiter(
+        self._limiter = limits.EndpointRateLimiter(
             (lambda: 0.0) if is_leading else self._rng.random
         )
 
@@ -112,8 +112,8 @@
         """Applies terms from a follower, and broadcasts what is new."""
         for terms in message.terms:
             if self._restraints.told(terms, is_news=message.is_news):
-                self._spread(terms)
+                self._broadcast(terms)
 
-    def _spread(self, terms: notices.Terms) -> None:
-        news = limit_messages.TermsKnown((terms,), is_news=True)
-        self._fleet.tell(news)
+    def _broadcast(self, terms: notices.Terms) -> None:
+        message = limit_messages.TermsKnown((terms,), is_news=True)
+        self._fleet.tell(message)
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -39,31 +39,31 @@
 
 # Interval at which use is batched before it is reported. What plain requests
 # can exceed a quota by grows with it.
-_GATHER_MS = 100.0
+_BATCH_MS = 100.0
 # Share of its burst below which an account is reported as low.
-_LOW_PART = 0.25
+_LOW_SHARE = 0.25
 # Interval at which followers are sent their shares of accounts' use.
-_PARTS_EVERY_MS = 1_000.0
+_SHARES_INTERVAL_MS = 1_000.0
 # Upper bound for noticing a change of role while no requests arrive; buckets
 # refill from then on.
-_ROLE_SEEN_WITHIN_MS = 1_000.0
+_ROLE_CHECK_MS = 1_000.0
 # Time for which the share of a lost follower stays reserved: it may be
 # partitioned and grant that share by itself. Longer than most partitions.
-_KEPT_FOR_LOST_MS = 10_000.0
+_LOST_SHARE_TTL_MS = 10_000.0
 # Largest request, as a share of its account's burst, that may run in debt. A
 # large request leaves a debt of some tenths of a second, during which all small
 # requests of the account would otherwise be refused.
-_SMALL_PART = 1 / 50
+_SMALL_REQUEST_SHARE = 1 / 50
 # Assumed size of a large request, as a share of its account's burst, while none
 # has been observed.
-_LARGE_PART = 1 / 8
+_LARGE_REQUEST_SHARE = 1 / 8
 # Share of the configured slack that small requests may use as debt. The rest is
 # left for what instances without a leader grant by themselves. Large requests
 # get no debt, since they would use up all of it.
-_DEBT_PART = 0.25
+_DEBT_SHARE = 0.25
 # Smallest share of a quota at an instance that has never had a leader, as after
 # a start of all instances at the same time.
-_LEAST_PART = 1 / 64
+_MIN_SHARE = 1 / 64
 
 
 class FleetQuotas(mode.Service):
@@ -96,22 +96,24 @@
         self._clock = clock
         self._rng = rng
         self._role = fleets.Role.ALONE
-        self._led = quotas.QuotaBuckets(clock.now_ms())
-        self._alone = quotas.QuotaBuckets(clock.now_ms())
+        self._leader_buckets = quotas.QuotaBuckets(clock.now_ms())
+        self._local_buckets = quotas.QuotaBuckets(clock.now_ms())
         # Units per account that have not been reported to the leader.
-        self._untold: dict[str, float] = collections.defaultdict(float)
-        self._has_news = asyncio.Event()
+        self._unreported_units: dict[str, float] = collections.defaultdict(
+            float
+        )
+        self._has_use = asyncio.Event()
         # Use by this instance's callers, and by all callers for a leader.
-        self._own_pace = account_pace.AccountPace()
-        self._whole_pace = account_pace.AccountPace()
+        self._own_usage = account_pace.AccountPace()
+        self._total_usage = account_pace.AccountPace()
         # Units of the largest request per account at this instance.
-        self._largest: dict[str, float] = {}
+        self._largest_units: dict[str, float] = {}
         # This instance's share of each account's use.
-        self._parts: dict[str, float] = {}
-        self._parts_told_ms = 0.0
+        self._usage_shares: dict[str, float] = {}
+        self._shares_sent_ms = 0.0
         self._followers: set[account_pace.FollowerUse] = set()
         # Expiry in ms and reserved shares per lost follower.
-        self._lost: dict[str, tuple[float, dict[str, float]]] = {}
+        self._lost_followers: dict[str, tuple[float, dict[str, float]]] = {}
         fleet.link.on_account_parts = self.parts_told
 
     @property
@@ -119,10 +121,10 @@
         """Current role of this instance."""
         role = self._fleet.role
         if role is not self._role:
-            self._begin(role)
+            self._switch_role(role)
         return role
 
-    def _begin(self, role: fleets.Role) -> None:
+    def _switch_role(self, role: fleets.Role) -> None:
         """Switches the count to a new role.
 
         A former follower knows from the leader which accounts are low and
@@ -131,49 +133,60 @@
         the seconds without a leader.
         """
         now_ms = self._clock.now_ms()
-        had_word = self._role is fleets.Role.FOLLOWING
+        was_following = self._role is fleets.Role.FOLLOWING
         self._role = role
-        self._untold.clear()
-        self._ledger.resume(now_ms)
-        if not had_word or role is fleets.Role.FOLLOWING:
+        self._unreported_units.clear()
+        self._buckets.resume(now_ms)
+        if not was_following or role is fleets.Role.FOLLOWING:
             return
         for name, account in self._source.accounts.by_name.items():
             if account.quota is not None:
-                level = self._first_level(name, account.quota)
-                self._ledger.put(name, level, now_ms)
+                initial_units = self._initial_units(name, account.quota)
+                self._buckets.put(name, initial_units, now_ms)
 
-    def _first_level(self, name: str, quota: accounts.Quota) -> float:
+    def _initial_units(self, name: str, quota: accounts.Quota) -> float:
         """Returns the initial units of an account in the current role."""
         feed = self._fleet.feeds.accounts
         is_low = name in feed.low
         if self._role is fleets.Role.LEADING:
             return feed.left(name, quota) if is_low else quota.burst
-        saved = 0.0 if is_low else self._part_of(name, quota).burst
-        return saved - self._rng.random() * self._large(name, quota)
+        saved = 0.0 if is_low else self._local_quota(name, quota).burst
+        return saved - self._rng.random() * self._large_request_units(
+            name, quota
+        )
 
-    def _large(self, name: str, quota: accounts.Quota) -> float:
+    def _large_request_units(self, name: str, quota: accounts.Quota) -> float:
         """Returns the units of a large request of an account.
 
         When the leader is lost there is no debt yet, and each instance would
         admit one large request at the same time. A random initial debt of up to
         one large request spreads these first admissions.
         """
-        return max(self._largest.get(name, 0.0), quota.burst * _LARGE_PART)
+        return max(
+            self._largest_units.get(name, 0.0),
+            quota.burst * _LARGE_REQUEST_SHARE,
+        )
 
     @property
-    def _ledger(self) -> quotas.QuotaBuckets:
-        """Ledger of the current role."""
-        return self._led if self._role is fleets.Role.LEADING else self._alone
+    def _buckets(self) -> quotas.QuotaBuckets:
+        """Buckets of the current role."""
+        return (
+            self._leader_buckets
+            if self._role is fleets.Role.LEADING
+            else self._local_buckets
+        )
 
     def take(self, run: runs.Run) -> None:
         """Counts a request; see ``quotas.Quotas``."""
         if run.account is None or run.account.quota is None or run.is_counted:
             return
-        wait_ms = self._take(run.account.name, run.account.quota, run.units)
+        wait_ms = self._take_units(
+            run.account.name, run.account.quota, run.units
+        )
         if wait_ms > 0.0:
             raise self._refusal(run, run.account.name, wait_ms)
         run.is_counted = True
-        self._has_news.set()
+        self._has_use.set()
 
     def give_back(self, run: runs.Run) -> None:
         """Refunds a counted request; see ``quotas.Quotas``."""
@@ -183,7 +196,7 @@
             return
         run.is_counted = False
         self._charge(run.account.name, run.account.quota, -run.units)
-        self._has_news.set()
+        self._has_use.set()
 
     def admitted(self, run: runs.Run) -> None:
         """Records an admitted request of this instance's callers."""
@@ -191,15 +204,17 @@
             return
         now_ms = self._clock.now_ms()
         name = run.account.name
-        self._largest[name] = max(run.units, self._largest.get(name, 0.0))
-        self._own_pace.add(name, run.units, now_ms)
-        self._whole_pace.add(name, run.units, now_ms)
+        self._largest_units[name] = max(
+            run.units, self._largest_units.get(name, 0.0)
+        )
+        self._own_usage.add(name, run.units, now_ms)
+        self._total_usage.add(name, run.units, now_ms)
 
     def follower(
         self, peer: str, tell: Callable[[messages.Message], object]
     ) -> account_pace.FollowerUse:
         """Starts to count the use at a follower."""
-        self._lost.pop(peer, None)
+        self._lost_followers.pop(peer, None)
         use = account_pace.FollowerUse(peer, tell)
         self._followers.add(use)
         return use
@@ -208,16 +223,19 @@
         """Reserves the share of a follower whose link ended."""
         self._followers.discard(use)
         now_ms = self._clock.now_ms()
-        parts = use.pace.parts_of(self._whole_pace, now_ms)
-        if parts:
-            self._lost[use.peer] = (now_ms + _KEPT_FOR_LOST_MS, parts)
+        shares = use.pace.parts_of(self._total_usage, now_ms)
+        if shares:
+            self._lost_followers[use.peer] = (
+                now_ms + _LOST_SHARE_TTL_MS,
+                shares,
+            )
 
     def follower_admitted(
         self, use: account_pace.FollowerUse, run: runs.Run
     ) -> None:
         """Records a placed model request of a follower."""
         if run.account is not None and run.account.quota is not None:
-            self._note(use, run.account.name, run.units)
+            self._record_follower_use(use, run.account.name, run.units)
 
     def follower_used(
         self,
@@ -227,75 +245,79 @@
         """Counts the use that a follower has admitted on its own."""
         if self.role is not fleets.Role.LEADING:
             return
-        for told in uses:
-            account = self._source.accounts.by_name.get(told.account)
+        for reported in uses:
+            account = self._source.accounts.by_name.get(reported.account)
             if account is None or account.quota is None:
                 continue
-            self._charge(account.name, account.quota, told.units)
-            self._note(use, account.name, told.units)
-        self._has_news.set()
+            self._charge(account.name, account.quota, reported.units)
+            self._record_follower_use(use, account.name, reported.units)
+        self._has_use.set()
 
-    def _note(
+    def _record_follower_use(
         self, use: account_pace.FollowerUse, account: str, units: float
     ) -> None:
         now_ms = self._clock.now_ms()
         use.pace.add(account, units, now_ms)
-        self._whole_pace.add(account, units, now_ms)
+        self._total_usage.add(account, units, now_ms)
 
     def forget_others(self) -> None:
         """Removes accounts that are no longer configured."""
         names = self._source.accounts.by_name
-        self._led.keep_only(names)
-        self._alone.keep_only(names)
-        for name in set(self._largest) - set(names):
-            del self._largest[name]
-
-    def _take(self, name: str, quota: accounts.Quota, units: float) -> float:
+        self._leader_buckets.keep_only(names)
+        self._local_buckets.keep_only(names)
+        for name in set(self._largest_units) - set(names):
+            del self._largest_units[name]
+
+    def _take_units(
+        self, name: str, quota: accounts.Quota, units: float
+    ) -> float:
         role = self.role
-        here = self._part_of(name, quota)
+        local_quota = self._local_quota(name, quota)
         debt = 0.0
-        if units <= quota.burst * _SMALL_PART:
-            debt = self.tolerated.slack * _DEBT_PART * self._part(name)
+        if units <= quota.burst * _SMALL_REQUEST_SHARE:
+            debt = self.tolerated.slack * _DEBT_SHARE * self._quota_share(name)
         if role is fleets.Role.FOLLOWING:
             feed = self._fleet.feeds.accounts
-            wait_ms = feed.take(name, here, units, debt=debt)
+            wait_ms = feed.take(name, local_quota, units, debt=debt)
             if wait_ms <= 0.0:
-                self._untold[name] += units
+                self._unreported_units[name] += units
             return wait_ms
         now_ms = self._clock.now_ms()
-        return self._ledger.take(name, here, units, now_ms, debt=debt)
+        return self._buckets.take(name, local_quota, units, now_ms, debt=debt)
 
     def _charge(self, name: str, quota: accounts.Quota, units: float) -> None:
         if self.role is fleets.Role.FOLLOWING:
-            self._untold[name] += units
+            self._unreported_units[name] += units
             return
-        here = self._part_of(name, quota)
-        self._ledger.charge(name, here, units, self._clock.now_ms())
+        local_quota = self._local_quota(name, quota)
+        self._buckets.charge(name, local_quota, units, self._clock.now_ms())
 
-    def _part_of(self, name: str, quota: accounts.Quota) -> accounts.Quota:
+    def _local_quota(self, name: str, quota: accounts.Quota) -> accounts.Quota:
         """Returns the part of a quota that this instance may grant."""
-        return quota.part(self._part(name))
+        return quota.part(self._quota_share(name))
 
-    def _part(self, name: str) -> float:
+    def _quota_share(self, name: str) -> float:
         """Returns this instance's share of an account's quota, 0 to 1."""
         match self._role:
             case fleets.Role.LEADING:
-                part = 1.0 - self._lost_part(name)
+                quota_share = 1.0 - self._lost_share(name)
             case fleets.Role.FOLLOWING:
                 return 1.0
             case fleets.Role.ALONE:
-                part = max(self._parts.get(name, 0.0), self._share())
-        return max(part, _LEAST_PART)
+                quota_share = max(
+                    self._usage_shares.get(name, 0.0), self._share()
+                )
+        return max(quota_share, _MIN_SHARE)
 
-    def _lost_part(self, name: str) -> float:
+    def _lost_share(self, name: str) -> float:
         """Returns the share that lost followers may grant by themselves."""
         now_ms = self._clock.now_ms()
-        part = 0.0
-        for peer, (until_ms, parts) in list(self._lost.items()):
-            if until_ms < now_ms:
-                del self._lost[peer]
-            part += parts.get(name, 0.0)
-        return part
+        quota_share = 0.0
+        for peer, (expires_ms, shares) in list(self._lost_followers.items()):
+            if expires_ms < now_ms:
+                del self._lost_followers[peer]
+            quota_share += shares.get(name, 0.0)
+        return quota_share
 
     def _refusal(
         self, run: runs.Run, account: str, wait_ms: float
@@ -308,56 +330,56 @@
         )
 
     @mode.Service.task
-    async def _tell(self) -> None:
+    async def _report_use(self) -> None:
         while not self.should_stop:
-            await self._news()
+            await self._wait_for_use()
             match self.role:
                 case fleets.Role.LEADING:
-                    self._tell_left()
-                    self._tell_parts()
+                    self._broadcast_low_accounts()
+                    self._send_shares()
                 case fleets.Role.FOLLOWING:
-                    self._tell_used()
+                    self._send_use()
 
-    async def _news(self) -> None:
+    async def _wait_for_use(self) -> None:
         """Waits for use, then for the batching interval."""
         with contextlib.suppress(TimeoutError):
-            async with self._clock.timeout_ms(_ROLE_SEEN_WITHIN_MS):
-                await self._has_news.wait()
-                self._has_news.clear()
-                await self._clock.sleep_ms(_GATHER_MS)
+            async with self._clock.timeout_ms(_ROLE_CHECK_MS):
+                await self._has_use.wait()
+                self._has_use.clear()
+                await self._clock.sleep_ms(_BATCH_MS)
 
-    def _tell_used(self) -> None:
+    def _send_use(self) -> None:
         uses = tuple(
             quota_messages.AccountUse(name, units)
-            for name, units in self._untold.items()
+            for name, units in self._unreported_units.items()
         )
-        self._untold.clear()
+        self._unreported_units.clear()
         if uses:
             self._fleet.link.tell(quota_messages.AccountsUsed(uses))
 
-    def _tell_left(self) -> None:
+    def _broadcast_low_accounts(self) -> None:
         assert self._fleet.followers is not None
         now_ms = self._clock.now_ms()
         low: list[quota_messages.AccountLeft] = []
         for name, account in self._source.accounts.by_name.items():
             if account.quota is None:
                 continue
-            here = self._part_of(name, account.quota)
-            left = self._ledger.left(name, here, now_ms)
-            if left < here.burst * _LOW_PART:
+            local_quota = self._local_quota(name, account.quota)
+            left = self._buckets.left(name, local_quota, now_ms)
+            if left < local_quota.burst * _LOW_SHARE:
                 low.append(quota_messages.AccountLeft(name, left))
         self._fleet.followers.tell_left(tuple(low))
 
-    def _tell_parts(self) -> None:
+    def _send_shares(self) -> None:
         now_ms = self._clock.now_ms()
-        if now_ms - self._parts_told_ms < _PARTS_EVERY_MS:
+        if now_ms - self._shares_sent_ms < _SHARES_INTERVAL_MS:
             return
-        self._parts_told_ms = now_ms
-        self._parts = self._own_pace.parts_of(self._whole_pace, now_ms)
+        self._shares_sent_ms = now_ms
+        self._usage_shares = self._own_usage.parts_of(self._total_usage, now_ms)
         for use in self._followers:
-            parts = use.pace.parts_of(self._whole_pace, now_ms)
-            use.tell(quota_messages.AccountParts.from_parts(parts))
+            shares = use.pace.parts_of(self._total_usage, now_ms)
+            use.tell(quota_messages.AccountParts.from_parts(shares))
 
-    def parts_told(self, parts: dict[str, float]) -> None:
+    def parts_told(self, shares: dict[str, float]) -> None:
         """Sets this instance's share of each account's use."""
-        self._parts = parts
+        self._usage_shares = shares
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -29,7 +29,7 @@
 _MAX_CONFIGURATION_BYTES = 6_000
 
 
-class _Progress:
+class _ReadProgress:
     """End offset up to which a table was read, and the time of that read."""
 
     def __init__(self) -> None:
@@ -68,9 +68,9 @@
         count_within_ms: float,
     ) -> None:
         self.is_leading = False
-        self._led_since_ms = 0.0
+        self._leading_since_ms = 0.0
         self._count_within_ms = count_within_ms
-        self._lost_ms: dict[str, float] = {}
+        self._lost_at_ms: dict[str, float] = {}
         self._hello = hello
         self._new_placement_server = new_placement_server
         self._counts = counts
@@ -79,16 +79,16 @@
         self._links: set[links.Link] = set()
         # Offset up to which each follower has read the endpoints, for followers
         # that have not been sent the later changes yet.
-        self._untold: dict[links.Link, int] = {}
+        self._unsent_since: dict[links.Link, int] = {}
         # Followers that are sent each change of endpoints.
-        self._told: set[links.Link] = set()
+        self._updated_links: set[links.Link] = set()
         # Followers that have not been sent a configuration yet.
         self._unconfigured: set[links.Link] = set()
         self._configuration: leader_messages.ConfigurationNews | None = None
         self._endpoints: dict[str, leader_messages.EndpointRecord] = {}
-        self._left = quota_messages.AccountsLeft(())
-        self._endpoints_read = _Progress()
-        self._configurations_read = _Progress()
+        self._low_accounts = quota_messages.AccountsLeft(())
+        self._endpoints_read = _ReadProgress()
+        self._configurations_read = _ReadProgress()
 
     def __len__(self) -> int:
         return len(self._links)
@@ -97,35 +97,35 @@
     def instances(self) -> int:
         """Number of instances, including recently lost followers."""
         oldest_ms = self._clock.now_ms() - self._count_within_ms
-        for name, lost_ms in list(self._lost_ms.items()):
+        for name, lost_ms in list(self._lost_at_ms.items()):
             if lost_ms < oldest_ms:
-                del self._lost_ms[name]
+                del self._lost_at_ms[name]
         present = {link.peer for link in self._links}
-        return 1 + len(present | set(self._lost_ms))
+        return 1 + len(present | set(self._lost_at_ms))
 
     @property
     def led_ms(self) -> float:
         """Time in ms for which this instance has led; 0 if it doesn't lead."""
         if not self.is_leading:
             return 0.0
-        return self._clock.now_ms() - self._led_since_ms
+        return self._clock.now_ms() - self._leading_since_ms
 
     async def on_stream(
         self, reader: asyncio.StreamReader, writer: streams.StreamWriter
     ) -> None:
         """Serves an incoming stream until it ends."""
-        greeting = handshake.Handshake(
+        link_handshake = handshake.Handshake(
             reader, writer, self._hello, _no_incarnation, self._counts
         )
         try:
             async with self._clock.timeout_ms(handshake.HELLO_TIMEOUT_MS):
-                hello = await greeting.accept()
+                hello = await link_handshake.accept()
         except (handshake.RefusedHelloError, OSError, TimeoutError):
             writer.close()
             return
         if not self.is_leading:
             reason = link_messages.Goodbye.STOPPING.value
-            greeting.refuse(handshake.RefusedHelloError(reason))
+            link_handshake.refuse(handshake.RefusedHelloError(reason))
             writer.close()
             return
         await self._serve(hello, reader, writer)
@@ -145,7 +145,7 @@
         ) -> messages.Message | None:
             match message:
                 case leader_messages.Following(endpoints_end=end):
-                    self._follows(link, end)
+                    self._add_follower(link, end)
                     return None
                 case leader_messages.ConfigurationAsk():
                     return self._configuration
@@ -170,27 +170,27 @@
                 and self._configurations_read.confirmed_ms is not None
             ):
                 self._unconfigured.discard(link)
-                self._tell_configuration(self._configuration, [link])
-            link.tell(self._seen())
-            link.tell(self._left)
+                self._send_configuration(self._configuration, [link])
+            link.tell(self._heartbeat())
+            link.tell(self._low_accounts)
             for known in self._knowledge.greeting():
                 link.tell(known)
             await link.run()
         finally:
             self._links.discard(link)
-            self._told.discard(link)
-            self._untold.pop(link, None)
+            self._updated_links.discard(link)
+            self._unsent_since.pop(link, None)
             self._unconfigured.discard(link)
-            self._lost_ms[link.peer] = self._clock.now_ms()
+            self._lost_at_ms[link.peer] = self._clock.now_ms()
             server.close()
 
     def begin_leading(self) -> None:
         """Starts to accept followers, with no tables confirmed as read yet."""
         self._endpoints_read.confirmed_ms = None
         self._configurations_read.confirmed_ms = None
-        self._left = quota_messages.AccountsLeft(())
+        self._low_accounts = quota_messages.AccountsLeft(())
         self.is_leading = True
-        self._led_since_ms = self._clock.now_ms()
+        self._leading_since_ms = self._clock.now_ms()
 
     def stop_leading(self) -> None:
         """Closes the links of all followers."""
@@ -203,17 +203,17 @@
         self, accounts: tuple[quota_messages.AccountLeft, ...]
     ) -> None:
         """Sends all followers the accounts that are low."""
-        if accounts or self._left.accounts:
-            self._left = quota_messages.AccountsLeft(accounts)
-            self._tell(self._left, self._links)
+        if accounts or self._low_accounts.accounts:
+            self._low_accounts = quota_messages.AccountsLeft(accounts)
+            self._send(self._low_accounts, self._links)
 
     def tell_all(self, message: messages.Message) -> None:
         """Sends a message to all followers."""
-        self._tell(message, self._links)
+        self._send(message, self._links)
 
     def beat(self) -> None:
         """Sends all followers a heartbeat with the store's read offsets."""
-        self._tell(self._seen(), self._links)
+        self._send(self._heartbeat(), self._links)
 
     def configurations_read(
         self,
@@ -236,28 +236,30 @@
         self._configurations_read.read(end, self._clock.now_ms())
         if known is None:
             return
-        told = {link for link in self._links if link not in self._unconfigured}
-        self._tell_configuration(known, self._unconfigured)
+        recipients = {
+            link for link in self._links if link not in self._unconfigured
+        }
+        self._send_configuration(known, self._unconfigured)
         self._unconfigured.clear()
         if news is not None:
-            self._tell_configuration(news, told)
+            self._send_configuration(news, recipients)
 
-    def _tell_configuration(
+    def _send_configuration(
         self,
         news: leader_messages.ConfigurationNews,
         to: Iterable[links.Link],
     ) -> None:
-        if len(_encoded(news)) > _MAX_CONFIGURATION_BYTES:
+        if len(_encode(news)) > _MAX_CONFIGURATION_BYTES:
             packed: bytes | None = packing.pack(news)
             if packed is not None and len(packed) > _MAX_CONFIGURATION_BYTES:
                 packed = None
             news = dataclasses.replace(news, configuration=None, packed=packed)
-        self._tell(news, to)
+        self._send(news, to)
 
-    def _tell(
+    def _send(
         self, message: messages.Message, to: Iterable[links.Link]
     ) -> None:
-        data = _encoded(message)
+        data = _encode(message)
         for link in to:
             link.tell_encoded(data)
 
@@ -273,23 +275,25 @@
         Engines rewrite their records about every second; unchanged ones are not
         sent.
         """
-        now = [_record(record) for record in records]
+        current = [_endpoint_record(record) for record in records]
         if is_whole:
-            now.extend(self._missing({record.key for record in now}, end))
-        changed = [record for record in now if self._differs(record)]
+            current.extend(
+                self._removals({record.key for record in current}, end)
+            )
+        changed = [record for record in current if self._is_changed(record)]
         for record in changed:
             self._endpoints[record.key] = record
         self._endpoints_read.read(end, self._clock.now_ms())
         news = leader_messages.EndpointNews(tuple(changed), end)
-        told: list[links.Link] = []
+        recipients: list[links.Link] = []
         for link in self._links:
-            if link in self._untold:
-                self._tell_since(link)
-            elif changed and link in self._told:
-                told.append(link)
-        self._tell(news, told)
+            if link in self._unsent_since:
+                self._send_changes_since(link)
+            elif changed and link in self._updated_links:
+                recipients.append(link)
+        self._send(news, recipients)
 
-    def _missing(
+    def _removals(
         self, present: set[str], end: int
     ) -> list[leader_messages.EndpointRecord]:
         """Returns removals that show only in a read of the whole table."""
@@ -299,7 +303,7 @@
             if key not in present and known.offset < end - 1
         ]
 
-    def _differs(self, record: leader_messages.EndpointRecord) -> bool:
+    def _is_changed(self, record: leader_messages.EndpointRecord) -> bool:
         known = self._endpoints.get(record.key)
         if known is None:
             return True
@@ -310,22 +314,22 @@
             known.is_unreadable,
         )
 
-    def _follows(self, link: links.Link, endpoints_end: int) -> None:
+    def _add_follower(self, link: links.Link, endpoints_end: int) -> None:
         """Starts to send endpoint changes from an offset on to a follower."""
         if link not in self._links:
             return
-        self._untold[link] = endpoints_end
+        self._unsent_since[link] = endpoints_end
         if self._endpoints_read.confirmed_ms is not None:
-            self._tell_since(link)
+            self._send_changes_since(link)
 
-    def _tell_since(self, link: links.Link) -> None:
+    def _send_changes_since(self, link: links.Link) -> None:
         """Sends a follower the endpoint changes since it read the table.
 
         Sending the whole table would saturate the leader's link when hundreds
         of followers connect at the same time.
         """
-        since = self._untold.pop(link)
-        self._told.add(link)
+        since = self._unsent_since.pop(link)
+        self._updated_links.add(link)
         records = tuple(
             record
             for record in self._endpoints.values()
@@ -334,7 +338,7 @@
         end = self._endpoints_read.end
         link.tell(leader_messages.EndpointNews(records, end))
 
-    def _seen(self) -> leader_messages.StoreSeen:
+    def _heartbeat(self) -> leader_messages.StoreSeen:
         return leader_messages.StoreSeen(
             configuration_end=self._configurations_read.end,
             configuration_age_ms=self._age_ms(self._configurations_read),
@@ -343,17 +347,17 @@
             instances=self.instances,
         )
 
-    def _age_ms(self, progress: _Progress) -> int:
+    def _age_ms(self, progress: _ReadProgress) -> int:
         if progress.confirmed_ms is None:
-            return _NEVER_MS
+            return _NEVER_READ_AGE_MS
         return int(self._clock.now_ms() - progress.confirmed_ms)
 
 
 # Age in ms that stands for a table that was never read; older than any limit.
-_NEVER_MS = 2**31
+_NEVER_READ_AGE_MS = 2**31
 
 
-def _encoded(message: messages.Message) -> bytes:
+def _encode(message: messages.Message) -> bytes:
     return codec.encode(codec.Frame(codec.FrameKind.TELL, 0, message))
 
 
@@ -361,7 +365,7 @@
     return 0
 
 
-def _record(
+def _endpoint_record(
     record: tables.TableRecord[resources.Endpoint],
 ) -> leader_messages.EndpointRecord:
     endpoint = record.value
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -39,14 +39,14 @@
 # Interval and timeout of liveness checks while an answer is pending. They bound
 # what a waiting request loses to a frozen leader to half a second, which most
 # latency targets allow.
-_CHECK_MS = 150.0
-_CHECKED_WITHIN_MS = 350.0
+_LIVENESS_INTERVAL_MS = 150.0
+_LIVENESS_TIMEOUT_MS = 350.0
 # Timeout for a permit or trial. Another endpoint may serve the request sooner,
 # and latency targets of plain requests are some tenths of a second.
-_GRANTED_WITHIN_MS = 100.0
+_GRANT_TIMEOUT_MS = 100.0
 # Timeout for a whole configuration: some tens of kilobytes over a link of some
 # Mbit/s.
-_FETCHED_WITHIN_MS = 1_000.0
+_FETCH_TIMEOUT_MS = 1_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
         self._knowledge = knowledge
         self._clock = clock
         self._link: links.Link | None = None
-        self._numbers = itertools.count(1)
+        self._sequence = itertools.count(1)
 
     @property
     def is_open(self) -> bool:
@@ -145,7 +145,7 @@
         """Handles a message from the leader."""
         match message:
             case leader_messages.StoreSeen():
-                self._seen(message)
+                self._on_heartbeat(message)
             case leader_messages.ConfigurationNews(packed=bytes() as packed):
                 news = packing.unpack(packed)
                 if news is None:
@@ -172,7 +172,7 @@
                 self._feeds.endpoints.take(records, message.end)
         return None
 
-    def _seen(self, seen: leader_messages.StoreSeen) -> None:
+    def _on_heartbeat(self, seen: leader_messages.StoreSeen) -> None:
         self.instances = seen.instances
         self._feeds.configurations.confirm(
             seen.configuration_end, age_ms=seen.configuration_age_ms
@@ -190,9 +190,9 @@
         link = self._link
         if link is None:
             return False
-        question = leader_messages.ConfigurationAsk()
+        request = leader_messages.ConfigurationAsk()
         try:
-            news = await link.ask(question, timeout_ms=_FETCHED_WITHIN_MS)
+            news = await link.ask(request, timeout_ms=_FETCH_TIMEOUT_MS)
         except network.PeerError:
             return False
         if not isinstance(news, leader_messages.ConfigurationNews):
@@ -207,7 +207,7 @@
             0 if granted, otherwise the time in ms until a retry can succeed;
             ``None`` if the leader did not answer.
         """
-        answer = await self._granted(limit_messages.PermitAsk(endpoint))
+        answer = await self._ask_for_grant(limit_messages.PermitAsk(endpoint))
         if not isinstance(answer, limit_messages.Permit):
             return None
         return answer.wait_ms
@@ -218,17 +218,17 @@
         Returns:
             Whether it was granted; false if the leader did not answer.
         """
-        answer = await self._granted(crash_messages.TrialAsk(fingerprint))
+        answer = await self._ask_for_grant(crash_messages.TrialAsk(fingerprint))
         return isinstance(answer, crash_messages.Trial) and answer.is_granted
 
-    async def _granted(
-        self, question: messages.Message
+    async def _ask_for_grant(
+        self, request: messages.Message
     ) -> messages.Message | None:
         """Returns the leader's answer; ``None`` after the timeout."""
         if self._link is None:
             return None
         try:
-            return await self._link.ask(question, timeout_ms=_GRANTED_WITHIN_MS)
+            return await self._link.ask(request, timeout_ms=_GRANT_TIMEOUT_MS)
         except network.PeerError:
             return None
 
@@ -250,35 +250,37 @@
         Raises:
             WharfError: The leader refused the request.
         """
-        number = next(self._numbers)
+        number = next(self._sequence)
         place: all_places.Place | None = None
-        is_whole = False
+        is_complete = False
         try:
-            place = await self._ask(number, run)
+            place = await self._request_place(number, run)
             yield place
-            is_whole = True
+            is_complete = True
         finally:
             is_hold_used = place is not None and place.take_hold() is None
             self.tell(
-                leader_messages.PlaceEnded(number, is_whole, is_hold_used)
+                leader_messages.PlaceEnded(number, is_complete, is_hold_used)
             )
 
-    async def _ask(self, number: int, run: runs.Run) -> all_places.Place | None:
-        began_ms = self._clock.now_ms()
+    async def _request_place(
+        self, number: int, run: runs.Run
+    ) -> all_places.Place | None:
+        started_ms = self._clock.now_ms()
         link = self._link
         if link is None:
             return None
         try:
-            answer = await self._answer(link, number, run)
+            answer = await self._await_answer(link, number, run)
         except network.PeerError as error:
             decisions.placed_alone(run, error.fault.value, leader=error.peer)
             return None
-        waited_ms = self._clock.now_ms() - began_ms
+        waited_ms = self._clock.now_ms() - started_ms
         match answer:
             case leader_messages.Placed():
                 # The leader counted the request against its quota.
                 run.is_counted = True
-                place = self._place(number, answer)
+                place = self._to_place(number, answer)
                 if place is None:
                     decisions.placed_alone(
                         run, "unknown_engine", leader=link.peer
@@ -298,7 +300,7 @@
                 decisions.placed_alone(run, "not_understood", leader=link.peer)
                 return None
 
-    async def _answer(
+    async def _await_answer(
         self, link: links.Link, number: int, run: runs.Run
     ) -> messages.Message:
         """Waits for the leader's answer, with liveness checks.
@@ -311,24 +313,26 @@
             PeerError: The leader does not respond, or refuses the message.
         """
         left_ms = max(1.0, run.left_ms(self._clock))
-        question = self._question(number, run)
-        asking = asyncio.ensure_future(link.ask(question, timeout_ms=left_ms))
-        every_s = _CHECK_MS / clocks.MS_PER_S
+        request = self._place_request(number, run)
+        pending = asyncio.ensure_future(link.ask(request, timeout_ms=left_ms))
+        interval_s = _LIVENESS_INTERVAL_MS / clocks.MS_PER_S
         try:
-            while not (await asyncio.wait([asking], timeout=every_s))[0]:
-                still = leader_messages.StillThere()
-                await link.ask(still, timeout_ms=_CHECKED_WITHIN_MS)
+            while not (await asyncio.wait([pending], timeout=interval_s))[0]:
+                liveness_check = leader_messages.StillThere()
+                await link.ask(liveness_check, timeout_ms=_LIVENESS_TIMEOUT_MS)
         except network.PeerError:
             link.close()
             raise
         finally:
-            asking.cancel()
+            pending.cancel()
             # Retrieve its exception, since it may have failed along with the
             # link.
-            await asyncio.gather(asking, return_exceptions=True)
-        return asking.result()
+            await asyncio.gather(pending, return_exceptions=True)
+        return pending.result()
 
-    def _question(self, number: int, run: runs.Run) -> leader_messages.PlaceAsk:
+    def _place_request(
+        self, number: int, run: runs.Run
+    ) -> leader_messages.PlaceAsk:
         work = run.call.work
         backoffs_ms = self._knowledge.restraints.backoffs_ms()
         return leader_messages.PlaceAsk(
@@ -353,7 +357,7 @@
             ),
         )
 
-    def _place(
+    def _to_place(
         self, number: int, placed: leader_messages.Placed
     ) -> all_places.Place | None:
         engine = self._registry.get(placed.engine)
--- a/src/jujubewharf/leadership/leadership.py
+++ b/src/jujubewharf/leadership/leadership.py
@@ -29,19 +29,19 @@
 
 # Upper bound of the delay before the first attempt. Without it, instances that
 # start at the same time would all join the group and leave it again.
-_FIRST_LOOK_MS = 600.0
+_FIRST_ATTEMPT_MS = 600.0
 # First and longest pause between attempts while no leader is reachable.
 # Requests are still served meanwhile, so a load peak on the store is the
 # greater risk.
-_LOOK_AGAIN_MS = 500.0
-_LONGEST_PAUSE_MS = 1_500.0
-_DIAL_MS = 1_000.0
+_FIRST_PAUSE_MS = 500.0
+_MAX_PAUSE_MS = 1_500.0
+_DIAL_TIMEOUT_MS = 1_000.0
 # Instances with at most this many cores are among the last to attempt.
 _WEAK_CORES = 0.5
 # Random share of a delay, so that equal instances don't coincide.
-_DRAWN_PART = 0.25
+_JITTER_SHARE = 0.25
 # Pause after a failed renewal: most of the lease may have passed by then.
-_RENEW_AGAIN_MS = 100.0
+_RENEW_RETRY_MS = 100.0
 
 
 class Leadership(mode.Service):
@@ -77,18 +77,18 @@
         super().__init__()
         # Instances with more cores attempt first and so mostly lead: leading
         # needs more processor time than following.
-        self._delay_part = min(1.0, _WEAK_CORES / cores)
+        self._delay_share = min(1.0, _WEAK_CORES / cores)
         self._group = group
         self._transport = transport
         self._hello = hello
         self._followers = followers
-        self._leader = leader
+        self._leader_link = leader
         self._lease = lease
         self._counts = counts
         self._clock = clock
         self._rng = rng
         self._listener: streams.Listener | None = None
-        self._is_leaving = False
+        self._is_resigning = False
         self._logger = structlog.get_logger()
 
     async def on_start(self) -> None:
@@ -103,34 +103,36 @@
 
     async def leave(self) -> None:
         """Resigns for good, so that another instance can lead at once."""
-        self._is_leaving = True
+        self._is_resigning = True
         was_leading = self._followers.is_leading
         if self._lease.holds_first or was_leading:
             await self._lease.leave()
         self._followers.stop_leading()
 
     @mode.Service.task
-    async def _keep(self) -> None:
-        await self._clock.sleep_ms(_FIRST_LOOK_MS * self._late_part())
-        pause_ms = _LOOK_AGAIN_MS
-        while not self.should_stop and not self._is_leaving:
+    async def _run_elections(self) -> None:
+        await self._clock.sleep_ms(_FIRST_ATTEMPT_MS * self._draw_delay())
+        pause_ms = _FIRST_PAUSE_MS
+        while not self.should_stop and not self._is_resigning:
             try:
-                has_served = await self._look()
+                had_leader = await self._attempt()
             except log.LogUnavailableError as error:
                 self._logger.debug("leader_unknown", detail=str(error))
-                has_served = False
-            if has_served:
-                pause_ms = _LOOK_AGAIN_MS
+                had_leader = False
+            if had_leader:
+                pause_ms = _FIRST_PAUSE_MS
             else:
-                pause_ms = min(_LONGEST_PAUSE_MS, 1.5 * pause_ms)
-            await self._clock.sleep_ms(pause_ms * (0.5 + self._late_part()))
+                pause_ms = min(_MAX_PAUSE_MS, 1.5 * pause_ms)
+            await self._clock.sleep_ms(pause_ms * (0.5 + self._draw_delay()))
 
-    def _late_part(self) -> float:
+    def _draw_delay(self) -> float:
         """Returns a delay, 0 to 1; instances with many cores get short ones."""
-        drawn = self._rng.random()
-        return (1.0 - _DRAWN_PART) * self._delay_part + _DRAWN_PART * drawn
+        jitter = self._rng.random()
+        return (
+            1.0 - _JITTER_SHARE
+        ) * self._delay_share + _JITTER_SHARE * jitter
 
-    async def _look(self) -> bool:
+    async def _attempt(self) -> bool:
         """Follows or leads for as long as that lasts.
 
         Returns:
@@ -145,7 +147,7 @@
             # lease expires the fleet would have no leader.
             await self._group.evict(address)
         await self._lease.renew()
-        if self._is_leaving:
+        if self._is_resigning:
             await self._lease.leave()
             return False
         if not self._lease.holds_first:
@@ -158,7 +160,7 @@
         self._logger.info(
             "leading_began", generation=self._lease.share.generation
         )
-        self._leader.forget()
+        self._leader_link.forget()
         self._followers.begin_leading()
         # Renewals run beside the heartbeats: a renewal that gets no answer
         # takes longer than followers wait for a heartbeat.
@@ -172,26 +174,26 @@
             await asyncio.gather(renewing, return_exceptions=True)
         self._logger.info("leading_ended", followers=len(self._followers))
         self._followers.stop_leading()
-        if not self._is_leaving and self._lease.is_current:
+        if not self._is_resigning and self._lease.is_current:
             # Another member was assigned the first part. Members that don't
             # lead leave, since each join or leave reassigns the parts.
             await self._lease.leave()
 
     async def _renew(self) -> None:
-        every_ms = self._group.ttl_ms / leases.JOINS_PER_TTL
-        pause_ms = every_ms
+        interval_ms = self._group.ttl_ms / leases.JOINS_PER_TTL
+        pause_ms = interval_ms
         while True:
             await self._clock.sleep_ms(pause_ms)
-            pause_ms = every_ms
+            pause_ms = interval_ms
             try:
                 await self._lease.renew()
             except log.LogUnavailableError as error:
                 self._logger.debug("lease_not_renewed", detail=str(error))
-                pause_ms = _RENEW_AGAIN_MS
+                pause_ms = _RENEW_RETRY_MS
 
     async def _follow(self, address: str) -> bool:
         try:
-            async with self._clock.timeout_ms(_DIAL_MS):
+            async with self._clock.timeout_ms(_DIAL_TIMEOUT_MS):
                 link = await self._dial(address)
         except (handshake.RefusedHelloError, OSError, TimeoutError) as error:
             self._logger.info(
@@ -199,17 +201,17 @@
             )
             return False
         self._logger.info("following_began", leader=link.peer)
-        await self._leader.run(link)
+        await self._leader_link.run(link)
         self._logger.info("following_ended", leader=link.peer)
         return True
 
     async def _dial(self, address: str) -> links.Link:
         reader, writer = await self._transport.dial(address)
-        greeting = handshake.Handshake(
+        link_handshake = handshake.Handshake(
             reader, writer, self._hello, lambda instance: 0, self._counts
         )
         try:
-            hello = await greeting.greet()
+            hello = await link_handshake.greet()
         except BaseException:
             writer.close()
             raise
@@ -221,5 +223,5 @@
             writer=writer,
             clock=self._clock,
             counts=self._counts,
-            dispatch=self._leader.handle,
+            dispatch=self._leader_link.handle,
         )
--- a/src/jujubewharf/leadership/led.py
+++ b/src/jujubewharf/leadership/led.py
@@ -34,13 +34,13 @@
         async with contextlib.AsyncExitStack() as stack:
             place: all_places.Place | None = None
             if self._leader.is_open:
-                led = self._leader.place(run)
-                place = await led.__aenter__()
+                leader_context = self._leader.place(run)
+                place = await leader_context.__aenter__()
                 # Release a placement that can't be used here.
                 if place is None:
-                    await led.__aexit__(None, None, None)
+                    await leader_context.__aexit__(None, None, None)
                 else:
-                    stack.push_async_exit(led)
+                    stack.push_async_exit(leader_context)
             is_led = place is not None
             if place is None:
                 place = await stack.enter_async_context(self._alone.place(run))
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -80,12 +80,12 @@
         ...
 
 
-class _UnfinishedError(Exception):
+class _IncompleteAnswerError(Exception):
     """The answer for which a placement was held did not complete."""
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class _Held:
+class _HeldPlace:
     """A placement that a follower waits for or holds."""
 
     task: asyncio.Task[None] | None = None
@@ -126,21 +126,21 @@
         self._quotas = quotas
         self._limits = limits
         self._crashes = crashes
-        self._use = use
+        self._usage = use
         self._fleet_costs = fleet_costs
         self._places = places
         self._observations = observations
         self._source = source
         self._clock = clock
-        self._held: dict[int, _Held] = {}
+        self._held_places: dict[int, _HeldPlace] = {}
 
     def close(self) -> None:
         """Releases all placements that the follower waits for or holds.
 
         Engines still count what the follower runs on them.
         """
-        self._quotas.follower_lost(self._use)
-        for held in list(self._held.values()):
+        self._quotas.follower_lost(self._usage)
+        for held in list(self._held_places.values()):
             if held.task is not None:
                 held.task.cancel()
 
@@ -150,7 +150,7 @@
         """Handles one message; ``None`` for a request refuses it."""
         match message:
             case leader_messages.PlaceAsk():
-                return await self._place(message)
+                return await self._place_request(message)
             case leader_messages.StillThere():
                 return leader_messages.Here()
             case limit_messages.PermitAsk(endpoint=endpoint):
@@ -163,13 +163,13 @@
             case crash_messages.CrashesKnown():
                 self._crashes.told(message)
             case leader_messages.CostsObserved():
-                self._costs_told(peer, message)
+                self._on_costs_observed(peer, message)
             case quota_messages.AccountsUsed(uses=uses):
-                self._quotas.follower_used(self._use, uses)
+                self._quotas.follower_used(self._usage, uses)
             case leader_messages.PlaceEnded():
-                self._ended(message)
+                self._on_place_ended(message)
             case leader_messages.ReadingEnded():
-                self._reading_ended(message)
+                self._on_reading_ended(message)
             case leader_messages.PromptRead():
                 self._observations.prompt_read(
                     message.engine, message.took_ms, tokens=message.tokens
@@ -185,74 +185,76 @@
                     message.expected_tokens, message.tokens
                 )
             case leader_messages.EngineFailed():
-                self._failed(message)
+                self._on_engine_failed(message)
             case leader_messages.EngineChanging(engine=engine):
                 self._observations.changing(engine)
             case leader_messages.ReadingRefused(engine=engine):
                 self._observations.refused_reading(engine)
         return None
 
-    async def _place(
+    async def _place_request(
         self, ask: leader_messages.PlaceAsk
     ) -> messages.Message | None:
-        run = self._run_of(ask)
+        run = self._build_run(ask)
         if run is None:
             return None
-        held = _Held()
-        self._held[ask.number] = held
+        held = _HeldPlace()
+        self._held_places[ask.number] = held
         answer: asyncio.Future[messages.Message | None] = asyncio.Future()
-        held.task = asyncio.ensure_future(self._hold(ask, run, held, answer))
+        held.task = asyncio.ensure_future(
+            self._hold_place(ask, run, held, answer)
+        )
         try:
             return await answer
         except asyncio.CancelledError:
             held.task.cancel()
             raise
 
-    async def _hold(
+    async def _hold_place(
         self,
         ask: leader_messages.PlaceAsk,
         run: runs.Run,
-        held: _Held,
+        held: _HeldPlace,
         answer: asyncio.Future[messages.Message | None],
     ) -> None:
         try:
             async with self._places.place(run) as place:
                 held.place = place
                 if not ask.is_counted:
-                    self._quotas.follower_admitted(self._use, run)
-                _tell(answer, _placed(place))
+                    self._quotas.follower_admitted(self._usage, run)
+                _resolve(answer, _placed_message(place))
                 ending = await held.ending
                 if ending.is_hold_used:
                     place.take_hold()
                 if not ending.is_whole:
-                    raise _UnfinishedError
+                    raise _IncompleteAnswerError
         except errors.WharfError as error:
             come_back_ms = error.retry_after_ms
             if come_back_ms is None:
-                _tell(answer, None)
+                _resolve(answer, None)
             else:
                 is_over_quota = error.kind is errors.ErrorKind.RATE_LIMITED
                 refusal = leader_messages.NotPlaced(come_back_ms, is_over_quota)
-                _tell(answer, refusal)
-        except _UnfinishedError:
+                _resolve(answer, refusal)
+        except _IncompleteAnswerError:
             # The duration of an incomplete answer must not count as an
             # observation.
             pass
         finally:
-            _tell(answer, None)
-            self._held.pop(ask.number, None)
+            _resolve(answer, None)
+            self._held_places.pop(ask.number, None)
 
-    def _costs_told(
+    def _on_costs_observed(
         self, peer: str, message: leader_messages.CostsObserved
     ) -> None:
         was_known = self._fleet_costs.fleet.is_known
-        self._fleet_costs.told(peer, _report(message))
+        self._fleet_costs.told(peer, _cost_report(message))
         fleet = self._fleet_costs.fleet
         if fleet.is_known and not was_known:
             beliefs.costs_known(fleet, reports=self._fleet_costs.instances)
 
-    def _ended(self, message: leader_messages.PlaceEnded) -> None:
-        held = self._held.get(message.number)
+    def _on_place_ended(self, message: leader_messages.PlaceEnded) -> None:
+        held = self._held_places.get(message.number)
         if held is None:
             return
         if held.place is None:
@@ -262,12 +264,12 @@
         elif not held.ending.done():
             held.ending.set_result(message)
 
-    def _reading_ended(self, message: leader_messages.ReadingEnded) -> None:
-        held = self._held.get(message.number)
+    def _on_reading_ended(self, message: leader_messages.ReadingEnded) -> None:
+        held = self._held_places.get(message.number)
         if held is not None and held.place is not None:
             held.place.reading_ended()
 
-    def _failed(self, message: leader_messages.EngineFailed) -> None:
+    def _on_engine_failed(self, message: leader_messages.EngineFailed) -> None:
         try:
             fault = client.EngineFault(message.fault)
         except ValueError:
@@ -278,7 +280,7 @@
             error = client.EngineError(fault, message.engine)
             self._observations.failed(error)
 
-    def _run_of(self, ask: leader_messages.PlaceAsk) -> runs.Run | None:
+    def _build_run(self, ask: leader_messages.PlaceAsk) -> runs.Run | None:
         """Builds a follower's run; ``None`` if its route is unknown."""
         current = self._source.current
         if current is None:
@@ -323,7 +325,7 @@
         )
 
 
-def _tell(
+def _resolve(
     answer: asyncio.Future[messages.Message | None],
     message: messages.Message | None,
 ) -> None:
@@ -331,7 +333,7 @@
         answer.set_result(message)
 
 
-def _report(message: leader_messages.CostsObserved) -> costs.CostReport:
+def _cost_report(message: leader_messages.CostsObserved) -> costs.CostReport:
     return costs.CostReport(
         max(0, message.readings),
         message.prefill_ms,
@@ -340,7 +342,7 @@
     )
 
 
-def _placed(place: all_places.Place) -> leader_messages.Placed:
+def _placed_message(place: all_places.Place) -> leader_messages.Placed:
     return leader_messages.Placed(
         place.engine.name,
         place.hold,
--- a/src/jujubewharf/leaving/departures.py
+++ b/src/jujubewharf/leaving/departures.py
@@ -22,10 +22,10 @@
 from jujubewharf.membership import facts as all_facts
 from jujubewharf.platform import live_list
 
-_CHECK_MS = 250.0
+_CHECK_INTERVAL_MS = 250.0
 _FACT_TTL_MS = 15_000.0
-_RENEW_MS = 5_000.0
-_TAKEN_BACK = ""
+_RENEW_INTERVAL_MS = 5_000.0
+_REVOKED = ""
 
 _COUNTER = metrics.get_meter("jujubewharf").create_counter(
     "leaving.noticed", description="Endpoints first noticed leaving here."
@@ -53,7 +53,7 @@
     Args:
         facts: Facts shared with other instances.
         listed: Returns the endpoints on the platform's list.
-        say_leaving: Returns the endpoints that recently announced that they
+        self_reported: Returns the endpoints that recently announced that they
             leave.
         clock: Clock.
 
@@ -65,63 +65,63 @@
         self,
         facts: all_facts.Facts,
         listed: ListedEndpoints,
-        say_leaving: SayLeaving,
+        self_reported: SayLeaving,
         clock: clocks.Clock,
     ) -> None:
         super().__init__()
         self._facts = facts
         self.listed = listed
-        self._say_leaving = say_leaving
+        self._self_reported = self_reported
         self._clock = clock
-        self._first_hand: dict[str, Source] = {}
-        self._told_ms: dict[str, float] = {}
-        self._noticed: set[str] = set()
+        self._own_notices: dict[str, Source] = {}
+        self._published_ms: dict[str, float] = {}
+        self._logged: set[str] = set()
         self._logger = structlog.get_logger()
 
     def is_leaving(self, endpoint: str) -> bool:
         """Whether an endpoint gets no new work."""
-        if endpoint in self._first_hand:
+        if endpoint in self._own_notices:
             return True
-        return self._is_told(endpoint)
+        return self._is_published(endpoint)
 
     def check(self) -> None:
         """Collects first-hand notices now, and publishes changes."""
-        found = self._find()
-        for name in sorted(self._first_hand.keys() - found.keys()):
-            self._tell(name, _TAKEN_BACK)
-            self._told_ms.pop(name, None)
-        self._first_hand = found
+        notices = self._collect()
+        for name in sorted(self._own_notices.keys() - notices.keys()):
+            self._publish(name, _REVOKED)
+            self._published_ms.pop(name, None)
+        self._own_notices = notices
         now_ms = self._clock.now_ms()
-        for name, source in sorted(found.items()):
-            told_ms = self._told_ms.get(name, float("-inf"))
-            is_due = now_ms - told_ms >= _RENEW_MS
-            if is_due and not self._is_told_for_long(name):
-                self._tell(name, source.value)
-                self._told_ms[name] = now_ms
-        self._note()
+        for name, source in sorted(notices.items()):
+            published_ms = self._published_ms.get(name, float("-inf"))
+            is_due = now_ms - published_ms >= _RENEW_INTERVAL_MS
+            if is_due and not self._is_recently_renewed(name):
+                self._publish(name, source.value)
+                self._published_ms[name] = now_ms
+        self._log_changes()
 
     @mode.Service.task
     async def _watch(self) -> None:
         while not self.should_stop:
             self.check()
-            await self._clock.sleep_ms(_CHECK_MS)
+            await self._clock.sleep_ms(_CHECK_INTERVAL_MS)
 
-    def _find(self) -> dict[str, Source]:
-        found = {
+    def _collect(self) -> dict[str, Source]:
+        notices = {
             member.name: Source.LIST
             for member in self.listed()
             if member.state is live_list.LiveState.LEAVING
         }
-        for name in self._say_leaving():
-            found.setdefault(name, Source.ENDPOINT)
-        return found
+        for name in self._self_reported():
+            notices.setdefault(name, Source.ENDPOINT)
+        return notices
 
-    def _is_told(self, endpoint: str) -> bool:
+    def _is_published(self, endpoint: str) -> bool:
         topic = all_facts.Topic.ENDPOINT_LEAVING
         fact = self._facts.get(topic, endpoint)
-        return fact is not None and fact.value != _TAKEN_BACK
+        return fact is not None and fact.value != _REVOKED
 
-    def _is_told_for_long(self, endpoint: str) -> bool:
+    def _is_recently_renewed(self, endpoint: str) -> bool:
         """Whether another instance has renewed the fact recently.
 
         Avoids that each instance of a fleet that reads the same list publishes
@@ -129,12 +129,12 @@
         """
         topic = all_facts.Topic.ENDPOINT_LEAVING
         fact = self._facts.get(topic, endpoint)
-        if fact is None or fact.value == _TAKEN_BACK:
+        if fact is None or fact.value == _REVOKED:
             return False
         left_ms = fact.expires_ms - self._clock.now_ms()
-        return left_ms > _FACT_TTL_MS - _RENEW_MS
+        return left_ms > _FACT_TTL_MS - _RENEW_INTERVAL_MS
 
-    def _tell(self, endpoint: str, value: str) -> None:
+    def _publish(self, endpoint: str, value: str) -> None:
         topic = all_facts.Topic.ENDPOINT_LEAVING
         fact = self._facts.get(topic, endpoint)
         version = int(self._clock.wall_ms())
@@ -148,16 +148,16 @@
             ttl_ms=_FACT_TTL_MS,
         )
 
-    def _note(self) -> None:
+    def _log_changes(self) -> None:
         topic = all_facts.Topic.ENDPOINT_LEAVING
-        told = {
+        published = {
             fact.subject: Source.PEER
             for fact in self._facts.about(topic)
-            if fact.value != _TAKEN_BACK
+            if fact.value != _REVOKED
         }
-        leaving = told | self._first_hand
-        for name in sorted(leaving.keys() - self._noticed):
+        leaving = published | self._own_notices
+        for name in sorted(leaving.keys() - self._logged):
             source = leaving[name].value
             _COUNTER.add(1, {"source": source})
             self._logger.info("endpoint_leaving", endpoint=name, source=source)
-        self._noticed = set(leaving)
+        self._logged = set(leaving)
--- a/src/jujubewharf/leaving/process.py
+++ b/src/jujubewharf/leaving/process.py
@@ -53,9 +53,9 @@
     """
     logs.handle_loop_errors(asyncio.get_running_loop())
     services: list[mode.Service] = [cast(mode.Service, daemon)]
-    metrics_edge = metrics.configure(telemetry, identity)
-    if metrics_edge is not None:
-        services.append(metrics_edge)
+    metrics_exporter = metrics.configure(telemetry, identity)
+    if metrics_exporter is not None:
+        services.append(metrics_exporter)
     return await Runner(daemon, services).run()
 
 
@@ -72,7 +72,7 @@
     ) -> None:
         self._daemon = daemon
         self._services = services
-        self._asked = asyncio.Event()
+        self._signalled = asyncio.Event()
         self._shutdown: shutdown.Shutdown | None = None
 
     async def run(self) -> ExitCode:
@@ -86,7 +86,7 @@
         try:
             for service in self._services:
                 await service.start()
-            crashed = await self._wait()
+            crashed = await self._wait_for_signal()
             if crashed:
                 return ExitCode.CRASHED
             self._shutdown = self._daemon.new_shutdown()
@@ -96,19 +96,19 @@
             for service in reversed(self._services):
                 await service.stop()
 
-    async def _wait(self) -> bool:
+    async def _wait_for_signal(self) -> bool:
         """Waits for a signal; returns whether a service crashed first."""
-        waits = [
-            asyncio.create_task(service.wait(self._asked.wait()))
+        tasks = [
+            asyncio.create_task(service.wait(self._signalled.wait()))
             for service in self._services
         ]
-        await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        for wait in waits:
-            wait.cancel()
-        return not self._asked.is_set()
+        await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+        for task in tasks:
+            task.cancel()
+        return not self._signalled.is_set()
 
     def _on_signal(self) -> None:
         if self._shutdown is not None:
             structlog.get_logger().warning("shutdown_hastened")
             self._shutdown.hasten()
-        self._asked.set()
+        self._signalled.set()
--- a/src/jujubewharf/leaving/shutdown.py
+++ b/src/jujubewharf/leaving/shutdown.py
@@ -116,27 +116,27 @@
 
     async def run(self) -> Summary:
         """Waits until the instance is idle, the limit passes or ``hasten``."""
-        began_ms = self._clock.now_ms()
-        until_ms = began_ms + self._drain_ms
-        self._logger.info("shutdown_began", in_flight=self._busy())
+        started_ms = self._clock.now_ms()
+        deadline_ms = started_ms + self._drain_ms
+        self._logger.info("shutdown_began", in_flight=self._in_flight())
         self._admission.is_ready = False
         self._hand_over()
-        await self._wait_until_ms(min(began_ms + self._grace_ms, until_ms))
+        await self._wait_until_ms(min(started_ms + self._grace_ms, deadline_ms))
         self._admission.is_accepting = False
-        while self._busy() and self._clock.now_ms() < until_ms:
+        while self._in_flight() and self._clock.now_ms() < deadline_ms:
             if self._hastened.is_set():
                 break
             await self._wait_until_ms(self._clock.now_ms() + _POLL_MS)
-        summary = Summary(self._busy(), self._clock.now_ms() - began_ms)
+        summary = Summary(self._in_flight(), self._clock.now_ms() - started_ms)
         log = self._logger.warning if summary.cut else self._logger.info
         log("shutdown_drained", **dataclasses.asdict(summary))
         return summary
 
-    def _busy(self) -> int:
+    def _in_flight(self) -> int:
         return max(self._admission.in_flight, self._running())
 
     async def _wait_until_ms(self, at_ms: float) -> None:
-        left_ms = at_ms - self._clock.now_ms()
+        timeout_ms = at_ms - self._clock.now_ms()
         with contextlib.suppress(TimeoutError):
-            async with self._clock.timeout_ms(left_ms):
+            async with self._clock.timeout_ms(timeout_ms):
                 await self._hastened.wait()
--- a/tests/leadership/test_backoff.py
+++ b/tests/leadership/test_backoff.py
@@ -22,21 +22,21 @@
 NAMES = ("e1", "e2", "e3", "e4")
 BACKOFF_MS = 3_000.0
 # Allowance in ms for requests that were already being sent.
-ON_THE_WAY_MS = 500.0
+IN_FLIGHT_MS = 500.0
 
 
-def _deployed(*behind, names=NAMES):
-    return deployments.deployed(*behind, names=names, is_led=True)
+def _deployed(*backends, names=NAMES):
+    return deployments.deployed(*backends, names=names, is_led=True)
 
 
-def _too_soon(backend, backoff_ms: float = BACKOFF_MS) -> list:
+def _during_backoff(backend, backoff_ms: float = BACKOFF_MS) -> list:
     """Requests within the backoff period of the instance that sent them."""
     found = []
     for asked in (*backend.asked, *backend.asked_memory):
         told_ms = backend.told_ms.get(asked.instance)
         if told_ms is None:
             continue
-        if told_ms + ON_THE_WAY_MS <= asked.at_ms < told_ms + backoff_ms:
+        if told_ms + IN_FLIGHT_MS <= asked.at_ms < told_ms + backoff_ms:
             found.append(asked)
     return found
 
@@ -51,21 +51,21 @@
     async def main():
         async with _deployed(*deployments.of_both_kinds()) as world:
             await world.clock.sleep_ms(2_000.0)
-            weak = world.backends.by_name[busy]
-            weak.backoff_ms = BACKOFF_MS
+            overloaded = world.backends.by_name[busy]
+            overloaded.backoff_ms = BACKOFF_MS
             flood = asyncio.ensure_future(world.flood(path, for_ms=6_000.0))
             await world.clock.sleep_ms(1_000.0)
-            weak.backoff_ms = 0.0
+            overloaded.backoff_ms = 0.0
             answers = await flood
-            assert weak.told_ms
-            assert _too_soon(weak) == []
+            assert overloaded.told_ms
+            assert _during_backoff(overloaded) == []
             # A sale has a single attempt, which the refusal uses up: at most
             # one caller of each instance fails, with an error that nothing ran.
             refused = [a.error for a in answers if a.error is not None]
             assert len(refused) <= (len(NAMES) if path == "/sale/1" else 0)
             assert all(error.ran is errors.Ran.NO for error in refused)
-            last_ms = max(weak.told_ms.values()) + BACKOFF_MS
-            assert any(a.at_ms >= last_ms for a in weak.asked)
+            last_ms = max(overloaded.told_ms.values()) + BACKOFF_MS
+            assert any(a.at_ms >= last_ms for a in overloaded.asked)
 
     deployments.run(main())
 
@@ -74,21 +74,21 @@
     """The leader offers the engine to all; each checks its own backoff."""
 
     async def main():
-        weak = reader("p1")
-        behind = [weak, reader("p2"), writer("d1")]
-        behind[2].memory_tokens = 400_000
-        async with _deployed(*behind, names=NAMES[:3]) as world:
+        overloaded = reader("p1")
+        backends = [overloaded, reader("p2"), writer("d1")]
+        backends[2].memory_tokens = 400_000
+        async with _deployed(*backends, names=NAMES[:3]) as world:
             await world.clock.sleep_ms(2_000.0)
             flood = asyncio.ensure_future(
                 world.flood("/verdicts/1", for_ms=6_000.0, every_ms=47.0)
             )
             await world.clock.sleep_ms(500.0)
-            weak.backoff_ms = BACKOFF_MS
+            overloaded.backoff_ms = BACKOFF_MS
             await world.clock.sleep_ms(1_000.0)
-            weak.backoff_ms = 0.0
+            overloaded.backoff_ms = 0.0
             await flood
-            assert weak.told_ms
-            assert _too_soon(weak) == []
+            assert overloaded.told_ms
+            assert _during_backoff(overloaded) == []
 
     deployments.run(main())
 
@@ -101,25 +101,25 @@
     """
 
     async def main():
-        behind = [reader("p1"), writer("d1"), writer("d2")]
-        for backend in behind:
+        backends = [reader("p1"), writer("d1"), writer("d2")]
+        for backend in backends:
             backend.memory_tokens = 400_000
-        async with _deployed(*behind) as world:
+        async with _deployed(*backends) as world:
             await world.clock.sleep_ms(2_000.0)
             follower = next(n for n in NAMES if n != world.leader)
             # The follower received a backoff for its own request.
             instance = world.instances[follower]
             instance.restraints.heard(
-                behind[1].endpoint,
+                backends[1].endpoint,
                 notices.Notice(world.clock.now_ms(), backoff_ms=BACKOFF_MS),
             )
             answers = await world.ask_all(
                 *["/verdicts/1"] * 8, instance=follower
             )
             assert {a.status for a in answers} == {200}
-            asked = [a.instance for a in behind[1].asked]
+            asked = [a.instance for a in backends[1].asked]
             assert follower not in asked
-            assert len(behind[2].asked) == 8
+            assert len(backends[2].asked) == 8
 
     deployments.run(main())
 
@@ -129,8 +129,8 @@
     """Retry-after is the time until the first backoff ends."""
 
     async def main():
-        behind = [shop("s1", backoff_ms=2_000.0)]
-        async with _deployed(*behind, names=("e1",)) as world:
+        backends = [shop("s1", backoff_ms=2_000.0)]
+        async with _deployed(*backends, names=("e1",)) as world:
             await world.clock.sleep_ms(2_000.0)
             await world.ask(path)
             await world.clock.sleep_ms(500.0)
@@ -140,15 +140,15 @@
             assert answer.error.ran is errors.Ran.NO
             assert answer.took_ms < 50.0
             assert 1_400.0 <= answer.error.retry_after_ms <= 1_600.0
-            assert len(behind[0].asked) == 1
+            assert len(backends[0].asked) == 1
 
     deployments.run(main())
 
 
 def test_stream_is_refused_at_once_while_all_engines_back_off():
     async def main():
-        behind = [reader("p1"), writer("d1", backoff_ms=5_000.0)]
-        async with _deployed(*behind) as world:
+        backends = [reader("p1"), writer("d1", backoff_ms=5_000.0)]
+        async with _deployed(*backends) as world:
             await world.clock.sleep_ms(2_000.0)
             await world.ask("/verdicts/1")
             answers = await world.ask_all(*["/verdicts/1"] * 4)
@@ -170,10 +170,10 @@
 
     async def main():
         rng = random.Random(seed)
-        behind = [shop(f"s{n}") for n in range(4)]
-        behind += [reader("p1"), reader("p2")]
-        behind += [writer(f"d{n}") for n in range(3)]
-        async with _deployed(*behind) as world:
+        backends = [shop(f"s{n}") for n in range(4)]
+        backends += [reader("p1"), reader("p2")]
+        backends += [writer(f"d{n}") for n in range(3)]
+        async with _deployed(*backends) as world:
             await world.clock.sleep_ms(2_000.0)
             floods = [
                 asyncio.ensure_future(world.flood(path, for_ms=24_000.0))
@@ -185,19 +185,19 @@
                 )
             )
             for _ in range(5):
-                weak = rng.choice(behind)
-                weak.told_ms.clear()
-                weak.asked.clear()
-                weak.asked_memory.clear()
+                overloaded = rng.choice(backends)
+                overloaded.told_ms.clear()
+                overloaded.asked.clear()
+                overloaded.asked_memory.clear()
                 backoff_ms = rng.choice([1_000.0, 2_000.0, 4_000.0])
-                weak.backoff_ms = backoff_ms
+                overloaded.backoff_ms = backoff_ms
                 await world.clock.sleep_ms(rng.uniform(50.0, 400.0))
-                weak.backoff_ms = 0.0
-                lossy = rng.choice(behind[:4])
+                overloaded.backoff_ms = 0.0
+                lossy = rng.choice(backends[:4])
                 lossy.loses_answers = True
                 await world.clock.sleep_ms(backoff_ms)
                 lossy.loses_answers = False
-                assert _too_soon(weak, backoff_ms) == []
+                assert _during_backoff(overloaded, backoff_ms) == []
             await asyncio.gather(*floods)
 
     deployments.run(main())
--- a/tests/leadership/test_crash_keeper.py
+++ b/tests/leadership/test_crash_keeper.py
@@ -13,7 +13,7 @@
 SETTLED_MS = 3_000.0
 
 
-def _world():
+def _deployed():
     return deployments.deployed(
         deployments.shop("s1"), names=NAMES, is_led=True
     )
@@ -37,7 +37,7 @@
 
 def test_history_survives_restart_of_all():
     async def main():
-        async with _world() as world:
+        async with _deployed() as world:
             _crash(world, "a", "b", "c")
             await world.clock.sleep_ms(300.0)
             await _restart_all(world)
@@ -48,7 +48,7 @@
 
 def test_restarts_do_not_overwrite_earlier_records():
     async def main():
-        async with _world() as world:
+        async with _deployed() as world:
             for number in range(4):
                 body = b"crashing %d" % number
                 _crash(world, "a", "b", "c", body=body)
@@ -64,7 +64,7 @@
     """Reports of an outage of the store are written after it."""
 
     async def main():
-        async with _world() as world:
+        async with _deployed() as world:
             world.crashes.is_down = True
             _crash(world, "a", "b", "c")
             await world.clock.sleep_ms(5_000.0)
@@ -80,14 +80,14 @@
     """Another engine crashes while a slow write is in progress."""
 
     async def main():
-        async with _world() as world:
+        async with _deployed() as world:
             write = world.crashes.write
 
-            async def slowly(values):
+            async def slow_write(values):
                 await world.clock.sleep_ms(200.0)
                 await write(values)
 
-            world.crashes.write = slowly
+            world.crashes.write = slow_write
             _crash(world, "a")
             await world.clock.sleep_ms(200.0)
             _crash(world, "b", "c")
@@ -100,7 +100,7 @@
 
 def test_history_is_read_after_start_during_store_outage():
     async def main():
-        async with _world() as world:
+        async with _deployed() as world:
             _crash(world, "a", "b", "c")
             await world.clock.sleep_ms(300.0)
             world.crashes.is_down = True
@@ -117,7 +117,7 @@
     """Otherwise an innocent request would be refused after a restart."""
 
     async def main():
-        async with _world() as world:
+        async with _deployed() as world:
             _crash(world, "a", "b", "c")
             await world.clock.sleep_ms(2_000.0)
             call = world.call("/sale/1", body=CRASHING)
@@ -132,7 +132,7 @@
 
 def test_expired_records_are_deleted():
     async def main():
-        async with _world() as world:
+        async with _deployed() as world:
             _crash(world, "a", "b", "c")
             await world.clock.sleep_ms(crashes.RETENTION_MS + 120_000.0)
             assert (await world.crashes.newest()).records == ()
@@ -144,7 +144,7 @@
     """At most one read in two seconds for all instances together."""
 
     async def main():
-        async with _world() as world:
+        async with _deployed() as world:
             await world.clock.sleep_ms(5_000.0)
             reads = world.crashes.reads
             await world.clock.sleep_ms(60_000.0)
@@ -156,7 +156,7 @@
 
 def test_unreadable_record_is_skipped():
     async def main():
-        async with _world() as world:
+        async with _deployed() as world:
             _crash(world, "a", "b", "c")
             await world.clock.sleep_ms(300.0)
             world.crashes.put("other", b"{}")
@@ -170,8 +170,8 @@
     """All domains are partitioned from each other, but reach the store."""
 
     async def main():
-        behind = [deployments.shop("s1")]
-        world = deployments.Deployment(*behind)
+        backends = [deployments.shop("s1")]
+        world = deployments.Deployment(*backends)
         await world.start_in("abc", *NAMES)
         await world.clock.sleep_ms(2_000.0)
         for first, second in ("ab", "ac", "bc"):
--- a/tests/leadership/test_crashing_requests.py
+++ b/tests/leadership/test_crashing_requests.py
@@ -23,31 +23,31 @@
 CRASHING = b"crashes each engine that runs it"
 NAMES = ("e1", "e2", "e3", "e4", "e5", "e6")
 # Crashes after which a request is quarantined.
-MOST_CRASHES = 3
+MAX_CRASHES = 3
 # One trial is granted, since only another run distinguishes an innocent request
 # from the cause of the crashes. The requirement allows three.
 TRIALS = 1
 # Time in ms until all instances know of a crash; an attempt that is already in
 # flight may still end in one.
-SPREAD_MS = 200.0
+PROPAGATION_MS = 200.0
 # Attempts that the requirement allows later than this many ms after the third
 # crash.
 SETTLED_MS = 3_000.0
-MOST_LATER = 3
+MAX_LATER_ATTEMPTS = 3
 
 
-def _behind():
-    behind = [reader("p1"), reader("p2", "b")]
-    behind += [writer(f"d{n}", "abcd"[n % 4]) for n in range(6)]
-    behind += [shop(f"s{n}", "abcd"[n % 4]) for n in range(6)]
-    for backend in behind:
+def _backends():
+    backends = [reader("p1"), reader("p2", "b")]
+    backends += [writer(f"d{n}", "abcd"[n % 4]) for n in range(6)]
+    backends += [shop(f"s{n}", "abcd"[n % 4]) for n in range(6)]
+    for backend in backends:
         backend.memory_tokens = 400_000
-    return behind
+    return backends
 
 
 @contextlib.asynccontextmanager
 async def _deployed(names=NAMES):
-    world = deployments.Deployment(*_behind())
+    world = deployments.Deployment(*_backends())
     world.revive_crashed()
     world.backends.crashing.add(CRASHING)
     await world.start_in("abcd", *names)
@@ -58,7 +58,7 @@
         await world.stop()
 
 
-async def _insist(
+async def _send_repeatedly(
     world, path: str, *, for_ms: float, every_ms: float = 300.0, body=CRASHING
 ) -> list[deployments.Answer]:
     """Sends the same request to the instances in turn."""
@@ -73,7 +73,7 @@
     return list(await asyncio.gather(*asked))
 
 
-def _crashed_ms(world, body=CRASHING) -> list[float]:
+def _crash_times_ms(world, body=CRASHING) -> list[float]:
     return [c.at_ms for c in world.backends.crashes if c.body == body]
 
 
@@ -87,16 +87,16 @@
     ]
 
 
-def _tries(world, *, after_ms: float, body=CRASHING) -> set[str]:
+def _attempts(world, *, after_ms: float, body=CRASHING) -> set[str]:
     """Ids of the attempts that reached engines after a time."""
     later = _arrivals(world, after_ms=after_ms, body=body)
     return {asked.request_id for asked in later}
 
 
-def _third_ms(world, body=CRASHING) -> float:
+def _third_crash_ms(world, body=CRASHING) -> float:
     """Time of the third crash of a request."""
-    times = _crashed_ms(world, body)
-    return times[MOST_CRASHES - 1] if len(times) >= MOST_CRASHES else 1e12
+    times = _crash_times_ms(world, body)
+    return times[MAX_CRASHES - 1] if len(times) >= MAX_CRASHES else 1e12
 
 
 def _quarantined(answers: list[deployments.Answer]) -> list:
@@ -120,11 +120,11 @@
 
     async def main():
         async with _deployed() as world:
-            answers = await _insist(world, path, for_ms=20_000.0)
-            third_ms = _third_ms(world)
-            later = _tries(world, after_ms=third_ms + SPREAD_MS)
+            answers = await _send_repeatedly(world, path, for_ms=20_000.0)
+            third_crash_ms = _third_crash_ms(world)
+            later = _attempts(world, after_ms=third_crash_ms + PROPAGATION_MS)
             assert len(later) <= TRIALS
-            assert len(_crashed_ms(world)) <= MOST_CRASHES + 1 + TRIALS
+            assert len(_crash_times_ms(world)) <= MAX_CRASHES + 1 + TRIALS
             for answer in answers[-10:]:
                 assert answer.error is not None
                 assert answer.error.kind is errors.ErrorKind.QUARANTINED
@@ -138,12 +138,14 @@
 
 def test_single_instance_quarantines_by_itself():
     async def main():
-        async with deployments.deployed(*_behind()) as world:
+        async with deployments.deployed(*_backends()) as world:
             world.backends.crashing.add(CRASHING)
             world.revive_crashed()
-            await _insist(world, "/verdicts/1", for_ms=10_000.0)
-            assert len(_tries(world, after_ms=_third_ms(world))) <= TRIALS
-            assert len(_crashed_ms(world)) <= MOST_CRASHES + TRIALS
+            await _send_repeatedly(world, "/verdicts/1", for_ms=10_000.0)
+            assert (
+                len(_attempts(world, after_ms=_third_crash_ms(world))) <= TRIALS
+            )
+            assert len(_crash_times_ms(world)) <= MAX_CRASHES + TRIALS
 
     deployments.run(main())
 
@@ -151,7 +153,7 @@
 def test_new_instance_learns_of_quarantine():
     async def main():
         async with _deployed() as world:
-            await _insist(world, "/verdicts/1", for_ms=5_000.0)
+            await _send_repeatedly(world, "/verdicts/1", for_ms=5_000.0)
             await world.start("e7", declare=False, is_led=True)
             await world.clock.sleep_ms(2_000.0)
             began_ms = world.clock.now_ms()
@@ -167,13 +169,15 @@
 
     async def main():
         async with _deployed() as world:
-            await _insist(world, "/verdicts/1", for_ms=5_000.0)
+            await _send_repeatedly(world, "/verdicts/1", for_ms=5_000.0)
             for _ in range(3):
                 await asyncio.gather(*(world.restart(n) for n in NAMES))
                 await world.clock.sleep_ms(SETTLED_MS)
-                await _insist(world, "/verdicts/1", for_ms=5_000.0)
-            settled_ms = _third_ms(world) + SETTLED_MS
-            assert len(_arrivals(world, after_ms=settled_ms)) <= MOST_LATER
+                await _send_repeatedly(world, "/verdicts/1", for_ms=5_000.0)
+            settled_ms = _third_crash_ms(world) + SETTLED_MS
+            assert (
+                len(_arrivals(world, after_ms=settled_ms)) <= MAX_LATER_ATTEMPTS
+            )
 
     deployments.run(main())
 
@@ -195,7 +199,7 @@
             _crash_elsewhere(world)
             answer = await waiting
             assert answer.error is not None
-            assert world.clock.now_ms() - waiting_ms < SPREAD_MS
+            assert world.clock.now_ms() - waiting_ms < PROPAGATION_MS
             assert _arrivals(world, after_ms=0.0) == []
 
     deployments.run(main())
@@ -226,7 +230,7 @@
             answer = await waiting
             assert answer.error is not None
             assert answer.error.kind is errors.ErrorKind.QUARANTINED
-            assert world.clock.now_ms() - waiting_ms < SPREAD_MS
+            assert world.clock.now_ms() - waiting_ms < PROPAGATION_MS
 
     deployments.run(main())
 
@@ -241,14 +245,14 @@
 
     async def main():
         async with _deployed() as world:
-            insisting = asyncio.ensure_future(
-                _insist(world, path, for_ms=12_000.0)
+            sending = asyncio.ensure_future(
+                _send_repeatedly(world, path, for_ms=12_000.0)
             )
-            beside = await world.flood(
+            other_answers = await world.flood(
                 path, for_ms=12_000.0, are_alike=are_alike
             )
-            assert _quarantined(beside) == []
-            await insisting
+            assert _quarantined(other_answers) == []
+            await sending
             await world.clock.sleep_ms(SETTLED_MS)
             # The same requests as before: none of them may stay in quarantine.
             answers = await world.flood(
@@ -290,9 +294,9 @@
         rng = random.Random(seed)
         path = rng.choice(PATHS)
         async with _deployed() as world:
-            troubled_ms: dict[str, float] = {}
-            insisting = asyncio.ensure_future(
-                _insist(world, path, for_ms=60_000.0, every_ms=211.0)
+            disturbed_ms: dict[str, float] = {}
+            sending = asyncio.ensure_future(
+                _send_repeatedly(world, path, for_ms=60_000.0, every_ms=211.0)
             )
             flood = asyncio.ensure_future(
                 world.flood(
@@ -302,18 +306,18 @@
                     are_alike=seed % 2 == 0,
                 )
             )
-            while not insisting.done():
+            while not sending.done():
                 await world.clock.sleep_ms(rng.uniform(3_000.0, 9_000.0))
-                for name in await _trouble(world, rng):
-                    troubled_ms[name] = world.clock.now_ms()
-            settled_ms = _third_ms(world) + SETTLED_MS
+                for name in await _disturb(world, rng):
+                    disturbed_ms[name] = world.clock.now_ms()
+            settled_ms = _third_crash_ms(world) + SETTLED_MS
             later = [
                 asked
                 for asked in _arrivals(world, after_ms=settled_ms)
                 if asked.at_ms
-                > troubled_ms.get(asked.instance, -1e12) + SETTLED_MS
+                > disturbed_ms.get(asked.instance, -1e12) + SETTLED_MS
             ]
-            assert len(later) <= MOST_LATER
+            assert len(later) <= MAX_LATER_ATTEMPTS
             world.network.heal()
             assert _quarantined(await flood) == []
             await world.clock.sleep_ms(SETTLED_MS)
@@ -323,7 +327,7 @@
     deployments.run(main())
 
 
-async def _trouble(world, rng: random.Random) -> list[str]:
+async def _disturb(world, rng: random.Random) -> list[str]:
     """Disturbs instances at random and returns their names."""
     names = sorted(world.instances)
     name = rng.choice(names)
--- a/tests/leadership/test_endpoint_limits.py
+++ b/tests/leadership/test_endpoint_limits.py
@@ -21,7 +21,7 @@
 NAMES = ("e1", "e2", "e3", "e4", "e5", "e6")
 WINDOW_MS = 4_000.0
 # Time in ms until an instance must respect a limit that it received.
-HEEDED_AFTER_MS = 500.0
+RESPECTED_AFTER_MS = 500.0
 
 
 def _allowed(limit_per_s: float) -> float:
@@ -29,31 +29,32 @@
     return 1.5 * limit_per_s * WINDOW_MS / 1_000.0 + 5
 
 
-def _most(times: list[float]) -> int:
+def _max_in_window(times: list[float]) -> int:
     """The largest number of requests in any sliding window."""
     return max(
         (sum(t <= u < t + WINDOW_MS for u in times) for t in times), default=0
     )
 
 
-def _of_all(backend) -> list[float]:
+def _from_all(backend) -> list[float]:
     """Requests of all instances since the first one must know the limit."""
-    since_ms = min(backend.told_ms.values()) + HEEDED_AFTER_MS
+    since_ms = min(backend.told_ms.values()) + RESPECTED_AFTER_MS
     return [a.at_ms for a in backend.asked if a.at_ms >= since_ms]
 
 
-def _of_told(backend) -> list[float]:
+def _from_informed(backend) -> list[float]:
     """Requests of instances that had received the limit in time."""
     return [
         asked.at_ms
         for asked in backend.asked
         if asked.at_ms
-        >= backend.told_ms.get(asked.instance, float("inf")) + HEEDED_AFTER_MS
+        >= backend.told_ms.get(asked.instance, float("inf"))
+        + RESPECTED_AFTER_MS
     ]
 
 
-def _deployed(*behind, names=NAMES):
-    return deployments.deployed(*behind, names=names, is_led=True)
+def _deployed(*backends, names=NAMES):
+    return deployments.deployed(*backends, names=names, is_led=True)
 
 
 @pytest.mark.parametrize("path", ["/lookup/1", "/sale/1"])
@@ -67,7 +68,7 @@
             answers = await w.flood(path, for_ms=20_000.0)
             for backend in (weak, weaker):
                 limit = backend.rate_limit_per_s
-                assert _most(_of_all(backend)) <= _allowed(limit)
+                assert _max_in_window(_from_all(backend)) <= _allowed(limit)
             assert {a.status for a in answers} == {200}
 
     deployments.run(main())
@@ -88,7 +89,7 @@
             answers = await world.flood(
                 "/verdicts/1", for_ms=20_000.0, every_ms=60.0
             )
-            assert _most(_of_all(weak)) <= _allowed(1.5)
+            assert _max_in_window(_from_all(weak)) <= _allowed(1.5)
             assert {a.status for a in answers} == {200}
 
     deployments.run(main())
@@ -113,7 +114,7 @@
             await world.clock.sleep_ms(1_600.0)
             weak.rate_limit_per_s = 0.5
             answers = await flood
-            assert _most(_of_all(weak)) <= _allowed(0.5)
+            assert _max_in_window(_from_all(weak)) <= _allowed(0.5)
             assert {a.status for a in answers} == {200}
 
     deployments.run(main())
@@ -129,7 +130,7 @@
         ) as world:
             await world.clock.sleep_ms(2_000.0)
             await world.flood("/lookup/1", for_ms=12_000.0, every_ms=40.0)
-            assert _most(_of_all(weak)) <= _allowed(1.5)
+            assert _max_in_window(_from_all(weak)) <= _allowed(1.5)
 
     deployments.run(main())
 
@@ -149,7 +150,7 @@
             await world.flood("/sale/1", for_ms=3_000.0)
             answers = await world.flood("/sale/1", for_ms=10_000.0)
             for backend in weak:
-                assert _most(_of_all(backend)) <= _allowed(5.0)
+                assert _max_in_window(_from_all(backend)) <= _allowed(5.0)
             served = sum(a.status == 200 for a in answers)
             # Both endpoints together allow ten requests per second.
             assert served >= 0.7 * 100
@@ -225,7 +226,7 @@
             await world.start("e7", declare=False, is_led=True)
             await world.clock.sleep_ms(2_000.0)
             await world.flood("/sale/1", for_ms=8_000.0)
-            assert _most(_of_all(weak)) <= _allowed(1.5)
+            assert _max_in_window(_from_all(weak)) <= _allowed(1.5)
 
     deployments.run(main())
 
@@ -246,7 +247,7 @@
             world.network.drop_instance(old)
             await flood
             assert world.leader not in (None, old)
-            assert _most(_of_all(weak)) <= _allowed(3.0)
+            assert _max_in_window(_from_all(weak)) <= _allowed(3.0)
 
     deployments.run(main())
 
@@ -263,26 +264,26 @@
 
     async def main():
         rng = random.Random(seed)
-        behind = [shop(f"s{n}", "abcd"[n % 4]) for n in range(3)]
-        limits = [rng.choice([0.5, 1.5, 4.0]) for _ in behind[:limited]]
-        world = deployments.Deployment(*behind)
+        backends = [shop(f"s{n}", "abcd"[n % 4]) for n in range(3)]
+        limits = [rng.choice([0.5, 1.5, 4.0]) for _ in backends[:limited]]
+        world = deployments.Deployment(*backends)
         await world.start_in("abcd", *NAMES)
         await world.clock.sleep_ms(2_000.0)
-        for backend, limit in zip(behind, limits, strict=False):
+        for backend, limit in zip(backends, limits, strict=False):
             backend.rate_limit_per_s = limit
         flood = asyncio.ensure_future(world.flood("/sale/1", for_ms=40_000.0))
         for _ in range(8):
             await world.clock.sleep_ms(rng.uniform(1_000.0, 5_000.0))
-            await _trouble(world, rng)
+            await _disturb(world, rng)
         await flood
-        for backend, limit in zip(behind, limits, strict=False):
-            assert _most(_of_told(backend)) <= _allowed(limit)
+        for backend, limit in zip(backends, limits, strict=False):
+            assert _max_in_window(_from_informed(backend)) <= _allowed(limit)
         await world.stop()
 
     deployments.run(main())
 
 
-async def _trouble(world, rng: random.Random) -> None:
+async def _disturb(world, rng: random.Random) -> None:
     """Disturbs an instance at random."""
     name = rng.choice(sorted(world.instances))
     match rng.choice(["kill", "cut", "store", "unlink", "heal"]):
--- a/tests/leadership/test_feeds.py
+++ b/tests/leadership/test_feeds.py
@@ -28,9 +28,9 @@
 
 
 def test_records_from_leader_need_no_read():
-    async def test(clock, table, feed, fed):
+    async def test(clock, table, feed, leader_table):
         feed.take([_record(0)], 1)
-        page = await fed.changes(0, wait_ms=500.0)
+        page = await leader_table.changes(0, wait_ms=500.0)
         assert (page.end, page.records) == (1, (_record(0),))
         assert table.reads == 0
 
@@ -38,9 +38,11 @@
 
 
 def test_new_record_ends_long_poll():
-    async def test(clock, table, feed, fed):
+    async def test(clock, table, feed, leader_table):
         feed.take([], 1)
-        waiting = asyncio.ensure_future(fed.changes(1, wait_ms=1_500.0))
+        waiting = asyncio.ensure_future(
+            leader_table.changes(1, wait_ms=1_500.0)
+        )
         await clock.sleep_ms(300.0)
         feed.take([_record(1)], 2)
         page = await waiting
@@ -56,11 +58,11 @@
     The data becomes stale in the middle of a long poll.
     """
 
-    async def test(clock, table, feed, fed):
+    async def test(clock, table, feed, leader_table):
         table.put("k", "old")
         feed.take([_record(0, "old")], 1)
         table.put("k", "new")
-        page = await fed.changes(1, wait_ms=60_000.0)
+        page = await leader_table.changes(1, wait_ms=60_000.0)
         assert clock.now_ms() <= FRESH_MS + 100.0
         assert [r.value for r in page.records] == ["new"]
 
@@ -70,7 +72,7 @@
 def test_freshness_depends_on_confirmed_age():
     """The leader is connected but has not read the store recently."""
 
-    async def test(clock, table, feed, fed):
+    async def test(clock, table, feed, leader_table):
         feed.take([_record(0)], 1)
         await clock.sleep_ms(1_000.0)
         feed.confirm(1, age_ms=FRESH_MS)
@@ -84,13 +86,13 @@
 def test_unsent_record_is_read_from_store():
     """A configuration that is too large to be sent is read once."""
 
-    async def test(clock, table, feed, fed):
+    async def test(clock, table, feed, leader_table):
         table.put("k", "large")
         feed.take_unsent(0, 1)
-        page = await fed.changes(0, wait_ms=500.0)
+        page = await leader_table.changes(0, wait_ms=500.0)
         assert [r.value for r in page.records] == ["large"]
         assert table.reads == 1
-        await fed.changes(1, wait_ms=500.0)
+        await leader_table.changes(1, wait_ms=500.0)
         assert table.reads == 1
         assert clock.now_ms() >= 500.0
 
@@ -103,7 +105,7 @@
     Otherwise a withdrawn API key would still be accepted here.
     """
 
-    async def test(clock, table, feed, fed):
+    async def test(clock, table, feed, leader_table):
         table.put("k", "large")
         feed.take_unsent(0, 1)
         table.is_down = True
@@ -113,14 +115,14 @@
             return True
 
         feed.fetch = fetch
-        page = await fed.changes(0, wait_ms=500.0)
+        page = await leader_table.changes(0, wait_ms=500.0)
         assert [r.value for r in page.records] == ["large"]
 
     _run(test)
 
 
 def test_data_of_previous_leader_is_discarded():
-    async def test(clock, table, feed, fed):
+    async def test(clock, table, feed, leader_table):
         feed.take([_record(0)], 1)
         feed.begin()
         assert not feed.is_fresh
@@ -131,7 +133,7 @@
 
 
 def test_reads_of_a_busy_table_are_paced_without_leader():
-    async def test(clock, table, feed, fed):
+    async def test(clock, table, feed, leader_table):
         paced = feeds.LeaderTable(table, feed, clock, pause_ms=lambda: 800.0)
         for _ in range(5):
             await paced.changes(0, wait_ms=0.0)
--- a/tests/leadership/test_fleet_quotas.py
+++ b/tests/leadership/test_fleet_quotas.py
@@ -57,7 +57,7 @@
     ]
 
 
-def _most_in_a_window(world, account: str, units: float) -> float:
+def _max_units_in_window(world, account: str, units: float) -> float:
     """The most units that an account has run in any sliding window."""
     times = [r.at_ms for r in world.backends.runs if r.account == account]
     return max(
@@ -123,7 +123,7 @@
                 every_ms=every_ms,
                 units_work=work,
             )
-            used = _most_in_a_window(world, "hot", units)
+            used = _max_units_in_window(world, "hot", units)
             assert used <= _allowed(SMALL)
             assert used >= SMALL.rate_per_s * WINDOW_MS / 1_000.0 * 0.9
             refused = [a.error for a in answers if a.error is not None]
@@ -207,7 +207,7 @@
             assert errors.ErrorKind.QUEUE_FULL in kinds
             leader = world.instances[world.leader]
             await world.clock.sleep_ms(500.0)
-            left = leader.quotas._ledger.left(
+            left = leader.quotas._buckets.left(
                 "hot", SMALL, world.clock.now_ms()
             )
             assert left == pytest.approx(SMALL.burst)
@@ -230,14 +230,14 @@
             runs = 0
             while runs < 2:
                 world.backends.runs.clear()
-                before = leader.quotas._ledger.left(
+                before = leader.quotas._buckets.left(
                     "hot", SMALL, world.clock.now_ms()
                 )
                 answer = await _ask(
                     world, "hot", "/verdicts/1", "e1", work=WORK
                 )
                 runs = len(world.backends.runs)
-                after = leader.quotas._ledger.left(
+                after = leader.quotas._buckets.left(
                     "hot", SMALL, world.clock.now_ms()
                 )
                 gained = SMALL.rate_per_s * answer.took_ms / 1_000.0
@@ -298,7 +298,7 @@
             instance.fleet.link._link.close()
             instance.fleet.link._link = None
             assert instance.quotas.role is fleets.Role.ALONE
-            granted = instance.quotas._part_of("shop", SMALL).rate_per_s
+            granted = instance.quotas._local_quota("shop", SMALL).rate_per_s
             assert granted >= SMALL.rate_per_s * 0.4
 
     deployments.run(main())
@@ -413,7 +413,7 @@
                         if name != leader and instance.fleet.link._link:
                             instance.fleet.link._link.close()
             answers = await flood
-            used = _most_in_a_window(world, "hot", 5_000.0)
+            used = _max_units_in_window(world, "hot", 5_000.0)
             assert used <= _allowed(USUAL, slack=SLACK)
             assert any(a.status == 200 for a in answers)
 
--- a/tests/leadership/test_innocent_requests.py
+++ b/tests/leadership/test_innocent_requests.py
@@ -12,21 +12,21 @@
 CRASHING = b"crashes each engine that runs it"
 INNOCENT = b"runs beside it"
 NAMES = ("e1", "e2", "e3")
-ENDS = 3
+ENGINE_ENDS = 3
 PATHS = ("/once/1", "/sale/1")
 
 
 @contextlib.asynccontextmanager
 async def _deployed():
-    behind = [deployments.reader("p1")]
-    behind += [deployments.writer(f"d{n}", "abc"[n % 3]) for n in range(6)]
-    behind += [deployments.shop(f"s{n}", "abc"[n % 3]) for n in range(6)]
-    for backend in behind:
+    backends = [deployments.reader("p1")]
+    backends += [deployments.writer(f"d{n}", "abc"[n % 3]) for n in range(6)]
+    backends += [deployments.shop(f"s{n}", "abc"[n % 3]) for n in range(6)]
+    for backend in backends:
         backend.memory_tokens = 400_000
         # Long enough for the engine to end while the request runs.
         backend.work_ms = 300.0
         backend.event_ms = 60.0
-    world = deployments.Deployment(*behind)
+    world = deployments.Deployment(*backends)
     world.revive_crashed()
     world.backends.crashing.add(CRASHING)
     await world.start_in("abc", *NAMES)
@@ -48,26 +48,26 @@
     )
 
 
-async def _ended_under_it(world, path: str, end) -> None:
+async def _end_engine_during_request(world, path: str, end) -> None:
     """Sends the innocent request once and ends its engine while it runs."""
-    trying = asyncio.ensure_future(
+    request = asyncio.ensure_future(
         world.ask(path, instance="e1", body=INNOCENT)
     )
     await world.clock.sleep_ms(150.0)
     await end(world, _runs_innocent(world))
-    answer = await trying
+    answer = await request
     assert answer.error is not None
     # Wait until the engines have restarted.
     await world.clock.sleep_ms(4_000.0)
 
 
-async def _served(world, path: str) -> None:
+async def _check_served(world, path: str) -> None:
     answer = await world.ask(path, instance="e2", body=INNOCENT)
     assert answer.error is None
     assert answer.status == 200
 
 
-async def _by_the_crashing_request(world, engine) -> None:
+async def _end_by_other_request(world, engine) -> None:
     """Crashes the engine by the crashing request."""
     call = world.call("/crashing", body=CRASHING)
     history = world.instances["e3"].crashes
@@ -75,33 +75,33 @@
     history.crashed(call, engine.name, stage="run")
 
 
-async def _alone(world, engine) -> None:
+async def _end_alone(world, engine) -> None:
     world.backends.crash(engine)
 
 
-async def _with_its_domain(world, engine) -> None:
+async def _end_with_domain(world, engine) -> None:
     for backend in list(world.backends.by_name.values()):
         if backend.endpoint.domain == engine.endpoint.domain:
             world.backends.crash(backend)
 
 
-async def _cut_off(world, engine) -> None:
+async def _partition(world, engine) -> None:
     engine.is_cut = True
     world.backends.crash(engine)
 
 
 @pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize(
-    "end", [_by_the_crashing_request, _alone, _with_its_domain]
+    "end", [_end_by_other_request, _end_alone, _end_with_domain]
 )
 def test_request_is_served_after_three_unrelated_crashes(path, end):
     """Engines crash under another request, alone or with their domain."""
 
     async def main():
         async with _deployed() as world:
-            for _ in range(ENDS):
-                await _ended_under_it(world, path, end)
-            await _served(world, path)
+            for _ in range(ENGINE_ENDS):
+                await _end_engine_during_request(world, path, end)
+            await _check_served(world, path)
 
     deployments.run(main())
 
@@ -115,12 +115,12 @@
             for engine in ("x1", "x2"):
                 world.instances["e2"].crashes.crashed(call, engine, stage="run")
             await world.clock.sleep_ms(100.0)
-            trying = asyncio.ensure_future(
+            request = asyncio.ensure_future(
                 world.ask("/verdicts/1", instance="e1", body=INNOCENT)
             )
             await world.clock.sleep_ms(250.0)
             world.backends.crash(_runs_innocent(world))
-            answer = await trying
+            answer = await request
             assert answer.error is None
             assert answer.numbers == [1, 2, 3, 4, 5]
 
@@ -133,10 +133,10 @@
 
     async def main():
         async with _deployed() as world:
-            for _ in range(ENDS):
-                await _ended_under_it(world, path, _cut_off)
+            for _ in range(ENGINE_ENDS):
+                await _end_engine_during_request(world, path, _partition)
             call = world.call(path, body=INNOCENT)
             assert world.instances["e1"].crashes.count(call) == 0
-            await _served(world, path)
+            await _check_served(world, path)
 
     deployments.run(main())
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -21,17 +21,17 @@
 SETTLED_MS = 9_000.0
 
 
-def _led(*behind, names=NAMES):
+def _deployed(*behind, names=NAMES):
     return deployments.deployed(*behind, names=names, is_led=True)
 
 
-def _others(world):
+def _followers(world):
     return [i for n, i in world.instances.items() if n != world.leader]
 
 
 def test_one_instance_leads_and_others_follow():
     async def main():
-        async with _led(reader("p1"), writer("d1")) as world:
+        async with _deployed(reader("p1"), writer("d1")) as world:
             await world.clock.sleep_ms(2_000.0)
             leading = [
                 name
@@ -39,7 +39,7 @@
                 if instance.fleet.is_leading
             ]
             assert len(leading) == 1
-            assert all(i.fleet.link.is_open for i in _others(world))
+            assert all(i.fleet.link.is_open for i in _followers(world))
             assert all(
                 i.fleet.instances == len(NAMES)
                 for i in world.instances.values()
@@ -52,7 +52,7 @@
     """Reads of the store must not grow with the number of instances."""
 
     async def main():
-        async with _led(reader("p1"), writer("d1")) as world:
+        async with _deployed(reader("p1"), writer("d1")) as world:
             await world.clock.sleep_ms(2_000.0)
             before = world.endpoints.reads + world.configurations.reads
             await world.clock.sleep_ms(10_000.0)
@@ -73,7 +73,7 @@
     """A new configuration is in force everywhere within a second."""
 
     async def main():
-        async with _led(reader("p1"), writer("d1")) as world:
+        async with _deployed(reader("p1"), writer("d1")) as world:
             await world.clock.sleep_ms(2_000.0)
             world.configurations.put("config", deployments.configuration(9))
             await world.clock.sleep_ms(1_000.0)
@@ -87,10 +87,12 @@
 
 def test_followers_send_no_work_to_leaving_engine():
     async def main():
-        gone = writer("d1")
-        async with _led(reader("p1"), gone, writer("d2")) as world:
+        leaving_engine = writer("d1")
+        async with _deployed(
+            reader("p1"), leaving_engine, writer("d2")
+        ) as world:
             await world.clock.sleep_ms(2_000.0)
-            world.register(gone, drained=True)
+            world.register(leaving_engine, drained=True)
             await world.clock.sleep_ms(900.0)
             assert not any(
                 i.registry.takes_work("d1") for i in world.instances.values()
@@ -106,14 +108,16 @@
     """
 
     async def main():
-        gone = reader("p1")
-        async with _led(gone, reader("p2"), writer("d1")) as world:
+        leaving_engine = reader("p1")
+        async with _deployed(
+            leaving_engine, reader("p2"), writer("d1")
+        ) as world:
             await world.clock.sleep_ms(2_000.0)
             world.instances[world.leader].registry.take = lambda records: None
             world.instances[world.leader].registry.take_all = (
                 lambda records, end: None
             )
-            world.register(gone, drained=True)
+            world.register(leaving_engine, drained=True)
             await world.clock.sleep_ms(900.0)
             (other, *_) = sorted(set(world.instances) - {world.leader})
             for _ in range(6):
@@ -132,7 +136,7 @@
     """
 
     async def main():
-        async with _led(reader("p1"), writer("d1")) as world:
+        async with _deployed(reader("p1"), writer("d1")) as world:
             await world.clock.sleep_ms(2_000.0)
             old = world.leader
             await world.instances.pop(old).stop()
@@ -148,7 +152,7 @@
             )
             await world.clock.sleep_ms(SETTLED_MS)
             assert world.leader in others
-            assert all(i.fleet.link.is_open for i in _others(world))
+            assert all(i.fleet.link.is_open for i in _followers(world))
 
     deployments.run(main())
 
@@ -157,7 +161,7 @@
     """A restarted leader must not wait for its previous lease to expire."""
 
     async def main():
-        async with _led(reader("p1"), writer("d1")) as world:
+        async with _deployed(reader("p1"), writer("d1")) as world:
             await world.clock.sleep_ms(2_000.0)
             old = world.leader
             killed = world.instances.pop(old)
@@ -210,9 +214,9 @@
             lambda loop, context: reported.append(context["message"])
         )
         engines = [reader("p1"), writer("d1", memory_tokens=0)]
-        async with _led(*engines) as world:
+        async with _deployed(*engines) as world:
             await world.clock.sleep_ms(2_000.0)
-            follower = _others(world)[0]
+            follower = _followers(world)[0]
             name = next(n for n, i in world.instances.items() if i is follower)
             link = follower.fleet.link._link
             ask = link.ask
@@ -235,7 +239,7 @@
     """Followers must not rely on a leader that can't read the store."""
 
     async def main():
-        async with _led(reader("p1"), writer("d1")) as world:
+        async with _deployed(reader("p1"), writer("d1")) as world:
             await world.clock.sleep_ms(2_000.0)
             old = world.leader
             world.leaders.cut_off.add(f"{old}:1")
@@ -253,7 +257,7 @@
     """Heartbeats continue while a lease renewal hangs."""
 
     async def main():
-        async with _led(reader("p1"), writer("d1")) as world:
+        async with _deployed(reader("p1"), writer("d1")) as world:
             await world.clock.sleep_ms(2_000.0)
             group = world.instances[world.leader]._leadership._group
             join = group.join
@@ -263,10 +267,10 @@
                 await world.clock.sleep_ms(1_600.0)
                 raise log.LogUnavailableError("no answer")
 
-            followed = [i.fleet.link._link for i in _others(world)]
+            followed = [i.fleet.link._link for i in _followers(world)]
             group.join = hang
             await world.clock.sleep_ms(6_000.0)
-            assert [i.fleet.link._link for i in _others(world)] == followed
+            assert [i.fleet.link._link for i in _followers(world)] == followed
 
     deployments.run(main())
 
@@ -279,7 +283,7 @@
 
     async def main():
         names = tuple(f"e{i}" for i in range(30))
-        async with _led(reader("p1"), writer("d1"), names=names) as world:
+        async with _deployed(reader("p1"), writer("d1"), names=names) as world:
             await world.clock.sleep_ms(6_000.0)
             shares = [i._retry_share() for i in world.instances.values()]
             assert sum(shares) == pytest.approx(1.0)
@@ -294,7 +298,7 @@
 
     async def main():
         small = writer("d1", memory_tokens=16_000, event_ms=200.0)
-        async with _led(reader("p1"), small) as world:
+        async with _deployed(reader("p1"), small) as world:
             await world.clock.sleep_ms(2_000.0)
             (other, *_) = sorted(set(world.instances) - {world.leader})
             first = asyncio.ensure_future(world.ask(route, instance=other))
@@ -315,17 +319,19 @@
 
     async def main():
         full = writer("d1", memory_tokens=100)
-        async with _led(reader("p1"), full) as world:
+        async with _deployed(reader("p1"), full) as world:
             await world.clock.sleep_ms(2_000.0)
-            told = []
+            retry_times_ms = []
             for name in NAMES:
                 answer = await world.ask(
                     "/verdicts/1", instance=name, patience_ms=14_000.0
                 )
                 assert answer.error.kind is errors.ErrorKind.QUEUE_FULL
                 now_ms = world.clock.now_ms()
-                told.append(round(now_ms + answer.error.retry_after_ms))
-            assert len(set(told)) == len(told)
+                retry_times_ms.append(
+                    round(now_ms + answer.error.retry_after_ms)
+                )
+            assert len(set(retry_times_ms)) == len(retry_times_ms)
 
     deployments.run(main())
 
@@ -334,9 +340,9 @@
     """Followers don't read a configuration that the leader sends."""
 
     async def main():
-        async with _led(reader("p1"), writer("d1")) as world:
+        async with _deployed(reader("p1"), writer("d1")) as world:
             await world.clock.sleep_ms(2_000.0)
-            followers = _others(world)
+            followers = _followers(world)
             before = world.configurations.reads
             world.configurations.put("config", deployments.configuration(9))
             await world.clock.sleep_ms(600.0)
@@ -350,7 +356,7 @@
 
 def test_large_configuration_is_in_force_everywhere():
     async def main():
-        async with _led(reader("p1"), writer("d1")) as world:
+        async with _deployed(reader("p1"), writer("d1")) as world:
             await world.clock.sleep_ms(2_000.0)
             many = [
                 dataclasses.replace(
@@ -376,7 +382,7 @@
 
     async def main():
         many = [deployments.shop(f"s{i}") for i in range(60)]
-        async with _led(reader("p1"), writer("d1"), *many) as world:
+        async with _deployed(reader("p1"), writer("d1"), *many) as world:
             await world.clock.sleep_ms(2_000.0)
             leader = world.leader
             sent = world.network.bytes_sent[leader]
--- a/tests/leadership/test_leaving_endpoints.py
+++ b/tests/leadership/test_leaving_endpoints.py
@@ -21,16 +21,16 @@
 
 NAMES = ("e1", "e2", "e3", "e4")
 # Time in ms after which an informed instance must send no more requests.
-HEEDED_MS = 2_000.0
+RESPECTED_MS = 2_000.0
 # Time in ms until all instances know of the notice.
-SPREAD_MS = 100.0
+PROPAGATION_MS = 100.0
 
 
-def _deployed(*behind, names=NAMES):
-    return deployments.deployed(*behind, names=names, is_led=True)
+def _deployed(*backends, names=NAMES):
+    return deployments.deployed(*backends, names=names, is_led=True)
 
 
-def _since(backend, at_ms: float) -> list:
+def _calls_after(backend, at_ms: float) -> list:
     return [asked for asked in backend.asked if asked.at_ms > at_ms]
 
 
@@ -44,11 +44,13 @@
     async def main():
         async with _deployed(*deployments.of_both_kinds()) as world:
             await world.clock.sleep_ms(2_000.0)
-            gone = world.backends.by_name[leaving]
-            gone.is_leaving = True
+            leaving_backend = world.backends.by_name[leaving]
+            leaving_backend.is_leaving = True
             answers = await world.flood(path, for_ms=6_000.0)
-            heard_ms = min(gone.told_ms.values())
-            assert _since(gone, heard_ms + SPREAD_MS) == []
+            heard_ms = min(leaving_backend.told_ms.values())
+            assert (
+                _calls_after(leaving_backend, heard_ms + PROPAGATION_MS) == []
+            )
             assert {a.status for a in answers} == {200}
 
     deployments.run(main())
@@ -56,11 +58,16 @@
 
 def test_single_instance_respects_notice():
     async def main():
-        gone = shop("s1")
-        async with deployments.deployed(gone, shop("s2")) as world:
-            gone.is_leaving = True
+        leaving_backend = shop("s1")
+        async with deployments.deployed(leaving_backend, shop("s2")) as world:
+            leaving_backend.is_leaving = True
             await world.flood("/sale/1", for_ms=4_000.0)
-            assert _since(gone, min(gone.told_ms.values())) == []
+            assert (
+                _calls_after(
+                    leaving_backend, min(leaving_backend.told_ms.values())
+                )
+                == []
+            )
 
     deployments.run(main())
 
@@ -69,29 +76,29 @@
     """The notice arrives after placement, during prefill elsewhere."""
 
     async def main():
-        gone = writer("d1")
+        leaving_backend = writer("d1")
         slow = reader("p1", prefill_token_ms=0.1)
-        async with _deployed(slow, gone, names=("e1",)) as world:
+        async with _deployed(slow, leaving_backend, names=("e1",)) as world:
             await world.clock.sleep_ms(2_000.0)
             asked = asyncio.ensure_future(world.ask("/verdicts/1"))
             await world.clock.sleep_ms(100.0)
-            gone.is_leaving = True
+            leaving_backend.is_leaving = True
             await world.ask("/verdicts/2", instance="e1")
             await asked
-            heard_ms = min(gone.told_ms.values())
-            assert _since(gone, heard_ms) == []
+            heard_ms = min(leaving_backend.told_ms.values())
+            assert _calls_after(leaving_backend, heard_ms) == []
 
     deployments.run(main())
 
 
 def test_callers_are_refused_at_once_when_last_endpoint_leaves():
     async def main():
-        gone = shop("s1")
-        async with _deployed(gone) as world:
+        leaving_backend = shop("s1")
+        async with _deployed(leaving_backend) as world:
             await world.clock.sleep_ms(2_000.0)
-            gone.is_leaving = True
+            leaving_backend.is_leaving = True
             await world.ask("/sale/1")
-            await world.clock.sleep_ms(SPREAD_MS)
+            await world.clock.sleep_ms(PROPAGATION_MS)
             answers = await world.flood("/sale/1", for_ms=1_000.0)
             for answer in answers:
                 assert answer.error is not None
@@ -106,16 +113,18 @@
     """A heartbeat written before the notice arrives after it."""
 
     async def main():
-        gone = shop("s1")
-        async with _deployed(gone, shop("s2")) as world:
+        leaving_backend = shop("s1")
+        async with _deployed(leaving_backend, shop("s2")) as world:
             await world.clock.sleep_ms(2_000.0)
-            gone.is_leaving = True
+            leaving_backend.is_leaving = True
             await world.flood("/sale/1", for_ms=500.0)
-            world.register(gone, slots=7)
+            world.register(leaving_backend, slots=7)
             await world.clock.sleep_ms(1_000.0)
             await world.flood("/sale/1", for_ms=3_000.0)
-            heard_ms = min(gone.told_ms.values())
-            assert _since(gone, heard_ms + SPREAD_MS) == []
+            heard_ms = min(leaving_backend.told_ms.values())
+            assert (
+                _calls_after(leaving_backend, heard_ms + PROPAGATION_MS) == []
+            )
 
     deployments.run(main())
 
@@ -124,16 +133,18 @@
     """The record that a new process reads still says ready."""
 
     async def main():
-        gone = shop("s1")
-        async with _deployed(gone, shop("s2")) as world:
+        leaving_backend = shop("s1")
+        async with _deployed(leaving_backend, shop("s2")) as world:
             await world.clock.sleep_ms(2_000.0)
-            gone.is_leaving = True
+            leaving_backend.is_leaving = True
             await world.flood("/sale/1", for_ms=500.0)
             await world.start("e5", declare=False, is_led=True)
             await world.clock.sleep_ms(2_000.0)
             await world.flood("/sale/1", for_ms=3_000.0)
-            heard_ms = min(gone.told_ms.values())
-            assert _since(gone, heard_ms + SPREAD_MS) == []
+            heard_ms = min(leaving_backend.told_ms.values())
+            assert (
+                _calls_after(leaving_backend, heard_ms + PROPAGATION_MS) == []
+            )
 
     deployments.run(main())
 
@@ -148,27 +159,27 @@
 
     async def main():
         rng = random.Random(seed)
-        behind = [shop(f"s{n}", "abcd"[n % 4]) for n in range(6)]
-        world = deployments.Deployment(*behind)
+        backends = [shop(f"s{n}", "abcd"[n % 4]) for n in range(6)]
+        world = deployments.Deployment(*backends)
         await world.start_in("abcd", *NAMES)
         await world.clock.sleep_ms(2_000.0)
         flood = asyncio.ensure_future(world.flood("/sale/1", for_ms=30_000.0))
-        for leaving in behind[:4]:
+        for leaving in backends[:4]:
             await world.clock.sleep_ms(rng.uniform(1_000.0, 4_000.0))
             leaving.is_leaving = True
             await world.clock.sleep_ms(rng.uniform(100.0, 2_000.0))
-            await _trouble(world, rng, behind[:4])
+            await _disturb(world, rng, backends[:4])
         await flood
-        for backend in behind[:4]:
+        for backend in backends[:4]:
             for asked in backend.asked:
                 told_ms = backend.told_ms.get(asked.instance, float("inf"))
-                assert asked.at_ms <= told_ms + HEEDED_MS
+                assert asked.at_ms <= told_ms + RESPECTED_MS
         await world.stop()
 
     deployments.run(main())
 
 
-async def _trouble(world, rng: random.Random, behind) -> None:
+async def _disturb(world, rng: random.Random, backends) -> None:
     name = rng.choice(sorted(world.instances))
     match rng.choice(["kill", "cut", "unlink", "entry", "heal"]):
         case "kill":
@@ -180,7 +191,7 @@
             if link is not None:
                 link.close()
         case "entry":
-            backend = rng.choice(behind)
+            backend = rng.choice(backends)
             # The record expires and is registered again unchanged.
             world.endpoints.put(backend.name, None)
             await world.clock.sleep_ms(rng.uniform(0.0, 1_500.0))
@@ -193,10 +204,10 @@
     """A notice applies to one start of an endpoint, not to the next."""
 
     async def main():
-        gone = shop("s1")
-        async with _deployed(gone, shop("s2")) as world:
+        leaving_backend = shop("s1")
+        async with _deployed(leaving_backend, shop("s2")) as world:
             await world.clock.sleep_ms(2_000.0)
-            gone.is_leaving = True
+            leaving_backend.is_leaving = True
             await world.flood("/sale/1", for_ms=500.0)
             next_start = shop("s1-next")
             next_start.endpoint = dataclasses.replace(
--- a/tests/leadership/test_orders.py
+++ b/tests/leadership/test_orders.py
@@ -17,10 +17,10 @@
 
 def test_only_the_leader_gives_orders():
     async def main():
-        behind = [writer(f"d{i}") for i in range(4)]
+        backends = [writer(f"d{i}") for i in range(4)]
         names = ("e1", "e2", "e3", "e4")
         async with deployments.deployed(
-            *behind, names=names, is_led=True
+            *backends, names=names, is_led=True
         ) as world:
             await world.clock.sleep_ms(8_000.0)
             orders = [
@@ -32,7 +32,7 @@
     deployments.run(main())
 
 
-def _crowded():
+def _engines():
     readers = [reader(f"p{i}") for i in range(3)]
     return [*readers, *(writer(f"d{i}") for i in range(3))]
 
@@ -54,7 +54,7 @@
     """
 
     async def main():
-        world = deployments.Deployment(*_crowded())
+        world = deployments.Deployment(*_engines())
         await world.start("e1", is_led=True)
         await world.clock.sleep_ms(1_000.0)
         await world.start("e2", "e3", declare=False, is_led=True)
@@ -79,7 +79,7 @@
     """
 
     async def main():
-        world = deployments.Deployment(*_crowded())
+        world = deployments.Deployment(*_engines())
         await world.start("e1", domain="a", is_led=True)
         world.network.cut("a", "b")
         await world.start("e2", domain="b", declare=False, is_led=True)
@@ -97,7 +97,7 @@
 
 def test_single_instance_uses_its_own_observations():
     async def main():
-        async with deployments.deployed(*_crowded()) as world:
+        async with deployments.deployed(*_engines()) as world:
             _observe(world.instances["e1"], 12)
             await world.clock.sleep_ms(8_000.0)
             assert _orders(world)
