--- a/src/jujubewharf/routing/baselines.py
+++ b/src/jujubewharf/routing/baselines.py
@@ -52,12 +52,12 @@
 
     def _choose_decode(
         self, views: list[fleets.EngineView]
-    ) -> fleets.EngineView | jobs.Later | jobs.Refusal:
+    ) -> fleets.EngineView | jobs.RetryLater | jobs.Refusal:
         if not views:
             return jobs.Refusal(errors.ErrorKind.NO_FITTING_ENGINE)
         free = [view for view in views if used_slots(view) < view.slots]
         if not free:
-            return jobs.Later(_RETRY_MS)
+            return jobs.RetryLater(_RETRY_MS)
         return self._pick_decode(free)
 
 
--- a/src/jujubewharf/routing/jobs.py
+++ b/src/jujubewharf/routing/jobs.py
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Later:
+class RetryLater:
     """No engine is available now; decide again after a delay.
 
     Attributes:
@@ -89,4 +89,4 @@
     retry_after_ms: float = 1_000.0
 
 
-Decision = Choice | Later | Refusal
+Decision = Choice | RetryLater | Refusal
--- a/src/jujubewharf/routing/placer.py
+++ b/src/jujubewharf/routing/placer.py
@@ -86,9 +86,9 @@
             case jobs.Refusal(kind, retry_after_ms):
                 counters.refused(kind)
                 raise errors.WharfError(kind, retry_after_ms=retry_after_ms)
-            case jobs.Later():
+            case jobs.RetryLater():
                 raise AssertionError(
-                    "a policy that waits must not return Later"
+                    "a policy that waits must not return RetryLater"
                 )
 
     async def _poll_policy(
@@ -99,7 +99,7 @@
             match decide(job, self._fleet):
                 case jobs.Choice() as choice:
                     return choice
-                case jobs.Later(after_ms):
+                case jobs.RetryLater(after_ms):
                     await self._clock.sleep_ms(after_ms)
                 case jobs.Refusal(kind, retry_after_ms):
                     counters.refused(kind)
--- a/src/jujubewharf/routing/policy.py
+++ b/src/jujubewharf/routing/policy.py
@@ -15,9 +15,9 @@
 class InstantPolicy(Protocol):
     """Decides without waiting.
 
-    ``place`` is called for a new request, again after ``Later``, and again when
-    the chosen engine refused. ``place_decode`` is called only if the choice
-    left the decode engine open.
+    ``place`` is called for a new request, again after ``RetryLater``, and again
+    when the chosen engine refused. ``place_decode`` is called only if the
+    choice left the decode engine open.
     """
 
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
@@ -59,11 +59,11 @@
         ...
 
     async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
-        """Like ``InstantPolicy.place``, but never returns ``Later``."""
+        """Like ``InstantPolicy.place``; never ``RetryLater``."""
         ...
 
     async def wait_for_decode(self, job: jobs.Job) -> jobs.Decision:
-        """Like ``InstantPolicy.place_decode``, but never returns ``Later``."""
+        """Like ``InstantPolicy.place_decode``; never ``RetryLater``."""
         ...
 
     def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
--- a/tests/requests/deployments.py
+++ b/tests/requests/deployments.py
@@ -46,7 +46,7 @@
     def place_decode(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         decode = self._first(self.decoders, job, fleet)
         if decode is None:
-            return jobs.Later(5.0)
+            return jobs.RetryLater(5.0)
         return jobs.Choice(decode)
 
     def _first(self, names, job, fleet):
