--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -178,7 +178,7 @@
         if isinstance(policy, policies.WaitingPolicy):
             self.fleet.polls = self.keeping.is_coordinator
             policy.join(
-                policies.Surroundings(
+                policies.PolicyContext(
                     self.fleet, self.peers, self.membership, settings.domain
                 )
             )
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -101,7 +101,7 @@
             truth.reading = reading.Reading(clock)
         self._reading = truth.reading
 
-    def join(self, surroundings: policies.Surroundings) -> None:
+    def join(self, surroundings: policies.PolicyContext) -> None:
         """Attaches to an instance; see ``policy.WaitingPolicy``."""
         self._context = surroundings
 
--- a/src/jujubewharf/routing/policy.py
+++ b/src/jujubewharf/routing/policy.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class PolicyContext:
     """Dependencies of a policy that communicates with other instances.
 
     Attributes:
@@ -54,7 +54,7 @@
     cancelled.
     """
 
-    def join(self, surroundings: Surroundings) -> None:
+    def join(self, surroundings: PolicyContext) -> None:
         """Attaches to an instance; called again after the instance restarts."""
         ...
 
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -58,7 +58,7 @@
         self._reading = reading.Reading(clock)
         self._held_since_ms: dict[int, float] = {}
 
-    def join(self, surroundings: policies.Surroundings) -> None:
+    def join(self, surroundings: policies.PolicyContext) -> None:
         """Attaches to an instance; see ``policy.WaitingPolicy``."""
         self._context = surroundings
         self._slots = slots.Slots(surroundings, self._clock)
--- a/src/jujubewharf/routing/slots.py
+++ b/src/jujubewharf/routing/slots.py
@@ -40,7 +40,7 @@
     """
 
     def __init__(
-        self, surroundings: policies.Surroundings, clock: clocks.Clock
+        self, surroundings: policies.PolicyContext, clock: clocks.Clock
     ) -> None:
         self._fleet = surroundings.fleet
         self._peers = surroundings.peers
