--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -101,9 +101,9 @@
             truth.reading = reading.Reading(clock)
         self._reading = truth.reading
 
-    def join(self, surroundings: policies.PolicyContext) -> None:
+    def join(self, context: policies.PolicyContext) -> None:
         """Attaches to an instance; see ``policy.WaitingPolicy``."""
-        self._context = surroundings
+        self._context = context
 
     async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
         """Waits for a slot that will be free when prefill completes."""
--- a/src/jujubewharf/routing/policy.py
+++ b/src/jujubewharf/routing/policy.py
@@ -54,7 +54,7 @@
     cancelled.
     """
 
-    def join(self, surroundings: PolicyContext) -> None:
+    def join(self, context: PolicyContext) -> None:
         """Attaches to an instance; called again after the instance restarts."""
         ...
 
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -58,10 +58,10 @@
         self._reading = reading.Reading(clock)
         self._held_since_ms: dict[int, float] = {}
 
-    def join(self, surroundings: policies.PolicyContext) -> None:
+    def join(self, context: policies.PolicyContext) -> None:
         """Attaches to an instance; see ``policy.WaitingPolicy``."""
-        self._context = surroundings
-        self._slots = slots.Slots(surroundings, self._clock)
+        self._context = context
+        self._slots = slots.Slots(context, self._clock)
         self._reading = reading.Reading(self._clock)
         self._queued.clear()
         self._held_since_ms.clear()
--- a/src/jujubewharf/routing/slots.py
+++ b/src/jujubewharf/routing/slots.py
@@ -35,22 +35,22 @@
     """Slots and promises of this instance's requests.
 
     Args:
-        surroundings: Engine views and connections to other instances.
+        context: Engine views and connections to other instances.
         clock: Time source.
     """
 
     def __init__(
-        self, surroundings: policies.PolicyContext, clock: clocks.Clock
+        self, context: policies.PolicyContext, clock: clocks.Clock
     ) -> None:
-        self._fleet = surroundings.fleet
-        self._peers = surroundings.peers
-        self._members = surroundings.members
+        self._fleet = context.fleet
+        self._peers = context.peers
+        self._members = context.members
         self._clock = clock
         self._grants: dict[int, dict[str, _Grant]] = {}
         self._prefills: dict[int, tuple[str, str]] = {}
         self._unresponsive_until_ms: dict[str, float] = {}
         self._known_coordinators: dict[str, str | None] = {}
-        self._coordinators = coordinators.CoordinatorCache(surroundings.members)
+        self._coordinators = coordinators.CoordinatorCache(context.members)
         self._peers.handle(slot_messages.LoadDigest, self._on_digest)
         self._members.listen(self._on_members)
 
