--- a/src/jujubewharf/routing/placer.py
+++ b/src/jujubewharf/routing/placer.py
@@ -92,7 +92,7 @@
                 )
 
     async def _poll_policy(
-        self, policy: policies.InstantPolicy, job: jobs.Job, is_prefilled: bool
+        self, policy: policies.SyncPolicy, job: jobs.Job, is_prefilled: bool
     ) -> jobs.Choice:
         decide = policy.place_decode if is_prefilled else policy.place
         while True:
--- a/src/jujubewharf/routing/policy.py
+++ b/src/jujubewharf/routing/policy.py
@@ -12,7 +12,7 @@
 from jujubewharf.routing import jobs
 
 
-class InstantPolicy(Protocol):
+class SyncPolicy(Protocol):
     """Decides without waiting.
 
     ``place`` is called for a new request, again after ``RetryLater``, and again
@@ -59,11 +59,11 @@
         ...
 
     async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
-        """Like ``InstantPolicy.place``; never ``RetryLater``."""
+        """Like ``SyncPolicy.place``; never ``RetryLater``."""
         ...
 
     async def wait_for_decode(self, job: jobs.Job) -> jobs.Decision:
-        """Like ``InstantPolicy.place_decode``; never ``RetryLater``."""
+        """Like ``SyncPolicy.place_decode``; never ``RetryLater``."""
         ...
 
     def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
@@ -71,4 +71,4 @@
         ...
 
 
-Policy = InstantPolicy | WaitingPolicy
+Policy = SyncPolicy | WaitingPolicy
