--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -175,7 +175,7 @@
             seed = zlib.crc32(settings.instance.encode())
             rng = random.Random(seed)
             policy = product.Product(clock, rng)
-        if isinstance(policy, policies.WaitingPolicy):
+        if isinstance(policy, policies.AsyncPolicy):
             self.fleet.polls = self.keeping.is_coordinator
             policy.join(
                 policies.PolicyContext(
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -87,7 +87,7 @@
 
 
 class Oracle:
-    """Implements ``policy.WaitingPolicy`` from the true engine state.
+    """Implements ``policy.AsyncPolicy`` from the true engine state.
 
     Args:
         truth: State shared by all oracle policies of the run.
@@ -102,7 +102,7 @@
         self._reading = truth.reading
 
     def join(self, context: policies.PolicyContext) -> None:
-        """Attaches to an instance; see ``policy.WaitingPolicy``."""
+        """Attaches to an instance; see ``policy.AsyncPolicy``."""
         self._context = context
 
     async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
@@ -127,7 +127,7 @@
         return await self._claim(job, eligibility.kv_importers)
 
     def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
-        """Releases the request's resources; see ``policy.WaitingPolicy``."""
+        """Releases the request's resources; see ``policy.AsyncPolicy``."""
         self._reading.dropped(job.number)
         holder = self._holder(job)
         self._truth.pool(job).ledger.end(holder, self._clock.now_ms())
--- a/src/jujubewharf/routing/placer.py
+++ b/src/jujubewharf/routing/placer.py
@@ -63,18 +63,18 @@
     ) -> AsyncIterator[jobs.Choice]:
         policy = self._policy
         try:
-            if isinstance(policy, policies.WaitingPolicy):
+            if isinstance(policy, policies.AsyncPolicy):
                 choice = await self._await_policy(policy, job, is_prefilled)
             else:
                 choice = await self._poll_policy(policy, job, is_prefilled)
             with self._track_load(job, choice):
                 yield choice
         finally:
-            if isinstance(policy, policies.WaitingPolicy):
+            if isinstance(policy, policies.AsyncPolicy):
                 policy.ended(job, is_prefilled=is_prefilled)
 
     async def _await_policy(
-        self, policy: policies.WaitingPolicy, job: jobs.Job, is_prefilled: bool
+        self, policy: policies.AsyncPolicy, job: jobs.Job, is_prefilled: bool
     ) -> jobs.Choice:
         if is_prefilled:
             decision = await policy.wait_for_decode(job)
--- a/src/jujubewharf/routing/policy.py
+++ b/src/jujubewharf/routing/policy.py
@@ -47,7 +47,7 @@
 
 
 @runtime_checkable
-class WaitingPolicy(Protocol):
+class AsyncPolicy(Protocol):
     """Decides asynchronously, after querying other instances.
 
     Each placement is ended with ``ended``, also when the wait for it was
@@ -71,4 +71,4 @@
         ...
 
 
-Policy = SyncPolicy | WaitingPolicy
+Policy = SyncPolicy | AsyncPolicy
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -43,7 +43,7 @@
 
 
 class Product:
-    """Implements ``policy.WaitingPolicy``.
+    """Implements ``policy.AsyncPolicy``.
 
     Args:
         clock: Time source.
@@ -59,7 +59,7 @@
         self._held_since_ms: dict[int, float] = {}
 
     def join(self, context: policies.PolicyContext) -> None:
-        """Attaches to an instance; see ``policy.WaitingPolicy``."""
+        """Attaches to an instance; see ``policy.AsyncPolicy``."""
         self._context = context
         self._slots = slots.Slots(context, self._clock)
         self._reading = reading.Reading(self._clock)
@@ -133,7 +133,7 @@
             await asyncio.gather(*requests, return_exceptions=True)
 
     def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
-        """Releases the request's resources; see ``policy.WaitingPolicy``."""
+        """Releases the request's resources; see ``policy.AsyncPolicy``."""
         self._reading.dropped(job.number)
         self._slots.end_read(job.number)
         self._slots.end(job.number)
