--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -100,7 +100,7 @@
     peers = cast(Any, _Alone())
     slot_coordinator.SlotCoordinator(fleet, peers, peers, clock)
     policy = product.Product(clock, random.Random(1))
-    policy.join(policies.PolicyContext(fleet, peers, peers, "a"))
+    policy.attach(policies.PolicyContext(fleet, peers, peers, "a"))
     began_s = time.process_time()
     for _ in range(_DECISIONS):
         now_ms = clock.now_ms()
--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -177,7 +177,7 @@
             policy = product.Product(clock, rng)
         if isinstance(policy, policies.AsyncPolicy):
             self.fleet.polls = self.keeping.is_coordinator
-            policy.join(
+            policy.attach(
                 policies.PolicyContext(
                     self.fleet, self.peers, self.membership, settings.domain
                 )
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -101,7 +101,7 @@
             truth.reading = reading.Reading(clock)
         self._reading = truth.reading
 
-    def join(self, context: policies.PolicyContext) -> None:
+    def attach(self, context: policies.PolicyContext) -> None:
         """Attaches to an instance; see ``policy.AsyncPolicy``."""
         self._context = context
 
--- a/src/jujubewharf/routing/policy.py
+++ b/src/jujubewharf/routing/policy.py
@@ -54,7 +54,7 @@
     cancelled.
     """
 
-    def join(self, context: PolicyContext) -> None:
+    def attach(self, context: PolicyContext) -> None:
         """Attaches to an instance; called again after the instance restarts."""
         ...
 
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -58,7 +58,7 @@
         self._reading = reading.Reading(clock)
         self._held_since_ms: dict[int, float] = {}
 
-    def join(self, context: policies.PolicyContext) -> None:
+    def attach(self, context: policies.PolicyContext) -> None:
         """Attaches to an instance; see ``policy.AsyncPolicy``."""
         self._context = context
         self._slots = slots.Slots(context, self._clock)
