--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -114,7 +114,7 @@
             now_ms + 3e4,
             now_ms + 6e4,
         )
-        assert isinstance(await policy.wait_for_place(job), jobs.Choice)
+        assert isinstance(await policy.wait_for_placement(job), jobs.Choice)
         assert isinstance(await policy.wait_for_decode(job), jobs.Choice)
         policy.ended(job, is_prefilled=True)
         await asyncio.sleep(0)
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -105,7 +105,7 @@
         """Attaches to an instance; see ``policy.AsyncPolicy``."""
         self._context = context
 
-    async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
+    async def wait_for_placement(self, job: jobs.Job) -> jobs.Decision:
         """Waits for a slot that will be free when prefill completes."""
         views = self._usable(job)
         prefill_views = eligibility.kv_exporters(views)
--- a/src/jujubewharf/routing/placer.py
+++ b/src/jujubewharf/routing/placer.py
@@ -79,7 +79,7 @@
         if is_prefilled:
             decision = await policy.wait_for_decode(job)
         else:
-            decision = await policy.wait_for_place(job)
+            decision = await policy.wait_for_placement(job)
         match decision:
             case jobs.Choice() as choice:
                 return choice
--- a/src/jujubewharf/routing/policy.py
+++ b/src/jujubewharf/routing/policy.py
@@ -58,7 +58,7 @@
         """Attaches to an instance; called again after the instance restarts."""
         ...
 
-    async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
+    async def wait_for_placement(self, job: jobs.Job) -> jobs.Decision:
         """Like ``SyncPolicy.place``; never ``RetryLater``."""
         ...
 
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -66,7 +66,7 @@
         self._queued.clear()
         self._held_since_ms.clear()
 
-    async def wait_for_place(self, job: jobs.Job) -> jobs.Decision:
+    async def wait_for_placement(self, job: jobs.Job) -> jobs.Decision:
         """Waits for a slot promise, or rejects the request."""
         service = job.service.name
         if self._queued[service] >= job.service.max_queued:
