--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -116,7 +116,7 @@
         )
         assert isinstance(await policy.wait_for_placement(job), jobs.Choice)
         assert isinstance(await policy.wait_for_decode(job), jobs.Choice)
-        policy.ended(job, is_prefilled=True)
+        policy.release(job, is_prefilled=True)
         await asyncio.sleep(0)
     return (time.process_time() - began_s) / _DECISIONS * _US_PER_S
 
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -126,7 +126,7 @@
         await self._wait(job, 0.0, -math.inf, is_ready=True)
         return await self._claim(job, eligibility.kv_importers)
 
-    def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
+    def release(self, job: jobs.Job, *, is_prefilled: bool) -> None:
         """Releases the request's resources; see ``policy.AsyncPolicy``."""
         self._reading.dropped(job.number)
         holder = self._holder(job)
--- a/src/jujubewharf/routing/placer.py
+++ b/src/jujubewharf/routing/placer.py
@@ -71,7 +71,7 @@
                 yield choice
         finally:
             if isinstance(policy, policies.AsyncPolicy):
-                policy.ended(job, is_prefilled=is_prefilled)
+                policy.release(job, is_prefilled=is_prefilled)
 
     async def _await_policy(
         self, policy: policies.AsyncPolicy, job: jobs.Job, is_prefilled: bool
--- a/src/jujubewharf/routing/policy.py
+++ b/src/jujubewharf/routing/policy.py
@@ -50,7 +50,7 @@
 class AsyncPolicy(Protocol):
     """Decides asynchronously, after querying other instances.
 
-    Each placement is ended with ``ended``, also when the wait for it was
+    Each placement is ended with ``release``, also when the wait for it was
     cancelled.
     """
 
@@ -66,7 +66,7 @@
         """Like ``SyncPolicy.place_decode``; never ``RetryLater``."""
         ...
 
-    def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
+    def release(self, job: jobs.Job, *, is_prefilled: bool) -> None:
         """Releases everything that was granted to a request."""
         ...
 
--- a/src/jujubewharf/routing/product.py
+++ b/src/jujubewharf/routing/product.py
@@ -132,7 +132,7 @@
                 ask.cancel()
             await asyncio.gather(*requests, return_exceptions=True)
 
-    def ended(self, job: jobs.Job, *, is_prefilled: bool) -> None:
+    def release(self, job: jobs.Job, *, is_prefilled: bool) -> None:
         """Releases the request's resources; see ``policy.AsyncPolicy``."""
         self._reading.dropped(job.number)
         self._slots.end_read(job.number)
