--- a/src/jujubewharf/routing/baselines.py
+++ b/src/jujubewharf/routing/baselines.py
@@ -102,7 +102,7 @@
         )
 
 
-class PrefillThenLook(LeastLoad):
+class PrefillFirst(LeastLoad):
     """Prefills immediately and chooses the decode engine afterwards."""
 
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
--- a/src/jujubewharf/routing/catalog.py
+++ b/src/jujubewharf/routing/catalog.py
@@ -49,7 +49,7 @@
         case "least_load":
             return baselines.LeastLoad()
         case "prefill_then_look":
-            return baselines.PrefillThenLook()
+            return baselines.PrefillFirst()
         case "oracle":
             if truth is None:
                 raise ValueError("the oracle policy requires truth")
