--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -24,10 +24,10 @@
 from jujubewharf.engines import client
 from jujubewharf.membership import view as membership
 from jujubewharf.platform import log
+from jujubewharf.routing import default_policy
 from jujubewharf.routing import fleet as fleets
 from jujubewharf.routing import jobs
 from jujubewharf.routing import policy as policies
-from jujubewharf.routing import product
 from jujubewharf.routing import slot_coordinator
 
 _ENGINES_IN_VIEW = (10, 100, 400)
@@ -99,7 +99,7 @@
     fleet = _fleet(count, clock)
     peers = cast(Any, _Alone())
     slot_coordinator.SlotCoordinator(fleet, peers, peers, clock)
-    policy = product.Product(clock, random.Random(1))
+    policy = default_policy.Product(clock, random.Random(1))
     policy.attach(policies.PolicyContext(fleet, peers, peers, "a"))
     began_s = time.process_time()
     for _ in range(_DECISIONS):
--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -46,10 +46,10 @@
 from jujubewharf.requests import plain_replies
 from jujubewharf.requests import request_runner
 from jujubewharf.requests import sweep as sweeps
+from jujubewharf.routing import default_policy
 from jujubewharf.routing import fleet as fleets
 from jujubewharf.routing import placer as placers
 from jujubewharf.routing import policy as policies
-from jujubewharf.routing import product
 from jujubewharf.routing import slot_coordinator
 from jujubewharf.settings import models
 from jujubewharf.telemetry import goodput
@@ -174,7 +174,7 @@
         if policy is None:
             seed = zlib.crc32(settings.instance.encode())
             rng = random.Random(seed)
-            policy = product.Product(clock, rng)
+            policy = default_policy.Product(clock, rng)
         if isinstance(policy, policies.AsyncPolicy):
             self.fleet.polls = self.keeping.is_coordinator
             policy.attach(
--- a/src/jujubewharf/routing/catalog.py
+++ b/src/jujubewharf/routing/catalog.py
@@ -6,9 +6,9 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf.routing import baselines
+from jujubewharf.routing import default_policy
 from jujubewharf.routing import oracle
 from jujubewharf.routing import policy as policies
-from jujubewharf.routing import product
 
 PRODUCT = "product"
 NAMES = (
@@ -41,7 +41,7 @@
     """
     match name:
         case "product":
-            return product.Product(clock, rng)
+            return default_policy.Product(clock, rng)
         case "random":
             return baselines.RandomChoice(rng)
         case "round_robin":
