--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -99,7 +99,7 @@
     fleet = _fleet(count, clock)
     peers = cast(Any, _Alone())
     slot_coordinator.SlotCoordinator(fleet, peers, peers, clock)
-    policy = default_policy.Product(clock, random.Random(1))
+    policy = default_policy.DefaultPolicy(clock, random.Random(1))
     policy.attach(policies.PolicyContext(fleet, peers, peers, "a"))
     began_s = time.process_time()
     for _ in range(_DECISIONS):
--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -174,7 +174,7 @@
         if policy is None:
             seed = zlib.crc32(settings.instance.encode())
             rng = random.Random(seed)
-            policy = default_policy.Product(clock, rng)
+            policy = default_policy.DefaultPolicy(clock, rng)
         if isinstance(policy, policies.AsyncPolicy):
             self.fleet.polls = self.keeping.is_coordinator
             policy.attach(
--- a/src/jujubewharf/routing/catalog.py
+++ b/src/jujubewharf/routing/catalog.py
@@ -41,7 +41,7 @@
     """
     match name:
         case "product":
-            return default_policy.Product(clock, rng)
+            return default_policy.DefaultPolicy(clock, rng)
         case "random":
             return baselines.RandomChoice(rng)
         case "round_robin":
--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -42,7 +42,7 @@
 _MIN_RETRY_AFTER_MS = 200.0
 
 
-class Product:
+class DefaultPolicy:
     """Implements ``policy.AsyncPolicy``.
 
     Args:
