--- a/src/jujubewharf/experiments/runner.py
+++ b/src/jujubewharf/experiments/runner.py
@@ -75,7 +75,7 @@
         )
         self._clock = self._bench.clock
         self._services = {s.name: s for s in deployment.services}
-        self._truth = oracle.Truth(
+        self._truth = oracle.GroundTruth(
             load_now=lambda name: self._bench.engine(name).load_now()
         )
         self._balancer = balancers.Balancer(
--- a/src/jujubewharf/routing/catalog.py
+++ b/src/jujubewharf/routing/catalog.py
@@ -26,7 +26,7 @@
     *,
     clock: clocks.Clock,
     rng: random.Random,
-    truth: oracle.Truth | None = None,
+    truth: oracle.GroundTruth | None = None,
 ) -> policies.Policy:
     """Creates the policy of one instance.
 
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -58,7 +58,7 @@
             self._granted.add(granted.holder)
 
 
-class Truth:
+class GroundTruth:
     """The state shared by all oracle policies of a run.
 
     Args:
@@ -94,7 +94,7 @@
         clock: Time source.
     """
 
-    def __init__(self, truth: Truth, clock: clocks.Clock) -> None:
+    def __init__(self, truth: GroundTruth, clock: clocks.Clock) -> None:
         self._truth = truth
         self._clock = clock
         if truth.reading is None:
--- a/tests/routing/test_catalog.py
+++ b/tests/routing/test_catalog.py
@@ -32,7 +32,7 @@
         policy_name,
         clock=bench.clock,
         rng=bench.policy_rng("e1"),
-        truth=oracle.Truth(lambda name: by_name[name].load_now()),
+        truth=oracle.GroundTruth(lambda name: by_name[name].load_now()),
     )
     instance = await bench.start_instance("e1", "a", policy=policy)
     await bench.clock.sleep_ms(1_000)
