--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -161,7 +161,7 @@
                 )
             if (
                 urgency is plans_lib.Urgency.LATE
-                and plan.pause_ms > _MAX_LATE_LINK_WAIT_MS
+                and plan.link_wait_ms > _MAX_LATE_LINK_WAIT_MS
             ):
                 if self._clock.now_ms() + plan.first_ms > job.deadline_at_ms:
                     kind = errors.ErrorKind.DEADLINE_UNREACHABLE
@@ -222,8 +222,8 @@
         is_late = first_at_ms > job.first_answer_by_ms
         if urgency is plans_lib.Urgency.IN_TIME and is_late:
             return self._refusal(errors.ErrorKind.DEADLINE_UNREACHABLE, job)
-        pause_ms = kv_ready_ms - self._prefill_ms(prefill, job)
-        start_at_ms = self._clock.now_ms() + pause_ms
+        link_wait_ms = kv_ready_ms - self._prefill_ms(prefill, job)
+        start_at_ms = self._clock.now_ms() + link_wait_ms
         self._reading.begin(job, prefill, start_at_ms)
         return jobs.Choice(None, prefill.endpoint, prefill_at_ms=start_at_ms)
 
@@ -278,9 +278,9 @@
             kv_ready_ms + kv_transfer_ms + plans_lib.first_steps_ms(decode)
         )
         wait_ms = self._wait_ms(job, decode)
-        pause_ms = kv_ready_ms - self._prefill_ms(prefill, job)
+        link_wait_ms = kv_ready_ms - self._prefill_ms(prefill, job)
         return plans_lib.Plan(
-            decode, prefill, kv_ready_ms, pause_ms, first_ms, wait_ms
+            decode, prefill, kv_ready_ms, link_wait_ms, first_ms, wait_ms
         )
 
     def _standalone_plan(
--- a/src/jujubewharf/routing/plans.py
+++ b/src/jujubewharf/routing/plans.py
@@ -34,7 +34,7 @@
         prefill: Prefill engine; ``None`` if ``decode`` also runs prefill.
         ready_ms: Time from the start until the slot is needed: prefill is
             complete and the network link is free.
-        pause_ms: Part of ``ready_ms`` spent waiting for the link.
+        link_wait_ms: Part of ``ready_ms`` spent waiting for the link.
         first_ms: Time from the start to the first token.
         wait_ms: Expected wait before the start.
     """
@@ -42,7 +42,7 @@
     decode: fleets.EngineView
     prefill: fleets.EngineView | None
     ready_ms: float
-    pause_ms: float
+    link_wait_ms: float
     first_ms: float
     wait_ms: float
 
