--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -157,13 +157,16 @@
                 return self._refusal(errors.ErrorKind.DEADLINE_UNREACHABLE, job)
             if urgency is None:
                 urgency = plans_lib.urgency_of(
-                    job, self._clock.now_ms() + plan.first_ms
+                    job, self._clock.now_ms() + plan.first_token_ms
                 )
             if (
                 urgency is plans_lib.Urgency.LATE
                 and plan.link_wait_ms > _MAX_LATE_LINK_WAIT_MS
             ):
-                if self._clock.now_ms() + plan.first_ms > job.deadline_at_ms:
+                if (
+                    self._clock.now_ms() + plan.first_token_ms
+                    > job.deadline_at_ms
+                ):
                     kind = errors.ErrorKind.DEADLINE_UNREACHABLE
                     return self._refusal(kind, job)
                 await self._clock.sleep_ms(_LINK_POLL_MS)
@@ -184,7 +187,7 @@
                 deadline_ms = job.first_answer_by_ms
             case _:
                 deadline_ms = job.deadline_at_ms
-        latest_ms = deadline_ms - self._clock.now_ms() - plan.first_ms
+        latest_ms = deadline_ms - self._clock.now_ms() - plan.first_token_ms
         if latest_ms < 0:
             return slot_messages.SlotAnswer(False, is_hopeless=True)
         ask = self._slot_ask(
@@ -218,8 +221,10 @@
             await self._slots.ask_read(prefill, job.number, job.prompt_tokens)
         kv_ready_ms = self._kv_ready_ms(prefill, job)
         delay_ms = kv_ready_ms - plan.ready_ms
-        first_at_ms = self._clock.now_ms() + plan.first_ms + delay_ms
-        is_late = first_at_ms > job.first_answer_by_ms
+        first_token_at_ms = (
+            self._clock.now_ms() + plan.first_token_ms + delay_ms
+        )
+        is_late = first_token_at_ms > job.first_answer_by_ms
         if urgency is plans_lib.Urgency.IN_TIME and is_late:
             return self._refusal(errors.ErrorKind.DEADLINE_UNREACHABLE, job)
         link_wait_ms = kv_ready_ms - self._prefill_ms(prefill, job)
@@ -274,22 +279,22 @@
             job.service.model
         )
         kv_transfer_ms = reading.transfer_ms(prefill, decode, kv_bytes)
-        first_ms = (
+        first_token_ms = (
             kv_ready_ms + kv_transfer_ms + plans_lib.first_steps_ms(decode)
         )
         wait_ms = self._wait_ms(job, decode)
         link_wait_ms = kv_ready_ms - self._prefill_ms(prefill, job)
         return plans_lib.Plan(
-            decode, prefill, kv_ready_ms, link_wait_ms, first_ms, wait_ms
+            decode, prefill, kv_ready_ms, link_wait_ms, first_token_ms, wait_ms
         )
 
     def _standalone_plan(
         self, job: jobs.Job, decode: fleets.EngineView
     ) -> plans_lib.Plan:
         prefill_ms = self._prefill_ms(decode, job)
-        first_ms = prefill_ms + plans_lib.first_steps_ms(decode)
+        first_token_ms = prefill_ms + plans_lib.first_steps_ms(decode)
         wait_ms = self._wait_ms(job, decode)
-        return plans_lib.Plan(decode, None, 0.0, 0.0, first_ms, wait_ms)
+        return plans_lib.Plan(decode, None, 0.0, 0.0, first_token_ms, wait_ms)
 
     def _candidates(self, job: jobs.Job) -> list[fleets.EngineView]:
         """Returns the engines to compare: a random sample if there are many.
@@ -338,11 +343,11 @@
         return view.digest.wait_ms + ahead * slot_ms
 
     def _rank(self, plan: plans_lib.Plan) -> tuple[float, float, float]:
-        total_ms = plan.wait_ms + plan.first_ms
+        total_ms = plan.wait_ms + plan.first_token_ms
         if plan.wait_ms > 0:
             return (total_ms, 0.0, self._rng.random())
         free_slots = self._free_slots(plan.decode)
-        return (plan.first_ms, -free_slots, self._rng.random())
+        return (plan.first_token_ms, -free_slots, self._rng.random())
 
     def _free_slots(self, view: fleets.EngineView) -> float:
         if view.digest is not None:
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -113,8 +113,10 @@
             return await self._wait_standalone(job)
         prefill = min(prefill_views, key=lambda v: self._prefill_ms(v, job))
         prefill_ms = self._prefill_ms(prefill, job)
-        first_ms = prefill_ms + self._after_prefill_ms(job, prefill, views)
-        if not await self._wait(job, prefill_ms, first_ms):
+        first_token_ms = prefill_ms + self._after_prefill_ms(
+            job, prefill, views
+        )
+        if not await self._wait(job, prefill_ms, first_token_ms):
             return jobs.Refusal(errors.ErrorKind.DEADLINE_UNREACHABLE)
         prefill = min(prefill_views, key=lambda v: self._prefill_ms(v, job))
         self._reading.begin(job, prefill, self._clock.now_ms())
@@ -138,8 +140,8 @@
         views = eligibility.standalone_engines(self._usable(job))
         if not views:
             return jobs.Refusal(errors.ErrorKind.NO_FITTING_ENGINE)
-        first_ms = min(self._prefill_ms(view, job) for view in views)
-        if not await self._wait(job, 0.0, first_ms):
+        first_token_ms = min(self._prefill_ms(view, job) for view in views)
+        if not await self._wait(job, 0.0, first_token_ms):
             return jobs.Refusal(errors.ErrorKind.DEADLINE_UNREACHABLE)
         return await self._claim(job, eligibility.standalone_engines)
 
@@ -147,7 +149,7 @@
         self,
         job: jobs.Job,
         ready_in_ms: float,
-        first_ms: float,
+        first_token_ms: float,
         *,
         is_ready: bool = False,
     ) -> bool:
@@ -162,16 +164,16 @@
         request = slot_ledger.Wish(
             self._holder(job),
             ready_in_ms=ready_in_ms,
-            latest_at_ms=self._latest_at_ms(job, first_ms),
+            latest_at_ms=self._latest_at_ms(job, first_token_ms),
             priority=job.priority,
             caution=0.0,
             is_ready=is_ready,
         )
         return await pool.wait(request, self._clock)
 
-    def _latest_at_ms(self, job: jobs.Job, first_ms: float) -> float:
+    def _latest_at_ms(self, job: jobs.Job, first_token_ms: float) -> float:
         now_ms = self._clock.now_ms()
-        remaining_ms = job.first_answer_by_ms - first_ms - now_ms
+        remaining_ms = job.first_answer_by_ms - first_token_ms - now_ms
         return now_ms + _USABLE_TIME_SHARE * remaining_ms
 
     async def _claim(
--- a/src/jujubewharf/routing/plans.py
+++ b/src/jujubewharf/routing/plans.py
@@ -35,7 +35,7 @@
         ready_ms: Time from the start until the slot is needed: prefill is
             complete and the network link is free.
         link_wait_ms: Part of ``ready_ms`` spent waiting for the link.
-        first_ms: Time from the start to the first token.
+        first_token_ms: Time from the start to the first token.
         wait_ms: Expected wait before the start.
     """
 
@@ -43,7 +43,7 @@
     prefill: fleets.EngineView | None
     ready_ms: float
     link_wait_ms: float
-    first_ms: float
+    first_token_ms: float
     wait_ms: float
 
 
@@ -52,10 +52,10 @@
     return view.step_ms * _STEPS_TO_FIRST_TOKEN
 
 
-def urgency_of(job: jobs.Job, earliest_first_ms: float) -> Urgency:
+def urgency_of(job: jobs.Job, earliest_first_token_ms: float) -> Urgency:
     """Returns the urgency of a job by the earliest time of its first token."""
     if job.first_index > 0:
         return Urgency.RESUMED
-    if earliest_first_ms > job.first_answer_by_ms:
+    if earliest_first_token_ms > job.first_answer_by_ms:
         return Urgency.LATE
     return Urgency.IN_TIME
