--- a/src/jujubewharf/requests/request_runner.py
+++ b/src/jujubewharf/requests/request_runner.py
@@ -178,7 +178,7 @@
                 self._tools, request, progress, make_job, hooks.on_dispatch
             )
             try:
-                async with self._placer.placed(make_job()) as choice:
+                async with self._placer.place(make_job()) as choice:
                     await attempt.run(choice)
                 return attempt.attempt_id
             except client.EngineError as error:
--- a/src/jujubewharf/routing/placer.py
+++ b/src/jujubewharf/routing/placer.py
@@ -36,7 +36,7 @@
         self._clock = clock
 
     @contextlib.asynccontextmanager
-    async def placed(self, job: jobs.Job) -> AsyncIterator[jobs.Choice]:
+    async def place(self, job: jobs.Job) -> AsyncIterator[jobs.Choice]:
         """Waits for a placement and holds it for the duration of the block.
 
         Raises:
@@ -47,7 +47,7 @@
 
     @contextlib.asynccontextmanager
     async def moved(self, job: jobs.Job) -> AsyncIterator[jobs.Choice]:
-        """Like ``placed``, for a job whose prefill is complete."""
+        """Like ``place``, for a job whose prefill is complete."""
         async with self._place(job, is_prefilled=True) as choice:
             yield choice
 
