--- a/src/jujubewharf/requests/attempt.py
+++ b/src/jujubewharf/requests/attempt.py
@@ -240,7 +240,9 @@
                 expires_ms - self._clock.now_ms()
             ):
                 while True:
-                    placement = self._tools.placer.moved(self._make_job())
+                    placement = self._tools.placer.place_decode(
+                        self._make_job()
+                    )
                     try:
                         choice = await placements.enter_async_context(placement)
                         if choice.decode is None:
--- a/src/jujubewharf/routing/placer.py
+++ b/src/jujubewharf/routing/placer.py
@@ -46,7 +46,7 @@
             yield choice
 
     @contextlib.asynccontextmanager
-    async def moved(self, job: jobs.Job) -> AsyncIterator[jobs.Choice]:
+    async def place_decode(self, job: jobs.Job) -> AsyncIterator[jobs.Choice]:
         """Like ``place``, for a job whose prefill is complete."""
         async with self._place(job, is_prefilled=True) as choice:
             yield choice
