--- a/src/jujubewharf/requests/attempt.py
+++ b/src/jujubewharf/requests/attempt.py
@@ -381,7 +381,7 @@
         return view
 
     def _record_failure(self, error: client.EngineError) -> None:
-        self._tools.placer.failed(error.engine, error.fault)
+        self._tools.placer.record_failure(error.engine, error.fault)
         self._progress.exclusions.add(error, self._clock.now_ms())
 
     def _kv_gone(self) -> client.EngineError:
--- a/src/jujubewharf/requests/request_runner.py
+++ b/src/jujubewharf/requests/request_runner.py
@@ -201,7 +201,7 @@
             engine=error.engine,
             fault=error.fault.value,
         )
-        self._placer.failed(error.engine, error.fault)
+        self._placer.record_failure(error.engine, error.fault)
         progress.exclusions.add(error, self._clock.now_ms())
         is_dispatched = progress.dispatch is not attempts.Dispatch.NO
         if is_dispatched and not request.is_repeatable:
--- a/src/jujubewharf/routing/placer.py
+++ b/src/jujubewharf/routing/placer.py
@@ -51,7 +51,7 @@
         async with self._place(job, is_prefilled=True) as choice:
             yield choice
 
-    def failed(self, engine: str, fault: client.EngineFault) -> None:
+    def record_failure(self, engine: str, fault: client.EngineFault) -> None:
         """Records a failed call to an engine."""
         view = self._fleet.view(engine)
         if view is not None:
