--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -110,7 +110,7 @@
             return self.report.slots_total
         return self.endpoint.slots
 
-    def failed(self, fault: engine_client.EngineFault) -> None:
+    def record_failure(self, fault: engine_client.EngineFault) -> None:
         """Records a failed call."""
         self.breaker.failed(fault)
         if fault is engine_client.EngineFault.REFUSED_LEAVING:
@@ -280,7 +280,7 @@
                 report = await view.client.load()
         except (engine_client.EngineError, TimeoutError):
             self.hints.forget(view.endpoint.name)
-            view.failed(engine_client.EngineFault.UNREACHABLE)
+            view.record_failure(engine_client.EngineFault.UNREACHABLE)
             return
         view.breaker.answered()
         view.report = report
--- a/src/jujubewharf/routing/placer.py
+++ b/src/jujubewharf/routing/placer.py
@@ -55,7 +55,7 @@
         """Records a failed call to an engine."""
         view = self._fleet.view(engine)
         if view is not None:
-            view.failed(fault)
+            view.record_failure(fault)
 
     @contextlib.asynccontextmanager
     async def _place(
