--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -251,7 +251,7 @@
             case client.EngineFault.KV_GONE:
                 state.unavailable_until_ms = now_ms + FETCH_FAILURE_PAUSE_MS
             case _:
-                state.breaker.failed(error.fault)
+                state.breaker.record_failure(error.fault)
 
     def record_memory_refusal(self, name: str, tokens: int) -> None:
         """Records that an engine had less than ``tokens`` memory free."""
--- a/src/jujubewharf/routing/breaker.py
+++ b/src/jujubewharf/routing/breaker.py
@@ -43,7 +43,7 @@
         """Whether the engine is to be used only when no other is available."""
         return self._clock.now_ms() < self._degraded_until_ms
 
-    def failed(self, fault: client.EngineFault) -> None:
+    def record_failure(self, fault: client.EngineFault) -> None:
         """Records a failed call."""
         now_ms = self._clock.now_ms()
         if now_ms - self._last_failure_ms > _RESET_AFTER_MS:
--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -112,7 +112,7 @@
 
     def record_failure(self, fault: engine_client.EngineFault) -> None:
         """Records a failed call."""
-        self.breaker.failed(fault)
+        self.breaker.record_failure(fault)
         if fault is engine_client.EngineFault.REFUSED_LEAVING:
             now_ms = self.clock.now_ms()
             self.leaving_until_ms = max(
--- a/tests/routing/test_breaker.py
+++ b/tests/routing/test_breaker.py
@@ -17,12 +17,12 @@
         breaker = breakers.Breaker(clock)
         open_for_ms = []
         for _ in range(3):
-            breaker.failed(_UNREACHABLE)
+            breaker.record_failure(_UNREACHABLE)
             start_ms = clock.now_ms()
             while breaker.is_open:
                 await clock.sleep_ms(100)
             open_for_ms.append(clock.now_ms() - start_ms)
-        breaker.failed(_UNREACHABLE)
+        breaker.record_failure(_UNREACHABLE)
         breaker.answered()
         return open_for_ms, breaker.is_open
 
@@ -36,7 +36,7 @@
         breaker = breakers.Breaker(clocks.Clock())
         degraded = []
         for _ in range(3):
-            breaker.failed(_LOST)
+            breaker.record_failure(_LOST)
             degraded.append(breaker.is_doubtful)
         return degraded, breaker.is_open
 
@@ -47,7 +47,7 @@
     async def scenario():
         breaker = breakers.Breaker(clocks.Clock())
         for _ in range(5):
-            breaker.failed(client.EngineFault.REFUSED_FULL)
+            breaker.record_failure(client.EngineFault.REFUSED_FULL)
         return breaker.is_open or breaker.is_doubtful
 
     assert not virtual_time.run(scenario())
