--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -299,7 +299,7 @@
 
     def record_success(self, name: str) -> None:
         """Records a successful call to an engine."""
-        self.state(name).breaker.answered()
+        self.state(name).breaker.record_success()
 
     def record_role_change(self, name: str) -> None:
         """Records that an engine is changing its role."""
--- a/src/jujubewharf/routing/breaker.py
+++ b/src/jujubewharf/routing/breaker.py
@@ -59,7 +59,7 @@
                     self._losses = 0
                     self._degraded_until_ms = self._next_period_end_ms()
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         """Records a successful call, which closes the breaker."""
         self._open_until_ms = 0.0
 
--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -282,6 +282,6 @@
             self.hints.forget(view.endpoint.name)
             view.record_failure(engine_client.EngineFault.UNREACHABLE)
             return
-        view.breaker.answered()
+        view.breaker.record_success()
         view.report = report
         view.heard_ms = self._clock.now_ms()
--- a/tests/routing/test_breaker.py
+++ b/tests/routing/test_breaker.py
@@ -23,7 +23,7 @@
                 await clock.sleep_ms(100)
             open_for_ms.append(clock.now_ms() - start_ms)
         breaker.record_failure(_UNREACHABLE)
-        breaker.answered()
+        breaker.record_success()
         return open_for_ms, breaker.is_open
 
     open_for_ms, is_open = virtual_time.run(scenario())
