--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -354,7 +354,7 @@
     ) -> tuple[bool, int, bool, bool, int, float]:
         state = self.state(engine.name)
         return (
-            state.breaker.is_doubtful,
+            state.breaker.is_degraded,
             int(state.reserved_tokens // step_tokens),
             # Engines with a rate limit are overloaded, so others go first.
             engine.name in limited,
@@ -374,7 +374,7 @@
     ) -> tuple[bool, bool, float, bool, float]:
         state = self.state(engine.name)
         return (
-            state.breaker.is_doubtful,
+            state.breaker.is_degraded,
             engine.name in limited,
             self._expected_wait_ms(state),
             engine.domain != preferred_domain,
--- a/src/jujubewharf/routing/breaker.py
+++ b/src/jujubewharf/routing/breaker.py
@@ -39,7 +39,7 @@
         return self._clock.now_ms() < self._open_until_ms
 
     @property
-    def is_doubtful(self) -> bool:
+    def is_degraded(self) -> bool:
         """Whether the engine is to be used only when no other is available."""
         return self._clock.now_ms() < self._degraded_until_ms
 
--- a/src/jujubewharf/routing/eligibility.py
+++ b/src/jujubewharf/routing/eligibility.py
@@ -29,7 +29,7 @@
         and view.endpoint.name not in job.excluded
         and has_model(view, job.service)
     ]
-    healthy = [view for view in candidates if not view.breaker.is_doubtful]
+    healthy = [view for view in candidates if not view.breaker.is_degraded]
     can_decode = bool(decode_engines(healthy))
     can_prefill = bool(kv_exporters(healthy)) or not kv_exporters(candidates)
     return healthy if can_decode and can_prefill else candidates
--- a/tests/routing/test_breaker.py
+++ b/tests/routing/test_breaker.py
@@ -37,7 +37,7 @@
         degraded = []
         for _ in range(3):
             breaker.record_failure(_LOST)
-            degraded.append(breaker.is_doubtful)
+            degraded.append(breaker.is_degraded)
         return degraded, breaker.is_open
 
     assert virtual_time.run(scenario()) == ([False, False, True], False)
@@ -48,6 +48,6 @@
         breaker = breakers.Breaker(clocks.Clock())
         for _ in range(5):
             breaker.record_failure(client.EngineFault.REFUSED_FULL)
-        return breaker.is_open or breaker.is_doubtful
+        return breaker.is_open or breaker.is_degraded
 
     assert not virtual_time.run(scenario())
