--- a/src/jujubewharf/routing/counters.py
+++ b/src/jujubewharf/routing/counters.py
@@ -19,7 +19,7 @@
 )
 
 
-def asked(*, is_granted: bool, is_hopeless: bool) -> None:
+def count_slot_answer(*, is_granted: bool, is_hopeless: bool) -> None:
     """Counts the response to a slot request."""
     outcome = "not_yet"
     if is_granted:
--- a/src/jujubewharf/routing/slots.py
+++ b/src/jujubewharf/routing/slots.py
@@ -85,7 +85,7 @@
             answer = await self._send_ask(grant.coordinator, ask)
         if answer is None:
             answer = slot_messages.SlotAnswer(False)
-        counters.asked(
+        counters.count_slot_answer(
             is_granted=answer.is_granted, is_hopeless=answer.is_hopeless
         )
         self._apply_digests(answer.digest)
