--- a/src/jujubewharf/routing/counters.py
+++ b/src/jujubewharf/routing/counters.py
@@ -29,7 +29,7 @@
     _SLOT_REQUESTS.add(1, {"outcome": outcome})
 
 
-def refused(kind: errors.ErrorKind) -> None:
+def count_refusal(kind: errors.ErrorKind) -> None:
     """Counts a request that was not placed."""
     _REFUSALS.add(1, {"reason": kind.value})
 
--- a/src/jujubewharf/routing/placer.py
+++ b/src/jujubewharf/routing/placer.py
@@ -84,7 +84,7 @@
             case jobs.Choice() as choice:
                 return choice
             case jobs.Refusal(kind, retry_after_ms):
-                counters.refused(kind)
+                counters.count_refusal(kind)
                 raise errors.WharfError(kind, retry_after_ms=retry_after_ms)
             case jobs.RetryLater():
                 raise AssertionError(
@@ -102,7 +102,7 @@
                 case jobs.RetryLater(after_ms):
                     await self._clock.sleep_ms(after_ms)
                 case jobs.Refusal(kind, retry_after_ms):
-                    counters.refused(kind)
+                    counters.count_refusal(kind)
                     raise errors.WharfError(kind, retry_after_ms=retry_after_ms)
 
     @contextlib.contextmanager
