--- a/src/jujubewharf/routing/counters.py
+++ b/src/jujubewharf/routing/counters.py
@@ -34,6 +34,6 @@
     _REFUSALS.add(1, {"reason": kind.value})
 
 
-def fell_back() -> None:
+def count_fallback() -> None:
     """Counts a slot request that the engine's coordinator did not answer."""
     _FALLBACKS.add(1)
--- a/src/jujubewharf/routing/slots.py
+++ b/src/jujubewharf/routing/slots.py
@@ -80,7 +80,7 @@
             self._unresponsive_until_ms[coordinator] = (
                 self._clock.now_ms() + _UNRESPONSIVE_MS
             )
-            counters.fell_back()
+            counters.count_fallback()
             grant.coordinator = self._peers.instance
             answer = await self._send_ask(grant.coordinator, ask)
         if answer is None:
