--- a/src/jujubewharf/routing/hold_times.py
+++ b/src/jujubewharf/routing/hold_times.py
@@ -48,7 +48,7 @@
             return self._prior_ms
         return self._sum_ms / total
 
-    def chance_of_end(self, age_ms: float, within_ms: float) -> float:
+    def end_probability(self, age_ms: float, within_ms: float) -> float:
         """Returns the probability that a holder of ``age_ms`` ends in time."""
         if within_ms <= 0:
             return 0.0
--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -227,7 +227,7 @@
         """Returns mean and variance of the number of holders ending in time."""
         mean = variance = 0.0
         for since_ms in self._held.values():
-            probability = self._hold_times.chance_of_end(
+            probability = self._hold_times.end_probability(
                 now_ms - since_ms, within_ms
             )
             mean += probability
--- a/tests/routing/test_hold_times.py
+++ b/tests/routing/test_hold_times.py
@@ -24,12 +24,12 @@
     times = hold_times.HoldTimes(1_000)
     for _ in range(50):
         times.add(5_000)
-    assert times.chance_of_end(1_000, 2_000) == pytest.approx(0.0)
-    assert times.chance_of_end(4_000, 2_000) > 0.9
+    assert times.end_probability(1_000, 2_000) == pytest.approx(0.0)
+    assert times.end_probability(4_000, 2_000) > 0.9
 
 
 def test_holder_older_than_all_samples_may_end():
     times = hold_times.HoldTimes(1_000)
     for _ in range(50):
         times.add(5_000)
-    assert 0 < times.chance_of_end(50_000, 1_000) < 1
+    assert 0 < times.end_probability(50_000, 1_000) < 1
