--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -81,7 +81,9 @@
         """Waits for a decode slot after prefill, without a time limit."""
         prefill = self._reading.done(job.number)
         if prefill is not None:
-            self._context.fleet.hints.sent(prefill.engine, job.prefix_hashes)
+            self._context.fleet.hints.record_prompt(
+                prefill.engine, job.prefix_hashes
+            )
         self._slots.end_read(job.number, is_read=True)
         promised = self._slots.granted_engine(job.number)
         while True:
--- a/src/jujubewharf/routing/prefix_hints.py
+++ b/src/jujubewharf/routing/prefix_hints.py
@@ -53,7 +53,7 @@
         cache = self._caches.get(engine)
         return cache.last_sequence if cache is not None else 0
 
-    def sent(self, engine: str, prefix_hashes: Sequence[int]) -> None:
+    def record_prompt(self, engine: str, prefix_hashes: Sequence[int]) -> None:
         """Records that an engine prefilled a prompt with these prefixes."""
         cache = self._cache(engine)
         now_ms = self._clock.now_ms()
--- a/tests/routing/test_prefix_hints.py
+++ b/tests/routing/test_prefix_hints.py
@@ -27,7 +27,7 @@
 
 def test_hint_of_sent_prompt_decays():
     async def scenario(hints, clock):
-        hints.sent("p1", _HASHES)
+        hints.record_prompt("p1", _HASHES)
         fresh = hints.saved_tokens("p1", _HASHES)
         await clock.sleep_ms(60_000)
         return fresh, hints.saved_tokens("p1", _HASHES)
@@ -59,7 +59,7 @@
 
 def test_number_of_hints_is_bounded():
     async def scenario(hints, clock):
-        hints.sent("p1", range(10_000))
+        hints.record_prompt("p1", range(10_000))
         return hints.saved_tokens("p1", [0, 1]), hints.saved_tokens(
             "p1", [9_999]
         )
