--- a/src/jujubewharf/routing/cache_events.py
+++ b/src/jujubewharf/routing/cache_events.py
@@ -68,5 +68,5 @@
                 reason=type(error).__name__,
             )
             return 0
-        hints.learn(name, events)
+        hints.apply_events(name, events)
         return len(events)
--- a/src/jujubewharf/routing/prefix_hints.py
+++ b/src/jujubewharf/routing/prefix_hints.py
@@ -60,7 +60,9 @@
         for prefix_hash in prefix_hashes:
             cache.record(prefix_hash, now_ms)
 
-    def learn(self, engine: str, events: Sequence[client.CacheEvent]) -> None:
+    def apply_events(
+        self, engine: str, events: Sequence[client.CacheEvent]
+    ) -> None:
         """Applies cache events; each gap lowers the confidence in all hints.
 
         A missing event may be an eviction, after which a hint would direct
--- a/tests/routing/test_prefix_hints.py
+++ b/tests/routing/test_prefix_hints.py
@@ -39,9 +39,11 @@
 
 def test_eviction_removes_hint():
     async def scenario(hints, clock):
-        hints.learn("p1", _events([1, 2, 3]))
+        hints.apply_events("p1", _events([1, 2, 3]))
         gone = client.CacheEvent(4, 101, is_stored=False)
-        hints.learn("p1", [gone, client.CacheEvent(5, 102, is_stored=False)])
+        hints.apply_events(
+            "p1", [gone, client.CacheEvent(5, 102, is_stored=False)]
+        )
         return hints.saved_tokens("p1", _HASHES)
 
     assert _run(scenario) == 64
@@ -49,8 +51,8 @@
 
 def test_gaps_lower_confidence():
     async def scenario(hints, clock):
-        hints.learn("p1", _events(range(1, 11)))
-        hints.learn("p2", _events([1, 2, 3, 5, 6, 7, 8, 9, 10]))
+        hints.apply_events("p1", _events(range(1, 11)))
+        hints.apply_events("p2", _events([1, 2, 3, 5, 6, 7, 8, 9, 10]))
         return [hints.saved_tokens(name, _HASHES) for name in ("p1", "p2")]
 
     complete, with_gaps = _run(scenario)
