--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -279,7 +279,7 @@
             async with self._clock.timeout_ms(_POLL_TIMEOUT_MS):
                 report = await view.client.load()
         except (engine_client.EngineError, TimeoutError):
-            self.hints.forget(view.endpoint.name)
+            self.hints.remove_engine(view.endpoint.name)
             view.record_failure(engine_client.EngineFault.UNREACHABLE)
             return
         view.breaker.record_success()
--- a/src/jujubewharf/routing/prefix_hints.py
+++ b/src/jujubewharf/routing/prefix_hints.py
@@ -81,7 +81,7 @@
             else:
                 cache.recorded_ms.pop(event.prefix_hash, None)
 
-    def forget(self, engine: str) -> None:
+    def remove_engine(self, engine: str) -> None:
         """Removes the hints of an engine, for example after its restart."""
         self._caches.pop(engine, None)
 
