--- a/tests/requests/deployments.py
+++ b/tests/requests/deployments.py
@@ -15,7 +15,7 @@
 SERVICE = "verdict-llm"
 
 
-class Scripted:
+class ScriptedPolicy:
     """A policy that takes the first engine of a list that is not excluded.
 
     Args:
@@ -23,23 +23,28 @@
         prefillers: Names of prefill engines in order of preference; empty for
             prefill on the decode engines.
         reserve_after_ms: Clock reading at which the slot is reserved.
-        looks_later: Whether the decode engine is chosen after the prefill.
+        chooses_decode_late: Whether to choose the decode engine after prefill.
     """
 
     def __init__(
-        self, decoders, prefillers=(), *, reserve_after_ms=0, looks_later=False
+        self,
+        decoders,
+        prefillers=(),
+        *,
+        reserve_after_ms=0,
+        chooses_decode_late=False,
     ):
         self.decoders = decoders
         self.prefillers = prefillers
         self.reserve_after_ms = reserve_after_ms
-        self.looks_later = looks_later
+        self.chooses_decode_late = chooses_decode_late
 
     def place(self, job: jobs.Job, fleet: fleets.Fleet) -> jobs.Decision:
         decode = self._first(self.decoders, job, fleet)
         prefill = self._first(self.prefillers, job, fleet)
         if decode is None or (self.prefillers and prefill is None):
             return jobs.Refusal(errors.ErrorKind.NO_FITTING_ENGINE)
-        if self.looks_later:
+        if self.chooses_decode_late:
             return jobs.Choice(None, prefill)
         return jobs.Choice(decode, prefill, reserve_at_ms=self.reserve_after_ms)
 
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -14,7 +14,7 @@
 from jujubewharf.requests import keys
 from tests.requests import deployments
 from tests.requests.test_answer_service import THREE
-from tests.requests.test_answer_service import ask_quietly
+from tests.requests.test_answer_service import ask_ignoring_loss
 from tests.requests.test_answer_service import run
 
 
@@ -28,22 +28,22 @@
 
 
 def test_retries_everywhere_at_once_are_one_dispatch():
-    async def story(d):
+    async def scenario(d):
         asked = [
             d.ask(once(d), name) for name in ("e1", "e2", "e3", "e1", "e2")
         ]
         return await asyncio.gather(*asked), d.dispatches()
 
-    answers, dispatches = run(story)
+    answers, dispatches = run(scenario)
     assert all(deployments.is_whole(events) for events in answers)
     assert dispatches == 1
 
 
-def test_a_dead_owner_is_told_as_unknown_and_never_run_again():
+def test_a_dead_owners_run_is_unknown_and_not_repeated():
     # After the owner's death the outcome is unknown: no retry may run, and none
     # may report "did not run".
-    async def story(d):
-        asyncio.ensure_future(ask_quietly(d, once(d), "e1"))
+    async def scenario(d):
+        asyncio.ensure_future(ask_ignoring_loss(d, once(d), "e1"))
         await d.clock.sleep_ms(400)
         d.bench.kill_instance("e1")
         events = [await d.ask(once(d), name) for name in ("e2", "e3")]
@@ -52,15 +52,15 @@
         events.append(await d.ask(once(d), "e1"))
         return [e[-1] for e in events], d.dispatches()
 
-    ends, dispatches = run(story)
+    ends, dispatches = run(scenario)
     assert dispatches == 1
     assert {deployments.ran_of(end) for end in ends} == {errors.Ran.UNKNOWN}
 
 
-def test_without_the_log_nothing_is_dispatched_and_it_is_said_at_once():
+def test_requests_are_refused_quickly_without_the_log():
     # Without the log a request must be refused quickly, without a dispatch. An
     # earlier request with the key may have run, so ``ran`` is unknown.
-    async def story(d):
+    async def scenario(d):
         d.bench.log.is_down = True
         before_ms = d.clock.now_ms()
         refused = (await d.ask(once(d), "e1"))[-1]
@@ -69,7 +69,7 @@
         d.bench.log.is_down = False
         return refused, took_ms, dispatches, await d.ask(once(d), "e2")
 
-    refused, took_ms, dispatches, later = run(story)
+    refused, took_ms, dispatches, later = run(scenario)
     assert deployments.kind_of(refused) is errors.ErrorKind.CLAIM_UNAVAILABLE
     assert deployments.ran_of(refused) is errors.Ran.UNKNOWN
     assert refused.detail.startswith("This sending did not run")
@@ -80,23 +80,23 @@
 
 
 def test_a_finished_answer_is_found_while_the_log_is_down():
-    async def story(d):
+    async def scenario(d):
         await d.ask(once(d), "e1")
         d.bench.log.is_down = True
         return await d.ask(once(d), "e3"), d.dispatches()
 
-    events, dispatches = run(story)
+    events, dispatches = run(scenario)
     assert deployments.is_whole(events)
     assert dispatches == 1
 
 
 def test_a_claim_whose_answer_was_lost_is_found_on_the_log():
     # A claim whose append was not confirmed must be found by reading the log.
-    async def story(d):
+    async def scenario(d):
         d.bench.log.lose_answers = 1
         return await d.ask(once(d), "e1"), d.dispatches()
 
-    events, dispatches = run(story)
+    events, dispatches = run(scenario)
     assert deployments.is_whole(events)
     assert dispatches == 1
 
@@ -128,10 +128,10 @@
         return await self.shared.read(stream, from_offset, **fields)
 
 
-def test_a_claim_that_lands_late_never_runs_and_holds_nobody_up():
+def test_a_claim_appended_late_does_not_block_its_key():
     # A claim that is appended after its run was abandoned must not block the
     # key.
-    async def story(d):
+    async def scenario(d):
         first = once(d)
         key = keys.key_of("", "k")
         shard = claim_shard.shard_of(key)
@@ -143,7 +143,7 @@
         assert late.landed
         return refused, await d.ask(once(d), "e2"), d.dispatches()
 
-    refused, later, dispatches = run(story)
+    refused, later, dispatches = run(scenario)
     assert deployments.kind_of(refused) is errors.ErrorKind.CLAIM_UNAVAILABLE
     assert deployments.ran_of(refused) is errors.Ran.NO
     assert deployments.is_whole(later)
@@ -152,7 +152,7 @@
 
 def test_two_owners_of_one_shard_agree_by_the_logs_order():
     # Two owners of a shard in a split view must agree on one winner.
-    async def story(d):
+    async def scenario(d):
         key = keys.key_of("", "k")
         claims = []
         for name in ("e1", "e2"):
@@ -161,7 +161,7 @@
             claims.append(core.claims.claim(key, f"run-{name}", b"body"))
         return await asyncio.gather(*claims)
 
-    first, second = run(story)
+    first, second = run(scenario)
     assert first.request_id == second.request_id
     assert [first.is_won, second.is_won].count(True) == 1
 
@@ -169,7 +169,7 @@
 def test_a_domain_cut_from_the_log_refuses_and_the_others_run():
     # An instance without the log must refuse, and can't report "did not run",
     # because the key may have run elsewhere.
-    async def story(d):
+    async def scenario(d):
         d.bench.cut_domain("a")
         await d.clock.sleep_ms(6_000)
         refused = (await d.ask(once(d), "e1"))[-1]
@@ -178,7 +178,7 @@
         await d.clock.sleep_ms(6_000)
         return refused, ran, await d.ask(once(d), "e1"), d.dispatches()
 
-    refused, ran, joined, dispatches = run(story)
+    refused, ran, joined, dispatches = run(scenario)
     assert deployments.kind_of(refused) is errors.ErrorKind.CLAIM_UNAVAILABLE
     assert deployments.ran_of(refused) is errors.Ran.UNKNOWN
     assert deployments.is_whole(ran)
@@ -189,7 +189,7 @@
 def test_a_paused_claimer_still_dispatches_once():
     # A retry must not run while the claiming instance is paused before its
     # dispatch.
-    async def story(d):
+    async def scenario(d):
         first = asyncio.ensure_future(d.ask(once(d, deadline_ms=60_000), "e1"))
         await d.clock.sleep_ms(30)
         d.bench.pause_instance("e1")
@@ -198,24 +198,24 @@
         d.bench.resume_instance("e1")
         return retry, before, await first, d.dispatches()
 
-    retry, before, first, dispatches = run(story)
+    retry, before, first, dispatches = run(scenario)
     assert deployments.ran_of(retry) is errors.Ran.UNKNOWN
     assert before == 0
     assert deployments.is_whole(first)
     assert dispatches == 1
 
 
-def test_a_failure_before_dispatch_gives_the_key_back():
+def test_a_failure_before_dispatch_releases_the_claim():
     # A request that was refused before its dispatch must release its claim.
-    async def story(d):
+    async def scenario(d):
         policies = [d.core(name)._placer for name in THREE]
         kept = policies[0]._policy
-        policies[0]._policy = deployments.Scripted([])
+        policies[0]._policy = deployments.ScriptedPolicy([])
         refused = (await d.ask(once(d), "e1"))[-1]
         policies[0]._policy = kept
         return refused, await d.ask(once(d), "e2"), d.dispatches()
 
-    refused, later, dispatches = run(story)
+    refused, later, dispatches = run(scenario)
     assert deployments.kind_of(refused) is errors.ErrorKind.NO_FITTING_ENGINE
     assert deployments.ran_of(refused) is errors.Ran.NO
     assert deployments.is_whole(later)
@@ -234,7 +234,7 @@
 def test_a_dated_key_that_is_too_old_never_runs_again(clock):
     # A key whose claim was dropped must be refused by its own creation time,
     # even if the asked instance has a slow clock.
-    async def story(d):
+    async def scenario(d):
         key = uuid7(d.clock.wall_ms())
         first = await d.ask(once(d, key), "e1")
         await d.clock.sleep_ms(40_000)
@@ -250,7 +250,7 @@
         return first, again[-1], d.dispatches()
 
     first, again, dispatches = run(
-        story, retention_ms=25_000, retention=RETENTION
+        scenario, retention_ms=25_000, retention=RETENTION
     )
     assert deployments.is_whole(first)
     assert deployments.kind_of(again) is errors.ErrorKind.KEY_EXPIRED
@@ -258,9 +258,9 @@
     assert dispatches == 1
 
 
-def test_an_undated_key_is_carried_beyond_the_logs_retention():
+def test_an_undated_claim_outlives_the_logs_retention():
     # Claims must be appended again before the log's retention drops them.
-    async def story(d):
+    async def scenario(d):
         await d.ask(once(d), "e1")
         await d.clock.sleep_ms(60_000)
         for name in THREE:
@@ -269,7 +269,7 @@
         again = await d.ask(once(d), "e2")
         return again[-1], d.dispatches()
 
-    again, dispatches = run(story, retention_ms=25_000, retention=RETENTION)
+    again, dispatches = run(scenario, retention_ms=25_000, retention=RETENTION)
     assert deployments.ran_of(again) is errors.Ran.UNKNOWN
     assert dispatches == 1
 
@@ -280,7 +280,7 @@
     )
 
 
-def test_the_fold_knows_one_holder_and_one_successor():
+def test_a_key_has_one_holder_and_one_successor():
     holders = claim_records.Holders()
     for claim in (
         _claim("r1"),
@@ -293,15 +293,15 @@
     assert holders.get(b"k").request_id == "r3"
 
 
-def test_claims_survive_the_wire_and_newer_fields():
+def test_claim_batches_are_decoded_as_encoded():
     batch = claim_records.Batch(1.0, (_claim("r1"), _claim("r2")))
     assert claim_records.decode(claim_records.encode(batch)) == batch
 
 
 @pytest.mark.parametrize("count", [300])
-def test_claims_share_appends(count):
+def test_claims_are_batched(count):
     # Concurrent claims must be batched, to limit the number of appends.
-    async def story(d):
+    async def scenario(d):
         claims = [
             d.core(f"e{i % 3 + 1}").claims.claim(
                 keys.key_of("", f"k{i}"), f"r{i}"
@@ -312,6 +312,6 @@
         appends = sum(d.core(name).claims.appends for name in THREE)
         return all(claim.is_won for claim in won), appends
 
-    won, appends = run(story)
+    won, appends = run(scenario)
     assert won
     assert appends <= 2 * claim_shard.SHARDS
--- a/tests/requests/test_crashing_requests.py
+++ b/tests/requests/test_crashing_requests.py
@@ -9,10 +9,10 @@
 
 MOST_CRASHES = 3
 _DECODERS = 8
-_LOOK_MS = 5.0
+_POLL_INTERVAL_MS = 5.0
 
 
-async def _crash_what_runs(d, crashed: set[str]) -> None:
+async def _crash_decoding_engines(d, crashed: set[str]) -> None:
     """Ends each decode engine soon after it starts to decode an answer."""
     while True:
         for number in range(1, _DECODERS + 1):
@@ -21,7 +21,7 @@
             if name not in crashed and sum(engine.counts.dispatches.values()):
                 crashed.add(name)
                 await engine.die()
-        await d.clock.sleep_ms(_LOOK_MS)
+        await d.clock.sleep_ms(_POLL_INTERVAL_MS)
 
 
 def test_one_request_crashes_three_engines_at_most():
@@ -30,7 +30,7 @@
     async def main():
         d = await deployments.Deployment(decoders=_DECODERS).start()
         crashed: set[str] = set()
-        crashing = asyncio.ensure_future(_crash_what_runs(d, crashed))
+        crashing = asyncio.ensure_future(_crash_decoding_engines(d, crashed))
         await d.ask(d.request(tokens=2_000, deadline_ms=15_000))
         crashing.cancel()
         await d.bench.stop()
--- a/tests/requests/test_limits.py
+++ b/tests/requests/test_limits.py
@@ -27,7 +27,7 @@
 
 
 async def _hold(
-    limited: limits.Limits,
+    limiter: limits.Limits,
     hold_ms: float,
     *,
     account: str = "",
@@ -38,7 +38,7 @@
     """Returns the time of admission in ms, or the refusal."""
     clock = clocks.Clock()
     try:
-        async with limited.admitted(
+        async with limiter.admitted(
             account,
             service,
             deadline_at_ms=deadline_at_ms,
@@ -53,9 +53,9 @@
 
 def test_the_queue_is_bounded_and_goes_by_priority():
     async def main() -> None:
-        limited = _limits()
+        limiter = _limits()
         calls = [
-            asyncio.create_task(_hold(limited, 100, priority=priority))
+            asyncio.create_task(_hold(limiter, 100, priority=priority))
             for priority in (0, 0, 1, 5, 9)
         ]
         results = await asyncio.gather(*calls)
@@ -65,20 +65,20 @@
         refused = results[4]
         assert refused.kind is errors.ErrorKind.QUEUE_FULL
         assert refused.retry_after_ms > 0
-        assert limited.in_flight("shop-api") == 0
+        assert limiter.in_flight("shop-api") == 0
 
     virtual_time.run(main())
 
 
 def test_a_higher_priority_leaves_the_queue_first():
     async def main() -> None:
-        limited = _limits()
+        limiter = _limits()
         running = [
-            asyncio.create_task(_hold(limited, hold_ms))
+            asyncio.create_task(_hold(limiter, hold_ms))
             for hold_ms in (100, 200)
         ]
-        low = asyncio.create_task(_hold(limited, 10, priority=1))
-        high = asyncio.create_task(_hold(limited, 500, priority=5))
+        low = asyncio.create_task(_hold(limiter, 10, priority=1))
+        high = asyncio.create_task(_hold(limiter, 500, priority=5))
         await asyncio.gather(*running)
         assert await high == 100
         assert await low == 200
@@ -88,53 +88,53 @@
 
 def test_a_queued_request_is_given_up_on_at_its_deadline():
     async def main() -> None:
-        limited = _limits()
-        running = [asyncio.create_task(_hold(limited, 1_000)) for _ in range(2)]
+        limiter = _limits()
+        running = [asyncio.create_task(_hold(limiter, 1_000)) for _ in range(2)]
         await asyncio.sleep(0)
-        refused = await _hold(limited, 1, deadline_at_ms=300)
+        refused = await _hold(limiter, 1, deadline_at_ms=300)
         assert refused.kind is errors.ErrorKind.DEADLINE_UNREACHABLE
         assert refused.ran is errors.Ran.NO
         assert clocks.Clock().now_ms() == 300
-        assert limited.queued("shop-api") == 0
+        assert limiter.queued("shop-api") == 0
         await asyncio.gather(*running)
 
     virtual_time.run(main())
 
 
-def test_a_caller_that_leaves_as_its_place_comes_passes_it_on():
+def test_a_cancelled_waiter_passes_its_slot_on():
     """A slot assigned to a caller that is being cancelled must not be lost."""
 
     async def main() -> None:
-        limited = _limits()
-        running = [asyncio.create_task(_hold(limited, 100)) for _ in range(2)]
+        limiter = _limits()
+        running = [asyncio.create_task(_hold(limiter, 100)) for _ in range(2)]
         await asyncio.sleep(0)
-        waiting = asyncio.create_task(_hold(limited, 1))
+        waiting = asyncio.create_task(_hold(limiter, 1))
         await asyncio.sleep(0)
         await asyncio.sleep(0.1)
         waiting.cancel()
         await asyncio.gather(*running, waiting, return_exceptions=True)
-        assert limited.in_flight("shop-api") == 0
-        results = await asyncio.gather(_hold(limited, 1), _hold(limited, 1))
+        assert limiter.in_flight("shop-api") == 0
+        results = await asyncio.gather(_hold(limiter, 1), _hold(limiter, 1))
         assert results == [100, 100]
 
     virtual_time.run(main())
 
 
-def test_cancelling_at_every_turn_never_loses_a_place():
+def test_cancelling_at_any_iteration_never_loses_a_slot():
     """As above, for each event loop iteration around the assignment."""
 
     async def main(turns: int) -> None:
-        limited = _limits()
+        limiter = _limits()
         clock = clocks.Clock()
         holders = [asyncio.Event(), asyncio.Event()]
 
         async def hold(event: asyncio.Event) -> None:
-            async with limited.admitted("", SERVICE, deadline_at_ms=60_000):
+            async with limiter.admitted("", SERVICE, deadline_at_ms=60_000):
                 await event.wait()
 
         running = [asyncio.create_task(hold(event)) for event in holders]
         await clock.sleep_ms(1)
-        waiting = asyncio.create_task(_hold(limited, 50))
+        waiting = asyncio.create_task(_hold(limiter, 50))
         await clock.sleep_ms(1)
         holders[0].set()
         for _ in range(turns):
@@ -142,18 +142,18 @@
         waiting.cancel()
         holders[1].set()
         await asyncio.gather(*running, waiting, return_exceptions=True)
-        assert limited.in_flight("shop-api") == 0
-        assert limited.queued("shop-api") == 0
+        assert limiter.in_flight("shop-api") == 0
+        assert limiter.queued("shop-api") == 0
 
     for turns in range(6):
         virtual_time.run(main(turns))
 
 
-def test_an_account_is_held_to_its_rate_and_told_when_to_come_back():
+def test_an_account_over_its_rate_gets_a_retry_after():
     async def main() -> None:
-        limited = _limits()
+        limiter = _limits()
         outcomes = [
-            await _hold(limited, 0, account="dealer", service=WIDE)
+            await _hold(limiter, 0, account="dealer", service=WIDE)
             for _ in range(21)
         ]
         assert all(isinstance(outcome, float) for outcome in outcomes[:20])
@@ -161,7 +161,7 @@
         assert refused.kind is errors.ErrorKind.RATE_LIMITED
         assert refused.retry_after_ms == pytest.approx(500)
         await clocks.Clock().sleep_ms(refused.retry_after_ms)
-        again = await _hold(limited, 0, account="dealer", service=WIDE)
+        again = await _hold(limiter, 0, account="dealer", service=WIDE)
         assert isinstance(again, float)
 
     virtual_time.run(main())
@@ -169,24 +169,24 @@
 
 def test_a_check_refuses_as_admission_does_and_takes_nothing():
     async def main() -> None:
-        limited = _limits()
+        limiter = _limits()
         for _ in range(50):
-            limited.check("dealer")
+            limiter.check("dealer")
         for _ in range(20):
-            await _hold(limited, 0, account="dealer", service=WIDE)
+            await _hold(limiter, 0, account="dealer", service=WIDE)
         with pytest.raises(errors.WharfError):
-            limited.check("dealer")
-        limited.check("another")
+            limiter.check("dealer")
+        limiter.check("another")
 
     virtual_time.run(main())
 
 
-def test_the_share_of_many_instances_is_smaller_but_never_nothing():
+def test_the_share_of_many_instances_has_a_minimum():
     async def main(members: int) -> int:
-        limited = _limits(members)
+        limiter = _limits(members)
         outcomes = await asyncio.gather(
             *(
-                _hold(limited, 10, account="dealer", service=WIDE)
+                _hold(limiter, 10, account="dealer", service=WIDE)
                 for _ in range(30)
             )
         )
@@ -210,10 +210,10 @@
             f"a{i}": resources.Account(f"a{i}", "", rate_per_s=100.0)
             for i in range(2_500)
         }
-        limited = limits.Limits(clocks.Clock(), accounts.get)
+        limiter = limits.Limits(clocks.Clock(), accounts.get)
         for name in accounts:
-            await _hold(limited, 0, account=name, service=WIDE)
+            await _hold(limiter, 0, account=name, service=WIDE)
             await clocks.Clock().sleep_ms(10)
-        assert limited.tracked_accounts <= 1_024
+        assert limiter.tracked_accounts <= 1_024
 
     virtual_time.run(main())
--- a/tests/requests/test_plain.py
+++ b/tests/requests/test_plain.py
@@ -90,7 +90,7 @@
     virtual_time.run(main())
 
 
-def test_an_endpoint_that_the_list_calls_leaving_gets_no_new_work():
+def test_a_leaving_endpoint_gets_no_new_work():
     """A leaving endpoint is not used even while it is still configured."""
 
     async def main() -> None:
@@ -125,7 +125,7 @@
     virtual_time.run(main())
 
 
-def test_what_was_never_sent_goes_to_another_endpoint():
+def test_a_call_that_was_not_sent_is_retried_elsewhere():
     """Without a connection nothing ran, so any call may be retried."""
 
     async def main() -> None:
@@ -144,7 +144,7 @@
 
     async def main() -> None:
         bench = await _bench(_endpoint("a1"), _endpoint("a2"))
-        _die_while_running(bench)
+        _lose_replies(bench)
         error = await _call(bench)
         assert error.kind is errors.ErrorKind.OUTCOME_UNKNOWN
         assert error.ran is errors.Ran.UNKNOWN
@@ -157,7 +157,7 @@
 def test_a_lost_answer_of_a_repeatable_call_is_asked_for_again():
     async def main() -> None:
         bench = await _bench(_endpoint("a1"), _endpoint("a2"))
-        _die_while_running(bench)
+        _lose_replies(bench)
         body = _chunks([b"x" * 100])
         answer = await _call(bench, is_repeatable=True, body=body)
         assert answer == b"x" * 100
@@ -167,10 +167,10 @@
     virtual_time.run(main())
 
 
-def test_a_body_that_is_too_large_to_keep_is_not_sent_again():
+def test_a_body_too_large_to_buffer_is_not_sent_again():
     async def main() -> None:
         bench = await _bench(_endpoint("a1"), _endpoint("a2"))
-        _die_while_running(bench)
+        _lose_replies(bench)
         body = _chunks([b"x" * plain_body.MAX_BUFFERED_BYTES, b"x"])
         error = await _call(bench, is_repeatable=True, body=body)
         assert error.kind is errors.ErrorKind.ENDPOINT_FAILED
@@ -186,7 +186,7 @@
 
     async def main() -> None:
         bench = await _bench(_endpoint("a1"), _endpoint("a2"))
-        _die_while_running(bench, once=False)
+        _lose_replies(bench, once=False)
         for number in range(40):
             await _call(bench, number=number, is_repeatable=True)
         assert _runs(bench) == 40 + 10
@@ -195,7 +195,7 @@
     virtual_time.run(main())
 
 
-def test_a_deadline_ends_the_call_and_says_what_is_known():
+def test_a_deadline_ends_the_call_and_reports_whether_it_ran():
     async def main() -> None:
         bench = await _bench(_endpoint("a1"))
         bench.endpoints.answer_ms["a1"] = 5_000.0
@@ -296,7 +296,7 @@
     virtual_time.run(main())
 
 
-def _die_while_running(bench: benches.Bench, *, once: bool = True) -> None:
+def _lose_replies(bench: benches.Bench, *, once: bool = True) -> None:
     """Makes endpoints run a call and lose the reply.
 
     Args:
--- a/tests/requests/test_plain_replies.py
+++ b/tests/requests/test_plain_replies.py
@@ -65,20 +65,20 @@
 @pytest.mark.parametrize("after_ms", [50, 3_000])
 def test_a_retry_gets_the_reply_of_the_one_call(retry_at, after_ms):
     # A retry must get the first call's reply, from whichever instance it asks.
-    async def story(d):
+    async def scenario(d):
         await declare(d, 1_000)
         first = asyncio.ensure_future(call(d, "e1", sale(d, 1)))
         await d.clock.sleep_ms(after_ms)
         first.cancel()
         return await call(d, retry_at, sale(d, 2)), runs(d)
 
-    reply, count = run(story)
+    reply, count = run(scenario)
     assert reply == b"sell 1"
     assert count == 1
 
 
 def test_two_tills_at_once_are_one_sale():
-    async def story(d):
+    async def scenario(d):
         await declare(d, 300)
         replies = await asyncio.gather(
             call(d, "e1", sale(d, 1)),
@@ -87,18 +87,18 @@
         )
         return replies, runs(d)
 
-    replies, count = run(story)
+    replies, count = run(scenario)
     assert replies == [b"sell 1"] * 3
     assert count == 1
 
 
 def test_another_body_under_the_key_is_a_conflict():
-    async def story(d):
+    async def scenario(d):
         await declare(d, 10)
         await call(d, "e1", sale(d, 1))
         return await call(d, "e2", sale(d, 2, b"sell 2")), runs(d)
 
-    (kind, ran), count = run(story)
+    (kind, ran), count = run(scenario)
     assert (kind, ran) == (errors.ErrorKind.KEY_CONFLICT, errors.Ran.NO)
     assert count == 1
 
@@ -106,7 +106,7 @@
 def test_a_dead_instances_sale_is_unknown_and_not_sent_again():
     # After the instance's death the outcome is unknown, and the retry must not
     # be sent.
-    async def story(d):
+    async def scenario(d):
         await declare(d, 1_000)
         first = asyncio.ensure_future(call(d, "e1", sale(d, 1)))
         await d.clock.sleep_ms(300)
@@ -115,14 +115,14 @@
         first.cancel()
         return retry, runs(d)
 
-    (kind, ran), count = run(story)
+    (kind, ran), count = run(scenario)
     assert (kind, ran) == (errors.ErrorKind.CLAIM_LOST, errors.Ran.UNKNOWN)
     assert count == 1
 
 
 def test_a_sale_that_was_not_sent_may_be_sent_by_the_retry():
     # A call that was not sent must release its claim.
-    async def story(d):
+    async def scenario(d):
         await declare(d, 10)
         d.bench.endpoints.dead.add("till-1")
         refused = await call(d, "e1", sale(d, 1))
@@ -130,21 +130,21 @@
         await d.clock.sleep_ms(5_000)
         return refused, await call(d, "e2", sale(d, 2)), runs(d)
 
-    (_, ran), reply, count = run(story)
+    (_, ran), reply, count = run(scenario)
     assert ran is errors.Ran.NO
     assert reply == b"sell 1"
     assert count == 1
 
 
 def test_a_large_reply_passes_whole_and_is_not_kept():
-    async def story(d):
+    async def scenario(d):
         await declare(d, 10)
         large = b"x" * (plain_replies.MAX_REPLY_BYTES + 1)
         first = await call(d, "e1", sale(d, 1, large))
         again = await call(d, "e2", sale(d, 2, large))
         return first == large, again, runs(d)
 
-    is_whole, (kind, ran), count = run(story)
+    is_whole, (kind, ran), count = run(scenario)
     assert is_whole
     assert (kind, ran) == (errors.ErrorKind.CLAIM_LOST, errors.Ran.UNKNOWN)
     assert count == 1
--- a/tests/requests/test_request_runner.py
+++ b/tests/requests/test_request_runner.py
@@ -18,56 +18,58 @@
 NO_RESUME = {"capabilities": resources.Capabilities(resume=False)}
 
 
-def run(deployment_of, story):
+def run(deployment_of, scenario):
     async def main():
         deployment = await deployment_of().start()
-        result = await story(deployment)
+        result = await scenario(deployment)
         await deployment.bench.stop()
         return result
 
     return virtual_time.run(main())
 
 
-async def _fill(engine, count=20):
+async def _fill_slots(engine, count=20):
     for number in range(count):
         await engine.reserve(client.Attempt(f"other.{number}", "e1"))
 
 
 def test_a_refused_prefill_result_moves_to_another_decode_engine():
     # A refused reservation must not lose the prefill result.
-    async def story(d):
-        await _fill(d.engine("d1"))
+    async def scenario(d):
+        await _fill_slots(d.engine("d1"))
         d.policy.reserve_after_ms = d.clock.now_ms() + 60
         events = await d.ask(d.request())
         read = d.engine("p1").counts.prefilled_tokens
         return events, read, dict(d.counts().moves)
 
-    policy = deployments.Scripted(["d1", "d2"], ["p1"])
+    policy = deployments.ScriptedPolicy(["d1", "d2"], ["p1"])
     events, read, moves = run(
-        lambda: deployments.Deployment(policy=policy), story
+        lambda: deployments.Deployment(policy=policy), scenario
     )
     assert deployments.is_whole(events)
     assert read == 401
     assert moves == {"refused_full": 1}
 
 
-def test_a_policy_may_look_for_the_decode_engine_after_the_prefill():
-    async def story(d):
+def test_a_policy_may_choose_the_decode_engine_after_the_prefill():
+    async def scenario(d):
         return await d.ask(d.request()), d.engine("d2").counts.dispatches
 
-    policy = deployments.Scripted(["d2"], ["p1"], looks_later=True)
+    policy = deployments.ScriptedPolicy(
+        ["d2"], ["p1"], chooses_decode_late=True
+    )
     events, dispatches = run(
-        lambda: deployments.Deployment(policy=policy), story
+        lambda: deployments.Deployment(policy=policy), scenario
     )
     assert deployments.is_whole(events)
     assert sum(dispatches.values()) == 1
 
 
-def test_a_result_without_any_slot_is_counted_as_waste():
+def test_a_prefill_result_without_a_slot_is_counted_as_wasted():
     # A prefill result that expires without a slot must be counted as wasted,
     # and the request must run the prefill again.
-    async def story(d):
-        await _fill(d.engine("d1"))
+    async def scenario(d):
+        await _fill_slots(d.engine("d1"))
         request = d.request()
         task = asyncio.ensure_future(d.ask(request))
         await d.clock.sleep_ms(2_000)
@@ -75,15 +77,19 @@
             await d.engine("d1").release(f"other.{number}")
         return await task, dict(d.counts().wasted_prefill_tokens)
 
-    policy = deployments.Scripted(["d1"], ["p1"], looks_later=True)
-    events, wasted = run(lambda: deployments.Deployment(policy=policy), story)
+    policy = deployments.ScriptedPolicy(
+        ["d1"], ["p1"], chooses_decode_late=True
+    )
+    events, wasted = run(
+        lambda: deployments.Deployment(policy=policy), scenario
+    )
     assert deployments.is_whole(events)
     assert wasted["no_decode_slot"] >= 401
 
 
 def test_a_stalled_transfer_is_given_up_and_done_elsewhere():
     # A stalled transfer must time out, free its slot and move elsewhere.
-    async def story(d):
+    async def scenario(d):
         d.engine("p1").link.is_stalled = True
         events = await d.ask(d.request())
         d.engine("p1").link.is_stalled = False
@@ -92,10 +98,10 @@
         return events, wasted, await d.held(), d.clock.now_ms()
 
     def policy_of():
-        return deployments.Scripted(["d1", "d2"], ["p1", "p2"])
+        return deployments.ScriptedPolicy(["d1", "d2"], ["p1", "p2"])
 
     events, wasted, held, _ = run(
-        lambda: deployments.Deployment(policy=policy_of()), story
+        lambda: deployments.Deployment(policy=policy_of()), scenario
     )
     assert deployments.is_whole(events)
     assert wasted == {"transfer_stalled": 401}
@@ -105,15 +111,15 @@
 @pytest.mark.parametrize("specs", [{}, {"d2": NO_RESUME}])
 def test_an_engines_death_leaves_no_gap_and_no_repeat(specs):
     # The caller must get each token once, whether or not d2 can resume.
-    async def story(d):
+    async def scenario(d):
         task = asyncio.ensure_future(d.ask(d.request()))
         await d.clock.sleep_ms(400)
         await d.engine("d1").die()
         return await task, dict(d.counts().retries)
 
-    policy = deployments.Scripted(["d1", "d2"], ["p1"])
+    policy = deployments.ScriptedPolicy(["d1", "d2"], ["p1"])
     events, retries = run(
-        lambda: deployments.Deployment(policy=policy, specs=specs), story
+        lambda: deployments.Deployment(policy=policy, specs=specs), scenario
     )
     assert deployments.is_whole(events)
     assert sum(retries.values()) == 1
@@ -121,7 +127,7 @@
 
 def test_a_replay_that_differs_is_a_broken_answer():
     # Parts of two different answers must not be combined.
-    async def story(d):
+    async def scenario(d):
         task = asyncio.ensure_future(d.ask(d.request()))
         await d.clock.sleep_ms(400)
         await d.engine("d1").die()
@@ -136,10 +142,10 @@
         engine.decode = other
         return await task
 
-    policy = deployments.Scripted(["d1", "d2"], ["p1"])
+    policy = deployments.ScriptedPolicy(["d1", "d2"], ["p1"])
     events = run(
         lambda: deployments.Deployment(policy=policy, specs={"d2": NO_RESUME}),
-        story,
+        scenario,
     )
     assert deployments.kind_of(events[-1]) is errors.ErrorKind.ANSWER_BROKEN
 
@@ -147,7 +153,7 @@
 @pytest.mark.parametrize("gone_after_ms", [0, 1, 30, 81, 100, 300, 700])
 def test_memory_is_free_at_once_when_the_caller_leaves(gone_after_ms):
     # A disconnect in any phase must release all resources without a timer.
-    async def story(d):
+    async def scenario(d):
         events = d.bench.instances["e1"].answer(d.request())
 
         async def read():
@@ -162,14 +168,14 @@
         await d.clock.sleep_ms(50)
         return await d.held()
 
-    policy = deployments.Scripted(["d1", "d2"], ["p1"])
-    held = run(lambda: deployments.Deployment(policy=policy), story)
+    policy = deployments.ScriptedPolicy(["d1", "d2"], ["p1"])
+    held = run(lambda: deployments.Deployment(policy=policy), scenario)
     assert held == []
 
 
 def test_an_unanswered_release_is_repeated():
     # A release that was lost must be repeated, or the slot stays allocated.
-    async def story(d):
+    async def scenario(d):
         engine = d.engine("d1")
         release, calls = engine.release, []
 
@@ -187,15 +193,15 @@
         await d.clock.sleep_ms(1_000)
         return await d.held(), len(calls)
 
-    policy = deployments.Scripted(["d1"], ["p1"])
-    held, calls = run(lambda: deployments.Deployment(policy=policy), story)
+    policy = deployments.ScriptedPolicy(["d1"], ["p1"])
+    held, calls = run(lambda: deployments.Deployment(policy=policy), scenario)
     assert held == []
     assert calls >= 4
 
 
 def test_retries_stop_when_their_budget_is_used_up():
     # Retries must not exceed the budget while every engine fails.
-    async def story(d):
+    async def scenario(d):
         for name in ("d1", "d2"):
             d.engine(name).lose_answers["decode"] = 10_000
         kinds = []
@@ -204,12 +210,12 @@
             kinds.append(events[-1].kind)
         return set(kinds), d.dispatches()
 
-    policy = deployments.Scripted(["d1", "d2"], ["p1"])
+    policy = deployments.ScriptedPolicy(["d1", "d2"], ["p1"])
     kinds, dispatches = run(
         lambda: deployments.Deployment(
             policy=policy, service={"retry_ratio": 0.2}
         ),
-        story,
+        scenario,
     )
     # Requests are refused without an attempt while both engines are excluded.
     assert errors.ErrorKind.ENGINE_FAILED in kinds
@@ -222,15 +228,15 @@
 
 def test_not_repeatable_is_never_dispatched_twice():
     # After a lost response the engine may be decoding, so there is no retry.
-    async def story(d):
+    async def scenario(d):
         d.engine("d1").lose_answers["decode"] = 1
         events = await d.ask(d.request(is_repeatable=False))
         await d.clock.sleep_ms(2_000)
         return events, d.dispatches()
 
-    policy = deployments.Scripted(["d1", "d2"], ["p1"])
+    policy = deployments.ScriptedPolicy(["d1", "d2"], ["p1"])
     events, dispatches = run(
-        lambda: deployments.Deployment(policy=policy), story
+        lambda: deployments.Deployment(policy=policy), scenario
     )
     assert deployments.kind_of(events[-1]) is errors.ErrorKind.OUTCOME_UNKNOWN
     assert deployments.ran_of(events[-1]) is errors.Ran.UNKNOWN
@@ -238,13 +244,13 @@
 
 
 def test_not_repeatable_goes_on_after_an_engines_own_refusal():
-    async def story(d):
-        await _fill(d.engine("d1"))
+    async def scenario(d):
+        await _fill_slots(d.engine("d1"))
         return await d.ask(d.request(is_repeatable=False)), d.dispatches()
 
-    policy = deployments.Scripted(["d1", "d2"], ["p1"])
+    policy = deployments.ScriptedPolicy(["d1", "d2"], ["p1"])
     events, dispatches = run(
-        lambda: deployments.Deployment(policy=policy), story
+        lambda: deployments.Deployment(policy=policy), scenario
     )
     assert deployments.is_whole(events)
     assert dispatches == 1
@@ -257,16 +263,16 @@
         (400, errors.Ran.YES),
     ],
 )
-def test_the_deadline_tells_whether_it_ran(deadline_ms, ran):
+def test_a_deadline_reports_whether_the_request_ran(deadline_ms, ran):
     # A deadline during prefill or decode must not report "did not run".
-    async def story(d):
+    async def scenario(d):
         events = await d.ask(d.request(tokens=100, deadline_ms=deadline_ms))
         await d.clock.sleep_ms(100)
         return events, await d.held(), d.dispatches()
 
-    policy = deployments.Scripted(["d1"], ["p1"])
+    policy = deployments.ScriptedPolicy(["d1"], ["p1"])
     events, held, dispatches = run(
-        lambda: deployments.Deployment(policy=policy), story
+        lambda: deployments.Deployment(policy=policy), scenario
     )
     failed = events[-1]
     assert isinstance(failed, model_request.Failed)
@@ -276,30 +282,30 @@
     assert held == []
 
 
-def test_a_prompt_that_was_read_is_never_told_as_did_not_run():
+def test_a_prefill_is_never_reported_as_did_not_run():
     # An engine has worked for the request even though no decode started.
-    async def story(d):
+    async def scenario(d):
         d.bench.stall_link("p1")
         return await d.ask(d.request(deadline_ms=1_000)), d.dispatches()
 
-    policy = deployments.Scripted(["d1"], ["p1"])
+    policy = deployments.ScriptedPolicy(["d1"], ["p1"])
     events, dispatches = run(
-        lambda: deployments.Deployment(policy=policy), story
+        lambda: deployments.Deployment(policy=policy), scenario
     )
     assert dispatches == 0
     assert deployments.ran_of(events[-1]) is errors.Ran.UNKNOWN
 
 
-def test_a_late_answer_that_may_not_be_repeated_is_not_asked_for_again():
+def test_a_deadline_after_dispatch_is_not_retryable():
     # A retryable error would make a client without a key send the request
     # again, and it would run twice.
-    async def story(d):
+    async def scenario(d):
         request = d.request(tokens=100, deadline_ms=400, is_repeatable=False)
         return await d.ask(request), d.dispatches()
 
-    policy = deployments.Scripted(["d1"], ["p1"])
+    policy = deployments.ScriptedPolicy(["d1"], ["p1"])
     events, dispatches = run(
-        lambda: deployments.Deployment(policy=policy), story
+        lambda: deployments.Deployment(policy=policy), scenario
     )
     kind = deployments.kind_of(events[-1])
     assert dispatches == 1
@@ -307,11 +313,11 @@
     assert deployments.ran_of(events[-1]) is errors.Ran.UNKNOWN
 
 
-def test_a_deadline_before_anything_was_sent_says_did_not_run():
+def test_a_deadline_before_any_attempt_reports_did_not_run():
     # No engine was contacted, so "did not run" is certain.
-    async def story(d):
+    async def scenario(d):
         return await d.ask(d.request(deadline_ms=500))
 
-    policy = deployments.Scripted([], ["p1"])
-    events = run(lambda: deployments.Deployment(policy=policy), story)
+    policy = deployments.ScriptedPolicy([], ["p1"])
+    events = run(lambda: deployments.Deployment(policy=policy), scenario)
     assert deployments.ran_of(events[-1]) is errors.Ran.NO
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Off:
+class DisabledSafeguard:
     """A safeguard, how to disable it, and the check that must then fail.
 
     Attributes:
@@ -114,14 +114,14 @@
 
 
 ALL = [
-    Off(
+    DisabledSafeguard(
         "releases are repeated until answered",
         releases.Releaser,
         "_release",
         _once,
         test_request_runner.test_an_unanswered_release_is_repeated,
     ),
-    Off(
+    DisabledSafeguard(
         "every exit releases",
         releases.Releaser,
         "release",
@@ -132,102 +132,102 @@
             )
         ),
     ),
-    Off(
+    DisabledSafeguard(
         "the sweep",
         sweep.Sweep,
         "_sweep_engine",
         _nothing,
         test_sweep.test_a_reservation_that_lands_after_its_release_is_freed,
     ),
-    Off(
+    DisabledSafeguard(
         "owners name their living attempts",
         releases.Releaser,
         "not_needed",
         lambda self, marks: marks,
         test_sweep.test_live_requests_keep_their_memory,
     ),
-    Off(
+    DisabledSafeguard(
         "a silent owner is asked by way of others",
         sweep.Sweep,
         "_intermediaries",
         lambda *args: [],
         test_sweep.test_an_owner_that_others_can_reach_keeps_its_memory,
     ),
-    Off(
+    DisabledSafeguard(
         "key records at homes",
         keys.KeyHomes,
         "register",
         _no_home,
         test_answer_service.test_a_retry_elsewhere_joins_the_running_answer,
     ),
-    Off(
+    DisabledSafeguard(
         "records follow their homes",
         keys.KeyHomes,
         "copy_to",
         _nothing,
         test_answer_service.test_records_follow_when_their_home_is_lost,
     ),
-    Off(
+    DisabledSafeguard(
         "keys are told apart by account",
         keys,
         "key_of",
         lambda account, key: key.encode(),
         test_answer_service.test_accounts_do_not_share_keys,
     ),
-    Off(
+    DisabledSafeguard(
         "a key's body is compared",
         keys,
         "body_of",
         lambda digest: b"",
         test_answer_service.test_the_same_key_with_another_body_is_a_conflict,
     ),
-    Off(
+    DisabledSafeguard(
         "a takeover releases the lost run",
         releases.Releaser,
         "release_by_names",
         lambda *args: None,
         test_answer_service.test_a_dead_owners_answer_is_taken_over_and_its_memory_freed,
     ),
-    Off(
+    DisabledSafeguard(
         "a caller that left ends its run",
         active_answer.ActiveAnswer,
         "linger_ms",
         property(lambda self: 1e9),
         lambda: (
-            test_answer_service.test_a_caller_that_left_leaves_no_memory_held(
+            test_answer_service.test_a_disconnected_caller_leaves_no_memory_allocated(
                 True
             )
         ),
     ),
-    Off(
+    DisabledSafeguard(
         "claims",
         claims.Claims,
         "claim",
         _always_won,
-        test_claims.test_a_dead_owner_is_told_as_unknown_and_never_run_again,
+        test_claims.test_a_dead_owners_run_is_unknown_and_not_repeated,
     ),
-    Off(
+    DisabledSafeguard(
         "the first claim in log order holds",
         claim_records.Holders,
         "apply",
         _last_wins,
-        test_claims.test_the_fold_knows_one_holder_and_one_successor,
+        test_claims.test_a_key_has_one_holder_and_one_successor,
     ),
-    Off(
+    DisabledSafeguard(
         "records between two appends are folded",
         claim_shard.ClaimShard,
         "_append",
         _append_blindly,
         test_claims.test_two_owners_of_one_shard_agree_by_the_logs_order,
     ),
-    Off(
+    DisabledSafeguard(
         "only the owner's word frees a claim",
         claims.Claims,
         "_is_abandoned",
         _yes,
-        test_claims.test_a_dead_owner_is_told_as_unknown_and_never_run_again,
+        test_claims.test_a_dead_owners_run_is_unknown_and_not_repeated,
     ),
-    Off(
+    DisabledSafeguard(
         "a dated key expires by the clock that forgets claims",
         claim_shard.ClaimShard,
         "_refuse_old",
@@ -236,30 +236,32 @@
             "slow"
         ),
     ),
-    Off(
+    DisabledSafeguard(
         "undated claims are carried on",
         claim_shard.ClaimShard,
         "reappend",
         _nothing,
-        test_claims.test_an_undated_key_is_carried_beyond_the_logs_retention,
+        test_claims.test_an_undated_claim_outlives_the_logs_retention,
     ),
-    Off(
+    DisabledSafeguard(
         "a lost answer counts as a dispatch",
         retries,
         "NO_EFFECT_FAULTS",
         retries.NO_EFFECT_FAULTS | {test_request_runner.LOST},
         test_request_runner.test_not_repeatable_is_never_dispatched_twice,
     ),
-    Off(
+    DisabledSafeguard(
         "did not run is said only when certain",
         request_runner,
         "ran_of",
         _says_no,
-        lambda: test_request_runner.test_the_deadline_tells_whether_it_ran(
-            400, errors.Ran.YES
+        lambda: (
+            test_request_runner.test_a_deadline_reports_whether_the_request_ran(
+                400, errors.Ran.YES
+            )
         ),
     ),
-    Off(
+    DisabledSafeguard(
         "tokens are numbered",
         attempt.AttemptRun,
         "_add_chunk",
@@ -270,28 +272,28 @@
             )
         ),
     ),
-    Off(
+    DisabledSafeguard(
         "relayed tokens are numbered",
         relay,
         "_add_pulled",
         _take_anything,
         test_answer_service.test_a_paused_owner_finds_its_run_taken_over,
     ),
-    Off(
+    DisabledSafeguard(
         "retry budget",
         retries.RetryBudget,
         "take",
         lambda *args: True,
         test_request_runner.test_retries_stop_when_their_budget_is_used_up,
     ),
-    Off(
+    DisabledSafeguard(
         "finished answers are kept",
         answer_cache.AnswerCache,
         "keep",
         lambda *args: None,
         test_answer_service.test_a_retry_after_the_end_gets_the_finished_answer,
     ),
-    Off(
+    DisabledSafeguard(
         "answers are handed over at a shutdown",
         handover.Handover,
         "hand_over_all",
@@ -302,21 +304,21 @@
             )
         ),
     ),
-    Off(
+    DisabledSafeguard(
         "claims, under random failures",
         claims.Claims,
         "claim",
         _always_won,
         seeds(*range(1, 9)),
     ),
-    Off(
+    DisabledSafeguard(
         "releases, under random failures",
         releases.Releaser,
         "release",
         lambda *args: None,
         seeds(*range(1, 9)),
     ),
-    Off(
+    DisabledSafeguard(
         "truth of did not run, under random failures",
         request_runner,
         "ran_of",
@@ -326,8 +328,10 @@
 ]
 
 
-@pytest.mark.parametrize("off", ALL, ids=lambda off: off.name)
-def test_without_the_safeguard_a_check_fails(off):
-    with mock.patch.object(off.owner, off.attribute, off.replacement):
+@pytest.mark.parametrize("safeguard", ALL, ids=lambda safeguard: safeguard.name)
+def test_without_the_safeguard_a_check_fails(safeguard):
+    with mock.patch.object(
+        safeguard.owner, safeguard.attribute, safeguard.replacement
+    ):
         with pytest.raises(AssertionError):
-            off.check()
+            safeguard.check()
