--- a/src/jujubewharf/requests/ownership.py
+++ b/src/jujubewharf/requests/ownership.py
@@ -87,7 +87,7 @@
             proceed. A request that is not repeatable proceeds to its claim.
         """
         result = await self._follow(active, source)
-        if result.ending is relays.Ending.DONE:
+        if result.ending is relays.FollowOutcome.DONE:
             return False
         failure = result.failure
         if failure is not None and failure.ran is errors.Ran.NO:
@@ -181,13 +181,13 @@
         source = relays.Source(claim.owner, claim.request_id)
         result = await self._follow(active, source)
         match result.ending:
-            case relays.Ending.DONE:
+            case relays.FollowOutcome.DONE:
                 return False
-            case relays.Ending.UNREACHABLE:
+            case relays.FollowOutcome.UNREACHABLE:
                 raise errors.WharfError(errors.ErrorKind.CLAIM_LOST)
-            case relays.Ending.NOT_THERE:
+            case relays.FollowOutcome.NOT_THERE:
                 raise errors.WharfError(errors.ErrorKind.KEY_EXPIRED)
-            case relays.Ending.FAILED:
+            case relays.FollowOutcome.FAILED:
                 assert result.failure is not None
                 kind = result.failure.kind
                 raise errors.WharfError(kind, ran=errors.Ran.UNKNOWN)
--- a/src/jujubewharf/requests/relay.py
+++ b/src/jujubewharf/requests/relay.py
@@ -28,7 +28,7 @@
 PullHandler = Callable[[key_messages.Pull], Awaitable[key_messages.Pulled]]
 
 
-class Ending(enum.Enum):
+class FollowOutcome(enum.Enum):
     """Outcome of following a run."""
 
     DONE = "done"
@@ -46,7 +46,7 @@
         failure: Failure of the run if ``FAILED``.
     """
 
-    ending: Ending
+    ending: FollowOutcome
     failure: model_request.Failed | None = None
 
 
@@ -113,30 +113,30 @@
         while True:
             pulled = await self._pull(source, key, body, index)
             if pulled is None:
-                return Result(Ending.UNREACHABLE)
+                return Result(FollowOutcome.UNREACHABLE)
             match key_messages.PullState(pulled.state):
                 case key_messages.PullState.NOT_HERE:
-                    return Result(Ending.NOT_THERE)
+                    return Result(FollowOutcome.NOT_THERE)
                 case key_messages.PullState.OTHER_BODY:
                     raise errors.WharfError(errors.ErrorKind.KEY_CONFLICT)
                 case key_messages.PullState.ELSEWHERE:
                     source = Source(pulled.owner, pulled.request_id)
                     if source == own:
-                        return Result(Ending.NOT_THERE)
+                        return Result(FollowOutcome.NOT_THERE)
                     await self._clock.sleep_ms(_RETRY_DELAY_MS)
                     continue
                 case key_messages.PullState.FAILED:
                     failure = _failure(pulled)
                     if is_first or failure.kind in _INTERRUPTED_KINDS:
-                        return Result(Ending.FAILED, failure)
+                        return Result(FollowOutcome.FAILED, failure)
                     answer.finish(failure)
-                    return Result(Ending.DONE)
+                    return Result(FollowOutcome.DONE)
             index = _add_pulled(answer, index, pulled)
             is_first = False
             if pulled.state == key_messages.PullState.FINISHED:
                 if index >= pulled.count:
                     _finish(answer, pulled)
-                    return Result(Ending.DONE)
+                    return Result(FollowOutcome.DONE)
 
     async def _pull(
         self, source: Source, key: bytes, body: bytes, index: int
