--- a/src/jujubewharf/requests/ownership.py
+++ b/src/jujubewharf/requests/ownership.py
@@ -87,7 +87,7 @@
             proceed. A request that is not repeatable proceeds to its claim.
         """
         result = await self._follow(active, source)
-        if result.ending is relays.FollowOutcome.DONE:
+        if result.outcome is relays.FollowOutcome.DONE:
             return False
         failure = result.failure
         if failure is not None and failure.ran is errors.Ran.NO:
@@ -180,7 +180,7 @@
             raise errors.WharfError(errors.ErrorKind.KEY_CONFLICT)
         source = relays.Source(claim.owner, claim.request_id)
         result = await self._follow(active, source)
-        match result.ending:
+        match result.outcome:
             case relays.FollowOutcome.DONE:
                 return False
             case relays.FollowOutcome.UNREACHABLE:
--- a/src/jujubewharf/requests/relay.py
+++ b/src/jujubewharf/requests/relay.py
@@ -42,11 +42,11 @@
     """Outcome of following a run, with its failure.
 
     Attributes:
-        ending: The outcome. The local answer has ended only if ``DONE``.
+        outcome: The outcome. The local answer has ended only if ``DONE``.
         failure: Failure of the run if ``FAILED``.
     """
 
-    ending: FollowOutcome
+    outcome: FollowOutcome
     failure: model_request.Failed | None = None
 
 
