--- a/src/jujubewharf/requests/ownership.py
+++ b/src/jujubewharf/requests/ownership.py
@@ -194,7 +194,7 @@
 
     async def _follow(
         self, active: active_answers.ActiveAnswer, source: relays.Source
-    ) -> relays.Result:
+    ) -> relays.FollowResult:
         active.source = source
         self._counters.attached("elsewhere")
         try:
--- a/src/jujubewharf/requests/relay.py
+++ b/src/jujubewharf/requests/relay.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Result:
+class FollowResult:
     """Outcome of following a run, with its failure.
 
     Attributes:
@@ -92,7 +92,7 @@
         key: bytes,
         body: bytes,
         answer: answers.Answer,
-    ) -> Result:
+    ) -> FollowResult:
         """Adds the tokens of a run to an answer until the run ends.
 
         Tokens that the answer already has are compared and skipped.
@@ -113,30 +113,30 @@
         while True:
             pulled = await self._pull(source, key, body, index)
             if pulled is None:
-                return Result(FollowOutcome.UNREACHABLE)
+                return FollowResult(FollowOutcome.UNREACHABLE)
             match key_messages.PullState(pulled.state):
                 case key_messages.PullState.NOT_HERE:
-                    return Result(FollowOutcome.NOT_THERE)
+                    return FollowResult(FollowOutcome.NOT_THERE)
                 case key_messages.PullState.OTHER_BODY:
                     raise errors.WharfError(errors.ErrorKind.KEY_CONFLICT)
                 case key_messages.PullState.ELSEWHERE:
                     source = Source(pulled.owner, pulled.request_id)
                     if source == own:
-                        return Result(FollowOutcome.NOT_THERE)
+                        return FollowResult(FollowOutcome.NOT_THERE)
                     await self._clock.sleep_ms(_RETRY_DELAY_MS)
                     continue
                 case key_messages.PullState.FAILED:
                     failure = _failure(pulled)
                     if is_first or failure.kind in _INTERRUPTED_KINDS:
-                        return Result(FollowOutcome.FAILED, failure)
+                        return FollowResult(FollowOutcome.FAILED, failure)
                     answer.finish(failure)
-                    return Result(FollowOutcome.DONE)
+                    return FollowResult(FollowOutcome.DONE)
             index = _add_pulled(answer, index, pulled)
             is_first = False
             if pulled.state == key_messages.PullState.FINISHED:
                 if index >= pulled.count:
                     _finish(answer, pulled)
-                    return Result(FollowOutcome.DONE)
+                    return FollowResult(FollowOutcome.DONE)
 
     async def _pull(
         self, source: Source, key: bytes, body: bytes, index: int
