--- a/src/jujubewharf/forwarding/limits.py
+++ b/src/jujubewharf/forwarding/limits.py
@@ -74,7 +74,7 @@
         if bucket is None:
             bucket = buckets.TokenBucket(self._first_permits(), now_ms)
             self._by_name[endpoint] = bucket
-        bucket.fill(now_ms, rate_per_s, max(1.0, rate_per_s * _BURST_S))
+        bucket.refill(now_ms, rate_per_s, max(1.0, rate_per_s * _BURST_S))
         if bucket.tokens >= 1.0:
             bucket.tokens -= 1.0
             return 0.0
--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -176,9 +176,9 @@
             use = self._uses[account] = _AccountUse(bucket)
         bucket = use.bucket
         if bucket.filled_at_ms < self._started_ms:
-            bucket.fill(self._started_ms, quota.rate_per_s, quota.burst)
+            bucket.refill(self._started_ms, quota.rate_per_s, quota.burst)
             bucket.tokens = min(bucket.tokens, cap)
-        bucket.fill(now_ms, quota.rate_per_s, quota.burst)
+        bucket.refill(now_ms, quota.rate_per_s, quota.burst)
         return use
 
     def _retry_after_ms(
--- a/src/jujubewharf/requests/buckets.py
+++ b/src/jujubewharf/requests/buckets.py
@@ -19,7 +19,7 @@
     tokens: float
     filled_at_ms: float
 
-    def fill(self, now_ms: float, rate_per_s: float, burst: float) -> None:
+    def refill(self, now_ms: float, rate_per_s: float, burst: float) -> None:
         """Adds the tokens gained since the last refill."""
         gained = (now_ms - self.filled_at_ms) * rate_per_s / clocks.MS_PER_S
         self.tokens = min(burst, self.tokens + gained)
--- a/src/jujubewharf/requests/limits.py
+++ b/src/jujubewharf/requests/limits.py
@@ -229,7 +229,7 @@
         share = self._share(account, members)
         rate_per_s = account.rate_per_s / members
         now_ms = self._clock.now_ms()
-        share.bucket.fill(now_ms, rate_per_s, _burst(account, members))
+        share.bucket.refill(now_ms, rate_per_s, _burst(account, members))
         if share.in_flight >= _in_flight_share(account, members):
             kind = errors.ErrorKind.TOO_MANY_IN_FLIGHT
             raise errors.WharfError(
@@ -269,7 +269,7 @@
         members = max(1, self._member_count())
         burst = _burst(account, members)
         rate_per_s = account.rate_per_s / members
-        share.bucket.fill(self._clock.now_ms(), rate_per_s, burst)
+        share.bucket.refill(self._clock.now_ms(), rate_per_s, burst)
         return share.bucket.tokens >= burst
 
 
