--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -175,7 +175,7 @@
             bucket = buckets.TokenBucket(cap, self._started_ms)
             use = self._uses[account] = _AccountUse(bucket)
         bucket = use.bucket
-        if bucket.filled_at_ms < self._started_ms:
+        if bucket.refilled_at_ms < self._started_ms:
             bucket.refill(self._started_ms, quota.rate_per_s, quota.burst)
             bucket.tokens = min(bucket.tokens, cap)
         bucket.refill(now_ms, quota.rate_per_s, quota.burst)
--- a/src/jujubewharf/requests/buckets.py
+++ b/src/jujubewharf/requests/buckets.py
@@ -13,17 +13,17 @@
 
     Attributes:
         tokens: Tokens at the last refill. Negative after an overdraft.
-        filled_at_ms: Clock reading of the last refill, in ms.
+        refilled_at_ms: Clock reading of the last refill, in ms.
     """
 
     tokens: float
-    filled_at_ms: float
+    refilled_at_ms: float
 
     def refill(self, now_ms: float, rate_per_s: float, burst: float) -> None:
         """Adds the tokens gained since the last refill."""
-        gained = (now_ms - self.filled_at_ms) * rate_per_s / clocks.MS_PER_S
+        gained = (now_ms - self.refilled_at_ms) * rate_per_s / clocks.MS_PER_S
         self.tokens = min(burst, self.tokens + gained)
-        self.filled_at_ms = now_ms
+        self.refilled_at_ms = now_ms
 
     def wait_ms(self, rate_per_s: float, tokens: float = 1.0) -> float:
         """Time in ms until ``tokens`` are available, if none are taken."""
