--- a/src/jujubewharf/requests/claim_shard.py
+++ b/src/jujubewharf/requests/claim_shard.py
@@ -21,7 +21,7 @@
 
 SHARDS = 32
 APPENDS_PER_S = 160.0
-MIN_INTERVAL_MS = SHARDS / APPENDS_PER_S * clocks.MS_PER_S
+MIN_APPEND_INTERVAL_MS = SHARDS / APPENDS_PER_S * clocks.MS_PER_S
 MAX_BATCH = 400
 MAX_UNDATED = 10_000
 _PAGE_RECORDS = 500
@@ -182,12 +182,12 @@
         ]
         for start in range(0, len(due), MAX_BATCH):
             await self._append(due[start : start + MAX_BATCH])
-            await self._clock.sleep_ms(MIN_INTERVAL_MS)
+            await self._clock.sleep_ms(MIN_APPEND_INTERVAL_MS)
 
     async def _process_waiting(self) -> None:
         while self._waiting:
             await self._clock.sleep_until_ms(
-                self._last_append_ms + MIN_INTERVAL_MS
+                self._last_append_ms + MIN_APPEND_INTERVAL_MS
             )
             batch = self._waiting[:MAX_BATCH]
             del self._waiting[:MAX_BATCH]
