--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -99,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Prefill:
-    """One prefill; see ``WorkCosts.prefilled``."""
+    """One prefill; see ``CostEstimates.prefilled``."""
 
     tokens: int
     took_ms: float
@@ -117,7 +117,7 @@
         cost_estimates: Estimates of this instance; followers' requests count.
     """
 
-    def __init__(self, cost_estimates: WorkCosts) -> None:
+    def __init__(self, cost_estimates: CostEstimates) -> None:
         self._cost_estimates = cost_estimates
         self._reports: dict[str, CostReport] = {}
 
@@ -138,7 +138,7 @@
         self._reports[instance] = report
 
 
-class WorkCosts:
+class CostEstimates:
     """Estimates of engine time per request, from recent requests."""
 
     def __init__(self) -> None:
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -126,7 +126,7 @@
         self.share = sharing.FleetShare(
             adapters.group, clock, default_share=_ISOLATED_SHARE
         )
-        self.work = costs.WorkCosts()
+        self.work = costs.CostEstimates()
         self.crashes = crashes.CrashHistory(clock)
         self.budget = budget.FleetRetryBudget(
             clock,
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        cost_estimates: costs.WorkCosts,
+        cost_estimates: costs.CostEstimates,
         lengths: margins.AnswerLengths,
         pool: pools.EnginePool,
     ) -> None:
--- a/src/jujubewharf/forwarding/patience.py
+++ b/src/jujubewharf/forwarding/patience.py
@@ -50,7 +50,7 @@
     """
 
     def __init__(
-        self, cost_estimates: costs.WorkCosts, clock: clocks.Clock
+        self, cost_estimates: costs.CostEstimates, clock: clocks.Clock
     ) -> None:
         self._cost_estimates = cost_estimates
         self._clock = clock
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -96,7 +96,7 @@
         backends: ports.Backends,
         registry: registries.Registry,
         pool: pools.EnginePool,
-        cost_estimates: costs.WorkCosts,
+        cost_estimates: costs.CostEstimates,
         lengths: margins.AnswerLengths,
         quotas: all_quotas.Quotas,
         limits: all_limits.Permits,
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -106,7 +106,7 @@
 
     def __init__(
         self,
-        cost_estimates: costs.WorkCosts,
+        cost_estimates: costs.CostEstimates,
         restraints: all_restraints.Restraints,
         clock: clocks.Clock,
         rng: random.Random,
--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -68,7 +68,7 @@
     def __init__(
         self,
         registry: registries.Registry,
-        work: costs.WorkCosts,
+        work: costs.CostEstimates,
         knowledge: all_knowledge.Knowledge,
         endpoints_end: Callable[[], int],
         clock: clocks.Clock,
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -81,7 +81,7 @@
         self,
         feeds: Feeds,
         registry: registries.Registry,
-        work: costs.WorkCosts,
+        work: costs.CostEstimates,
         knowledge: all_knowledge.Knowledge,
         endpoints_end: Callable[[], int],
         clock: clocks.Clock,
--- a/tests/forwarding/test_costs.py
+++ b/tests/forwarding/test_costs.py
@@ -10,7 +10,7 @@
 
 
 def test_queueing_does_not_raise_prefill_cost():
-    work = costs.WorkCosts()
+    work = costs.CostEstimates()
     for _ in range(20):
         work.prefilled(100.0, prompt_tokens=5_000)
     before_ms = work.prefill_ms
@@ -24,7 +24,7 @@
 
     The role plan would otherwise turn prefill engines into decode engines.
     """
-    work = costs.WorkCosts()
+    work = costs.CostEstimates()
     for _ in range(20):
         work.prefilled(100.0, prompt_tokens=5_000)
         work.prefilled(110.0, prompt_tokens=5_000)
@@ -34,21 +34,21 @@
 
 
 def test_slower_engines_raise_prefill_cost():
-    work = costs.WorkCosts()
+    work = costs.CostEstimates()
     for _ in range(400):
         work.prefilled(300.0, prompt_tokens=5_000)
     assert work.prefill_ms == pytest.approx(300.0, rel=0.1)
 
 
 def test_decode_cost_is_weighted_by_memory_share():
-    work = costs.WorkCosts()
+    work = costs.CostEstimates()
     for _ in range(200):
         work.decoded(4_000.0, memory_part=0.25)
     assert work.decode_ms == pytest.approx(1_000.0, rel=0.01)
 
 
 def test_no_estimates_without_enough_samples():
-    work = costs.WorkCosts()
+    work = costs.CostEstimates()
     assert (work.prefill_ms, work.decode_ms) == (None, None)
     for _ in range(5):
         work.prefilled(100.0, prompt_tokens=5_000)
@@ -63,7 +63,7 @@
 
 def test_prefill_cost_includes_fixed_cost_per_prompt():
     """Half of the prefills are queued, which must not raise the estimate."""
-    work = costs.WorkCosts()
+    work = costs.CostEstimates()
     rng = random.Random(3)
     tokens = [rng.randint(1_000, 9_000) for _ in range(64)]
     for size in tokens:
@@ -74,7 +74,7 @@
 
 
 def test_projected_responses_count_until_enough_completed():
-    work = costs.WorkCosts()
+    work = costs.CostEstimates()
     for _ in range(12):
         work.projected(2_000.0, memory_part=0.1)
     assert work.decode_ms == pytest.approx(200.0)
@@ -88,7 +88,7 @@
 
     The estimate must then come from the time between ends of prefills.
     """
-    work = costs.WorkCosts()
+    work = costs.CostEstimates()
     for _ in range(30):
         work.prefilled(670.0, prompt_tokens=5_000, busy_ms=180.0)
     assert work.prefill_ms == pytest.approx(180.0)
@@ -99,7 +99,7 @@
 
     The role plan would otherwise reassign a decode engine.
     """
-    work = costs.WorkCosts()
+    work = costs.CostEstimates()
     for _ in range(40):
         work.projected(4_000.0, memory_part=0.1)
     for _ in range(12):
--- a/tests/forwarding/test_patience.py
+++ b/tests/forwarding/test_patience.py
@@ -17,7 +17,7 @@
 def _with_policy(test):
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
-        work = costs.WorkCosts()
+        work = costs.CostEstimates()
         await test(patience.Patience(work, clock), work, clock)
 
     virtual_time.run(main())
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -21,7 +21,7 @@
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         pool = pools.EnginePool(
-            costs.WorkCosts(),
+            costs.CostEstimates(),
             restraints.Restraints(clock),
             clock,
             random.Random(1),
