--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -106,7 +106,7 @@
     busy_ms: float
 
 
-class ReportedCosts:
+class FleetCostEstimator:
     """Cost estimates of this instance combined with its followers' reports.
 
     A new leader has few observations of its own. Without the reports of others
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -135,7 +135,7 @@
             window_ms=settings.retries.window_s * clocks.MS_PER_S,
             share=self._retry_share,
         )
-        self._costs = costs.ReportedCosts(self.work)
+        self._costs = costs.FleetCostEstimator(self.work)
         self.fleet = fleets.Fleet(
             self.registry,
             self.work,
--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -233,7 +233,7 @@
     places: placements.Placement,
     observations: observed.Observations,
     source: forwarder.ActiveConfiguration,
-    fleet_costs: costs.ReportedCosts,
+    fleet_costs: costs.FleetCostEstimator,
     quotas: servers.FollowerQuotas,
     limits: servers.FollowerLimits,
     crashes: servers.FollowerCrashes,
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -115,7 +115,7 @@
         places: placements.Placement,
         observations: observed.Observations,
         source: forwarder.ActiveConfiguration,
-        fleet_costs: costs.ReportedCosts,
+        fleet_costs: costs.FleetCostEstimator,
         quotas: FollowerQuotas,
         limits: FollowerLimits,
         crashes: FollowerCrashes,
