--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -173,7 +173,7 @@
         return self._decode
 
     @property
-    def stay_ms(self) -> float | None:
+    def memory_hold_ms(self) -> float | None:
         """Mean time that a response holds its memory, or ``None``."""
         return self._hold_time.value
 
--- a/src/jujubewharf/forwarding/patience.py
+++ b/src/jujubewharf/forwarding/patience.py
@@ -98,7 +98,7 @@
         patience_ms = call.patience_ms or _DEFAULT_CALLER_TIMEOUT_MS
         max_retry_after_ms = patience_ms * come_back.OF_PATIENCE
         stay_ms = (
-            self._cost_estimates.stay_ms
+            self._cost_estimates.memory_hold_ms
             or patience_ms * _DEFAULT_RESPONSE_SHARE
         )
         now_ms = self._clock.now_ms()
@@ -110,7 +110,7 @@
         return max(_MIN_RETRY_AFTER_MS, retry_at_ms - now_ms)
 
     def _response_ms(self, run: runs.Run) -> float:
-        stay_ms = self._cost_estimates.stay_ms
+        stay_ms = self._cost_estimates.memory_hold_ms
         if stay_ms is not None:
             return stay_ms * _RESPONSE_TIME_FACTOR
         patience_ms = run.call.patience_ms or run.route.timeout_ms
--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -143,7 +143,7 @@
         have ended, and how long that takes is unknown until it has been
         observed.
         """
-        stay_ms = self._work.stay_ms
+        stay_ms = self._work.memory_hold_ms
         if self.followers is None or stay_ms is None:
             return False
         return self.followers.led_ms > stay_ms * _ENDED_AFTER_MEAN_STAYS
