--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -178,7 +178,7 @@
         return self._hold_time.value
 
     @property
-    def begin_ms(self) -> float | None:
+    def first_event_ms(self) -> float | None:
         """Time from reservation to first event, or ``None``."""
         if len(self._first_event_ms) < _MIN_PREFILLS:
             return None
--- a/src/jujubewharf/forwarding/patience.py
+++ b/src/jujubewharf/forwarding/patience.py
@@ -65,7 +65,7 @@
         if run.may_have_run:
             return 0.0
         target_ms = run.route.target_ms
-        begin_ms = self._cost_estimates.begin_ms
+        begin_ms = self._cost_estimates.first_event_ms
         if begin_ms is None:
             begin_ms = target_ms * _DEFAULT_START_SHARE
         begin_ms = min(begin_ms, target_ms * _MAX_START_SHARE)
