--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -99,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Prefill:
-    """One prefill; see ``CostEstimates.prefilled``."""
+    """One prefill; see ``CostEstimates.record_prefill``."""
 
     tokens: int
     took_ms: float
@@ -240,7 +240,7 @@
         )
         return min(fastest_ms, busy_ms)
 
-    def prefilled(
+    def record_prefill(
         self,
         took_ms: float,
         *,
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -71,7 +71,7 @@
         busy_ms = self._pool.record_prefill(
             engine, took_ms=took_ms, tokens=tokens
         )
-        self._cost_estimates.prefilled(
+        self._cost_estimates.record_prefill(
             took_ms, prompt_tokens=tokens, busy_ms=busy_ms
         )
 
--- a/tests/forwarding/test_costs.py
+++ b/tests/forwarding/test_costs.py
@@ -12,10 +12,10 @@
 def test_queueing_does_not_raise_prefill_cost():
     work = costs.CostEstimates()
     for _ in range(20):
-        work.prefilled(100.0, prompt_tokens=5_000)
+        work.record_prefill(100.0, prompt_tokens=5_000)
     before_ms = work.prefill_ms
     for _ in range(20):
-        work.prefilled(700.0, prompt_tokens=5_000)
+        work.record_prefill(700.0, prompt_tokens=5_000)
     assert work.prefill_ms < 1.2 * before_ms
 
 
@@ -26,17 +26,17 @@
     """
     work = costs.CostEstimates()
     for _ in range(20):
-        work.prefilled(100.0, prompt_tokens=5_000)
-        work.prefilled(110.0, prompt_tokens=5_000)
-        work.prefilled(120.0, prompt_tokens=5_000)
-        work.prefilled(2.0, prompt_tokens=5_000)
+        work.record_prefill(100.0, prompt_tokens=5_000)
+        work.record_prefill(110.0, prompt_tokens=5_000)
+        work.record_prefill(120.0, prompt_tokens=5_000)
+        work.record_prefill(2.0, prompt_tokens=5_000)
     assert work.prefill_ms > 90.0
 
 
 def test_slower_engines_raise_prefill_cost():
     work = costs.CostEstimates()
     for _ in range(400):
-        work.prefilled(300.0, prompt_tokens=5_000)
+        work.record_prefill(300.0, prompt_tokens=5_000)
     assert work.prefill_ms == pytest.approx(300.0, rel=0.1)
 
 
@@ -51,11 +51,11 @@
     work = costs.CostEstimates()
     assert (work.prefill_ms, work.decode_ms) == (None, None)
     for _ in range(5):
-        work.prefilled(100.0, prompt_tokens=5_000)
+        work.record_prefill(100.0, prompt_tokens=5_000)
     for _ in range(11):
         work.decoded(4_000.0, memory_part=0.25)
     assert (work.prefill_ms, work.decode_ms) == (None, None)
-    work.prefilled(100.0, prompt_tokens=5_000)
+    work.record_prefill(100.0, prompt_tokens=5_000)
     work.decoded(4_000.0, memory_part=0.25)
     assert work.prefill_ms == pytest.approx(100.0)
     assert work.decode_ms == pytest.approx(1_000.0)
@@ -68,7 +68,7 @@
     tokens = [rng.randint(1_000, 9_000) for _ in range(64)]
     for size in tokens:
         waited_ms = max(0.0, rng.uniform(-300.0, 300.0))
-        work.prefilled(60.0 + size * 0.02 + waited_ms, prompt_tokens=size)
+        work.record_prefill(60.0 + size * 0.02 + waited_ms, prompt_tokens=size)
     alone_ms = 60.0 + sum(tokens) / len(tokens) * 0.02
     assert work.prefill_ms == pytest.approx(alone_ms, rel=0.1)
 
@@ -90,7 +90,7 @@
     """
     work = costs.CostEstimates()
     for _ in range(30):
-        work.prefilled(670.0, prompt_tokens=5_000, busy_ms=180.0)
+        work.record_prefill(670.0, prompt_tokens=5_000, busy_ms=180.0)
     assert work.prefill_ms == pytest.approx(180.0)
 
 
--- a/tests/forwarding/test_ordering.py
+++ b/tests/forwarding/test_ordering.py
@@ -29,7 +29,7 @@
     async with deployments.deployed(*engines, names=names) as deployment:
         for instance in deployment.instances.values():
             for _ in range(12):
-                instance.work.prefilled(94.0, prompt_tokens=5_200)
+                instance.work.record_prefill(94.0, prompt_tokens=5_200)
                 instance.work.decoded(4_000.0, memory_part=0.12)
         yield deployment
 
@@ -306,7 +306,7 @@
         async with deployments.deployed(*behind) as deployment:
             work = deployment.instances["e1"].work
             for _ in range(20):
-                work.prefilled(2_000.0, prompt_tokens=5_200)
+                work.record_prefill(2_000.0, prompt_tokens=5_200)
                 work.decoded(2_000.0, memory_part=0.12)
             await deployment.clock.sleep_ms(9_000.0)
             assert len(_received_orders(deployment)) == 3
