--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -265,7 +265,7 @@
         self._prompt_tokens.add(prompt_tokens)
         self._prefills.append(_Prefill(prompt_tokens, took_ms, busy_ms))
 
-    def decoded(self, took_ms: float, *, memory_part: float) -> None:
+    def record_decode(self, took_ms: float, *, memory_part: float) -> None:
         """Records how long a response held its share of engine memory."""
         self._decode.add(took_ms * memory_part)
         self._hold_time.add(took_ms)
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -148,7 +148,9 @@
     def learn_stay(self, place: places.Place) -> None:
         """Records how long a completed response held its memory."""
         took_ms = self._clock.now_ms() - place.since_ms
-        self._cost_estimates.decoded(took_ms, memory_part=place.memory_part)
+        self._cost_estimates.record_decode(
+            took_ms, memory_part=place.memory_part
+        )
 
     @contextlib.contextmanager
     def _prefill_assigned(
