--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -270,7 +270,9 @@
         self._decode.add(took_ms * memory_part)
         self._hold_time.add(took_ms)
 
-    def projected(self, will_take_ms: float, *, memory_part: float) -> None:
+    def record_projection(
+        self, will_take_ms: float, *, memory_part: float
+    ) -> None:
         """Records the projected duration of a running response."""
         self._projected.add(will_take_ms * memory_part)
 
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -81,7 +81,9 @@
 
     def projected(self, will_take_ms: float, *, memory_part: float) -> None:
         """See ``Observations``."""
-        self._cost_estimates.projected(will_take_ms, memory_part=memory_part)
+        self._cost_estimates.record_projection(
+            will_take_ms, memory_part=memory_part
+        )
 
     def ended(self, expected_tokens: int, tokens: int) -> None:
         """See ``Observations``."""
--- a/tests/forwarding/test_costs.py
+++ b/tests/forwarding/test_costs.py
@@ -76,7 +76,7 @@
 def test_projected_responses_count_until_enough_completed():
     work = costs.CostEstimates()
     for _ in range(12):
-        work.projected(2_000.0, memory_part=0.1)
+        work.record_projection(2_000.0, memory_part=0.1)
     assert work.decode_ms == pytest.approx(200.0)
     for _ in range(12):
         work.record_decode(4_000.0, memory_part=0.1)
@@ -101,7 +101,7 @@
     """
     work = costs.CostEstimates()
     for _ in range(40):
-        work.projected(4_000.0, memory_part=0.1)
+        work.record_projection(4_000.0, memory_part=0.1)
     for _ in range(12):
         work.record_decode(2_000.0, memory_part=0.1)
     assert work.decode_ms == pytest.approx(400.0)
