--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -276,7 +276,7 @@
         """Records the projected duration of a running response."""
         self._projected.add(will_take_ms * memory_part)
 
-    def began(self, took_ms: float) -> None:
+    def record_first_event(self, took_ms: float) -> None:
         """Records the time from reservation to first event."""
         self._first_event_ms.append(took_ms)
 
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -77,7 +77,7 @@
 
     def began(self, took_ms: float) -> None:
         """See ``Observations``."""
-        self._cost_estimates.began(took_ms)
+        self._cost_estimates.record_first_event(took_ms)
 
     def projected(self, will_take_ms: float, *, memory_part: float) -> None:
         """See ``Observations``."""
--- a/tests/forwarding/test_patience.py
+++ b/tests/forwarding/test_patience.py
@@ -43,10 +43,10 @@
     async def test(policy, work, clock):
         unknown_ms = policy.in_time_ms(_run(clock))
         for _ in range(20):
-            work.began(200.0)
+            work.record_first_event(200.0)
         assert policy.in_time_ms(_run(clock)) == 700.0 > unknown_ms
         for _ in range(80):
-            work.began(5_000.0)
+            work.record_first_event(5_000.0)
         assert 0.0 < policy.in_time_ms(_run(clock)) < 400.0
 
     _with_policy(test)
