--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -34,14 +34,14 @@
     """Cost estimates of one instance, with their sample sizes.
 
     Attributes:
-        readings: Number of prefills.
+        prefills: Number of prefills.
         prefill_ms: Time that one prompt keeps a prefill engine busy.
         answers: Number of responses.
         decode_ms: Time that one response would hold a decode engine's whole
             memory.
     """
 
-    readings: int = 0
+    prefills: int = 0
     prefill_ms: float = 0.0
     answers: int = 0
     decode_ms: float = 0.0
@@ -49,12 +49,12 @@
     @property
     def count(self) -> int:
         """Total sample size."""
-        return self.readings + self.answers
+        return self.prefills + self.answers
 
     @property
     def is_enough(self) -> bool:
         """Whether the sample is large enough to be used on its own."""
-        return self.readings >= _MIN_PREFILLS and self.answers >= _MIN_RESPONSES
+        return self.prefills >= _MIN_PREFILLS and self.answers >= _MIN_RESPONSES
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
         all_reports = list(reports)
         return cls(
             _weighted_mean(
-                [(r.readings, r.prefill_ms) for r in all_reports], _MIN_PREFILLS
+                [(r.prefills, r.prefill_ms) for r in all_reports], _MIN_PREFILLS
             ),
             _weighted_mean(
                 [(r.answers, r.decode_ms) for r in all_reports], _MIN_RESPONSES
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -114,7 +114,7 @@
         if report.count:
             link.tell(
                 leader_messages.CostsObserved(
-                    report.readings,
+                    report.prefills,
                     report.prefill_ms,
                     report.answers,
                     report.decode_ms,
