--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -36,25 +36,27 @@
     Attributes:
         prefills: Number of prefills.
         prefill_ms: Time that one prompt keeps a prefill engine busy.
-        answers: Number of responses.
+        responses: Number of responses.
         decode_ms: Time that one response would hold a decode engine's whole
             memory.
     """
 
     prefills: int = 0
     prefill_ms: float = 0.0
-    answers: int = 0
+    responses: int = 0
     decode_ms: float = 0.0
 
     @property
     def count(self) -> int:
         """Total sample size."""
-        return self.prefills + self.answers
+        return self.prefills + self.responses
 
     @property
     def is_enough(self) -> bool:
         """Whether the sample is large enough to be used on its own."""
-        return self.prefills >= _MIN_PREFILLS and self.answers >= _MIN_RESPONSES
+        return (
+            self.prefills >= _MIN_PREFILLS and self.responses >= _MIN_RESPONSES
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -78,7 +80,8 @@
                 [(r.prefills, r.prefill_ms) for r in all_reports], _MIN_PREFILLS
             ),
             _weighted_mean(
-                [(r.answers, r.decode_ms) for r in all_reports], _MIN_RESPONSES
+                [(r.responses, r.decode_ms) for r in all_reports],
+                _MIN_RESPONSES,
             ),
         )
 
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -116,7 +116,7 @@
                 leader_messages.CostsObserved(
                     report.prefills,
                     report.prefill_ms,
-                    report.answers,
+                    report.responses,
                     report.decode_ms,
                 )
             )
