--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -47,7 +47,7 @@
     decode_ms: float = 0.0
 
     @property
-    def count(self) -> int:
+    def sample_size(self) -> int:
         """Total sample size."""
         return self.prefills + self.responses
 
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -111,7 +111,7 @@
         for known in self._knowledge.greeting():
             link.tell(known)
         report = self._work.report()
-        if report.count:
+        if report.sample_size:
             link.tell(
                 leader_messages.CostsObserved(
                     report.prefills,
