--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -52,7 +52,7 @@
         return self.prefills + self.responses
 
     @property
-    def is_enough(self) -> bool:
+    def is_sufficient(self) -> bool:
         """Whether the sample is large enough to be used on its own."""
         return (
             self.prefills >= _MIN_PREFILLS and self.responses >= _MIN_RESPONSES
