--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -136,7 +136,7 @@
             (*self._reports.values(), self._cost_estimates.report())
         )
 
-    def told(self, instance: str, report: CostReport) -> None:
+    def add_report(self, instance: str, report: CostReport) -> None:
         """Stores the report of another instance."""
         self._reports[instance] = report
 
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -248,7 +248,7 @@
         self, peer: str, message: leader_messages.CostsObserved
     ) -> None:
         was_known = self._fleet_costs.fleet.is_known
-        self._fleet_costs.told(peer, _cost_report(message))
+        self._fleet_costs.add_report(peer, _cost_report(message))
         fleet = self._fleet_costs.fleet
         if fleet.is_known and not was_known:
             beliefs.costs_known(fleet, reports=self._fleet_costs.instances)
