--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -125,7 +125,7 @@
         self._reports: dict[str, CostReport] = {}
 
     @property
-    def instances(self) -> int:
+    def report_count(self) -> int:
         """Number of other instances that have sent a report."""
         return len(self._reports)
 
