--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -294,7 +294,7 @@
             )
             raise
         took_ms = self._clock.now_ms() - began_ms
-        self._observations.prompt_read(engine.name, took_ms, tokens=tokens)
+        self._observations.record_prefill(engine.name, took_ms, tokens=tokens)
         return source
 
     async def _drop_result(self, prefilled: _Prefilled) -> None:
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -13,7 +13,9 @@
 class Observations(Protocol):
     """Receives observations of engines and request costs."""
 
-    def prompt_read(self, engine: str, took_ms: float, *, tokens: int) -> None:
+    def record_prefill(
+        self, engine: str, took_ms: float, *, tokens: int
+    ) -> None:
         """Records that an engine has prefilled a prompt."""
         ...
 
@@ -65,7 +67,9 @@
         self._lengths = lengths
         self._pool = pool
 
-    def prompt_read(self, engine: str, took_ms: float, *, tokens: int) -> None:
+    def record_prefill(
+        self, engine: str, took_ms: float, *, tokens: int
+    ) -> None:
         """See ``Observations``."""
         self._pool.record_success(engine)
         busy_ms = self._pool.record_prefill(
--- a/src/jujubewharf/leadership/led.py
+++ b/src/jujubewharf/leadership/led.py
@@ -63,9 +63,11 @@
         self._leader = leader
         self._local = local
 
-    def prompt_read(self, engine: str, took_ms: float, *, tokens: int) -> None:
+    def record_prefill(
+        self, engine: str, took_ms: float, *, tokens: int
+    ) -> None:
         """See ``observations.Observations``."""
-        self._local.prompt_read(engine, took_ms, tokens=tokens)
+        self._local.record_prefill(engine, took_ms, tokens=tokens)
         self._leader.tell(leader_messages.PromptRead(engine, took_ms, tokens))
 
     def began(self, took_ms: float) -> None:
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -171,7 +171,7 @@
             case leader_messages.ReadingEnded():
                 self._on_reading_ended(message)
             case leader_messages.PromptRead():
-                self._observations.prompt_read(
+                self._observations.record_prefill(
                     message.engine, message.took_ms, tokens=message.tokens
                 )
             case leader_messages.AnswerBegan(took_ms=took_ms):
