--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -19,7 +19,7 @@
         """Records that an engine has prefilled a prompt."""
         ...
 
-    def began(self, took_ms: float) -> None:
+    def record_first_event(self, took_ms: float) -> None:
         """Records the time from reservation to first event."""
         ...
 
@@ -79,7 +79,7 @@
             took_ms, prompt_tokens=tokens, busy_ms=busy_ms
         )
 
-    def began(self, took_ms: float) -> None:
+    def record_first_event(self, took_ms: float) -> None:
         """See ``Observations``."""
         self._cost_estimates.record_first_event(took_ms)
 
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -230,7 +230,9 @@
         self._count += 1
         if self._count == 1:
             self._first_ms = self._clock.now_ms()
-            self._observations.began(self._first_ms - self._upstream.placed_ms)
+            self._observations.record_first_event(
+                self._first_ms - self._upstream.placed_ms
+            )
         elif self._count == _ESTIMATE_EVENTS:
             self._project()
 
--- a/src/jujubewharf/leadership/led.py
+++ b/src/jujubewharf/leadership/led.py
@@ -70,9 +70,9 @@
         self._local.record_prefill(engine, took_ms, tokens=tokens)
         self._leader.tell(leader_messages.PromptRead(engine, took_ms, tokens))
 
-    def began(self, took_ms: float) -> None:
+    def record_first_event(self, took_ms: float) -> None:
         """See ``observations.Observations``."""
-        self._local.began(took_ms)
+        self._local.record_first_event(took_ms)
         self._leader.tell(leader_messages.AnswerBegan(took_ms))
 
     def projected(self, will_take_ms: float, *, memory_part: float) -> None:
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -175,7 +175,7 @@
                     message.engine, message.took_ms, tokens=message.tokens
                 )
             case leader_messages.AnswerBegan(took_ms=took_ms):
-                self._observations.began(took_ms)
+                self._observations.record_first_event(took_ms)
             case leader_messages.AnswerProjected():
                 self._observations.projected(
                     message.will_take_ms, memory_part=message.memory_part
