--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -23,7 +23,9 @@
         """Records the time from reservation to first event."""
         ...
 
-    def projected(self, will_take_ms: float, *, memory_part: float) -> None:
+    def record_projection(
+        self, will_take_ms: float, *, memory_part: float
+    ) -> None:
         """Records how long a running response is projected to hold memory."""
         ...
 
@@ -83,7 +85,9 @@
         """See ``Observations``."""
         self._cost_estimates.record_first_event(took_ms)
 
-    def projected(self, will_take_ms: float, *, memory_part: float) -> None:
+    def record_projection(
+        self, will_take_ms: float, *, memory_part: float
+    ) -> None:
         """See ``Observations``."""
         self._cost_estimates.record_projection(
             will_take_ms, memory_part=memory_part
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -244,7 +244,7 @@
         event_ms = since_ms / (_ESTIMATE_EVENTS - 1)
         event_count = work.answer_tokens / traits.event_tokens
         begun_ms = self._first_ms - self._upstream.placed_ms
-        self._observations.projected(
+        self._observations.record_projection(
             begun_ms + event_count * event_ms,
             memory_part=self._upstream.memory_part,
         )
--- a/src/jujubewharf/leadership/led.py
+++ b/src/jujubewharf/leadership/led.py
@@ -75,9 +75,11 @@
         self._local.record_first_event(took_ms)
         self._leader.tell(leader_messages.AnswerBegan(took_ms))
 
-    def projected(self, will_take_ms: float, *, memory_part: float) -> None:
+    def record_projection(
+        self, will_take_ms: float, *, memory_part: float
+    ) -> None:
         """See ``observations.Observations``."""
-        self._local.projected(will_take_ms, memory_part=memory_part)
+        self._local.record_projection(will_take_ms, memory_part=memory_part)
         self._leader.tell(
             leader_messages.AnswerProjected(will_take_ms, memory_part)
         )
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -177,7 +177,7 @@
             case leader_messages.AnswerBegan(took_ms=took_ms):
                 self._observations.record_first_event(took_ms)
             case leader_messages.AnswerProjected():
-                self._observations.projected(
+                self._observations.record_projection(
                     message.will_take_ms, memory_part=message.memory_part
                 )
             case leader_messages.AnswerEnded():
