--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -29,7 +29,7 @@
         """Records how long a running response is projected to hold memory."""
         ...
 
-    def ended(self, expected_tokens: int, tokens: int) -> None:
+    def record_length(self, expected_tokens: int, tokens: int) -> None:
         """Records the estimated and the actual length of a response."""
         ...
 
@@ -93,7 +93,7 @@
             will_take_ms, memory_part=memory_part
         )
 
-    def ended(self, expected_tokens: int, tokens: int) -> None:
+    def record_length(self, expected_tokens: int, tokens: int) -> None:
         """See ``Observations``."""
         self._lengths.ended(margins.Answer(expected_tokens, tokens))
 
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -191,7 +191,7 @@
         if run.call.work is None or run.traits is None or last is None:
             return
         tokens = last * run.traits.event_tokens
-        self._observations.ended(run.call.work.answer_tokens, tokens)
+        self._observations.record_length(run.call.work.answer_tokens, tokens)
 
     def _idle_timeout_ms(
         self, run: runs.Run, upstream: attempts.Upstream
--- a/src/jujubewharf/leadership/led.py
+++ b/src/jujubewharf/leadership/led.py
@@ -84,9 +84,9 @@
             leader_messages.AnswerProjected(will_take_ms, memory_part)
         )
 
-    def ended(self, expected_tokens: int, tokens: int) -> None:
+    def record_length(self, expected_tokens: int, tokens: int) -> None:
         """See ``observations.Observations``."""
-        self._local.ended(expected_tokens, tokens)
+        self._local.record_length(expected_tokens, tokens)
         self._leader.tell(leader_messages.AnswerEnded(expected_tokens, tokens))
 
     def failed(self, error: client.EngineError) -> None:
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -181,7 +181,7 @@
                     message.will_take_ms, memory_part=message.memory_part
                 )
             case leader_messages.AnswerEnded():
-                self._observations.ended(
+                self._observations.record_length(
                     message.expected_tokens, message.tokens
                 )
             case leader_messages.EngineFailed():
