--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -176,7 +176,7 @@
         expired = client.EngineError(
             client.EngineFault.KV_GONE, prefilled.engine.name
         )
-        self._observations.failed(expired)
+        self._observations.record_failure(expired)
         decisions.engine_failed(run, expired, stage="fetch", took_ms=0.0)
         left = self._budget.left(run.service)
         if not self._budget.take(run.service):
@@ -190,13 +190,13 @@
     def _record_failure(self, error: client.EngineError) -> None:
         if error.fault is client.EngineFault.REFUSED_IDENTITY:
             self._registry.replaced(error.engine)
-        self._observations.failed(error)
+        self._observations.record_failure(error)
 
     async def _is_changing(self, engine: resources.Endpoint) -> bool:
         try:
             return await self._backends.is_changing(engine)
         except client.EngineError as error:
-            self._observations.failed(error)
+            self._observations.record_failure(error)
             return True
 
     @contextlib.asynccontextmanager
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -33,7 +33,7 @@
         """Records the estimated and the actual length of a response."""
         ...
 
-    def failed(self, error: client.EngineError) -> None:
+    def record_failure(self, error: client.EngineError) -> None:
         """Records a failed call to an engine."""
         ...
 
@@ -97,7 +97,7 @@
         """See ``Observations``."""
         self._lengths.ended(margins.Answer(expected_tokens, tokens))
 
-    def failed(self, error: client.EngineError) -> None:
+    def record_failure(self, error: client.EngineError) -> None:
         """See ``Observations``."""
         self._pool.record_failure(error)
 
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -131,7 +131,7 @@
             WharfError: The stream could not be resumed.
         """
         run.lost_by.add(error.engine)
-        self._observations.failed(error)
+        self._observations.record_failure(error)
         decisions.engine_failed(run, error, stage="stream", took_ms=0.0)
         upstream = await self._attempt_elsewhere(run, error, last)
         if not upstream.reply.is_success:
--- a/src/jujubewharf/leadership/led.py
+++ b/src/jujubewharf/leadership/led.py
@@ -89,9 +89,9 @@
         self._local.record_length(expected_tokens, tokens)
         self._leader.tell(leader_messages.AnswerEnded(expected_tokens, tokens))
 
-    def failed(self, error: client.EngineError) -> None:
+    def record_failure(self, error: client.EngineError) -> None:
         """See ``observations.Observations``."""
-        self._local.failed(error)
+        self._local.record_failure(error)
         self._leader.tell(
             leader_messages.EngineFailed(error.engine, error.fault.value)
         )
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -278,7 +278,7 @@
         if fault is not client.EngineFault.UNREACHABLE:
             # An instance that can't reach an engine may be partitioned itself.
             error = client.EngineError(fault, message.engine)
-            self._observations.failed(error)
+            self._observations.record_failure(error)
 
     def _build_run(self, ask: leader_messages.PlaceAsk) -> runs.Run | None:
         """Builds a follower's run; ``None`` if its route is unknown."""
