--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -167,7 +167,7 @@
         if engine is None or await self._is_changing(engine):
             fault = client.EngineFault.REFUSED_ROLE
             changing = client.EngineError(fault, error.engine, "changing")
-            self._observations.changing(error.engine)
+            self._observations.record_role_change(error.engine)
             raise changing from error
         if sending.source is None or prefilled.engine is None:
             raise error
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -37,7 +37,7 @@
         """Records a failed call to an engine."""
         ...
 
-    def changing(self, engine: str) -> None:
+    def record_role_change(self, engine: str) -> None:
         """Records that an engine is changing its role."""
         ...
 
@@ -101,7 +101,7 @@
         """See ``Observations``."""
         self._pool.record_failure(error)
 
-    def changing(self, engine: str) -> None:
+    def record_role_change(self, engine: str) -> None:
         """See ``Observations``."""
         self._pool.record_role_change(engine)
 
--- a/src/jujubewharf/leadership/led.py
+++ b/src/jujubewharf/leadership/led.py
@@ -96,9 +96,9 @@
             leader_messages.EngineFailed(error.engine, error.fault.value)
         )
 
-    def changing(self, engine: str) -> None:
+    def record_role_change(self, engine: str) -> None:
         """See ``observations.Observations``."""
-        self._local.changing(engine)
+        self._local.record_role_change(engine)
         self._leader.tell(leader_messages.EngineChanging(engine))
 
     def answered(self, engine: str) -> None:
