--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -350,5 +350,5 @@
             took_ms = self._clock.now_ms() - began_ms
             decisions.engine_failed(run, error, stage="decode", took_ms=took_ms)
             raise
-        self._observations.answered(engine.name)
+        self._observations.record_response_start(engine.name)
         return reply
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -41,7 +41,7 @@
         """Records that an engine is changing its role."""
         ...
 
-    def answered(self, engine: str) -> None:
+    def record_response_start(self, engine: str) -> None:
         """Records that an engine has started a response."""
         ...
 
@@ -105,7 +105,7 @@
         """See ``Observations``."""
         self._pool.record_role_change(engine)
 
-    def answered(self, engine: str) -> None:
+    def record_response_start(self, engine: str) -> None:
         """See ``Observations``."""
         self._pool.record_success(engine)
 
--- a/src/jujubewharf/leadership/led.py
+++ b/src/jujubewharf/leadership/led.py
@@ -101,9 +101,9 @@
         self._local.record_role_change(engine)
         self._leader.tell(leader_messages.EngineChanging(engine))
 
-    def answered(self, engine: str) -> None:
+    def record_response_start(self, engine: str) -> None:
         """See ``observations.Observations``."""
-        self._local.answered(engine)
+        self._local.record_response_start(engine)
 
     def refused_reading(self, engine: str) -> None:
         """See ``observations.Observations``."""
