--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -260,7 +260,7 @@
         if error.fault is client.EngineFault.UNREACHABLE:
             return True
         if error.fault is client.EngineFault.REFUSED_FULL:
-            self._observations.refused_reading(error.engine)
+            self._observations.record_prefill_refusal(error.engine)
         left = self._budget.left(run.service)
         if not self._budget.take(run.service):
             decisions.not_retried(run, "prefill_failed", budget_left=left)
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -45,7 +45,7 @@
         """Records that an engine has started a response."""
         ...
 
-    def refused_reading(self, engine: str) -> None:
+    def record_prefill_refusal(self, engine: str) -> None:
         """Records that an engine refused a prefill."""
         ...
 
@@ -109,6 +109,6 @@
         """See ``Observations``."""
         self._pool.record_success(engine)
 
-    def refused_reading(self, engine: str) -> None:
+    def record_prefill_refusal(self, engine: str) -> None:
         """See ``Observations``."""
         self._pool.record_prefill_refusal(engine)
--- a/src/jujubewharf/leadership/led.py
+++ b/src/jujubewharf/leadership/led.py
@@ -105,7 +105,7 @@
         """See ``observations.Observations``."""
         self._local.record_response_start(engine)
 
-    def refused_reading(self, engine: str) -> None:
+    def record_prefill_refusal(self, engine: str) -> None:
         """See ``observations.Observations``."""
-        self._local.refused_reading(engine)
+        self._local.record_prefill_refusal(engine)
         self._leader.tell(leader_messages.ReadingRefused(engine))
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -189,7 +189,7 @@
             case leader_messages.EngineChanging(engine=engine):
                 self._observations.record_role_change(engine)
             case leader_messages.ReadingRefused(engine=engine):
-                self._observations.refused_reading(engine)
+                self._observations.record_prefill_refusal(engine)
         return None
 
     async def _place_request(
