--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -268,16 +268,16 @@
         self._prompt_tokens.add(prompt_tokens)
         self._prefills.append(_Prefill(prompt_tokens, took_ms, busy_ms))
 
-    def record_decode(self, took_ms: float, *, memory_part: float) -> None:
+    def record_decode(self, took_ms: float, *, memory_share: float) -> None:
         """Records how long a response held its share of engine memory."""
-        self._decode.add(took_ms * memory_part)
+        self._decode.add(took_ms * memory_share)
         self._hold_time.add(took_ms)
 
     def record_projection(
-        self, will_take_ms: float, *, memory_part: float
+        self, will_take_ms: float, *, memory_share: float
     ) -> None:
         """Records the projected duration of a running response."""
-        self._projected.add(will_take_ms * memory_part)
+        self._projected.add(will_take_ms * memory_share)
 
     def record_first_event(self, took_ms: float) -> None:
         """Records the time from reservation to first event."""
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -149,7 +149,7 @@
         """Records how long a completed response held its memory."""
         took_ms = self._clock.now_ms() - place.since_ms
         self._cost_estimates.record_decode(
-            took_ms, memory_part=place.memory_part
+            took_ms, memory_share=place.memory_part
         )
 
     @contextlib.contextmanager
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -246,7 +246,7 @@
         begun_ms = self._first_ms - self._upstream.placed_ms
         self._observations.record_projection(
             begun_ms + event_count * event_ms,
-            memory_part=self._upstream.memory_part,
+            memory_share=self._upstream.memory_part,
         )
 
 
--- a/tests/forwarding/test_costs.py
+++ b/tests/forwarding/test_costs.py
@@ -43,7 +43,7 @@
 def test_decode_cost_is_weighted_by_memory_share():
     work = costs.CostEstimates()
     for _ in range(200):
-        work.record_decode(4_000.0, memory_part=0.25)
+        work.record_decode(4_000.0, memory_share=0.25)
     assert work.decode_ms == pytest.approx(1_000.0, rel=0.01)
 
 
@@ -53,10 +53,10 @@
     for _ in range(5):
         work.record_prefill(100.0, prompt_tokens=5_000)
     for _ in range(11):
-        work.record_decode(4_000.0, memory_part=0.25)
+        work.record_decode(4_000.0, memory_share=0.25)
     assert (work.prefill_ms, work.decode_ms) == (None, None)
     work.record_prefill(100.0, prompt_tokens=5_000)
-    work.record_decode(4_000.0, memory_part=0.25)
+    work.record_decode(4_000.0, memory_share=0.25)
     assert work.prefill_ms == pytest.approx(100.0)
     assert work.decode_ms == pytest.approx(1_000.0)
 
@@ -76,10 +76,10 @@
 def test_projected_responses_count_until_enough_completed():
     work = costs.CostEstimates()
     for _ in range(12):
-        work.record_projection(2_000.0, memory_part=0.1)
+        work.record_projection(2_000.0, memory_share=0.1)
     assert work.decode_ms == pytest.approx(200.0)
     for _ in range(12):
-        work.record_decode(4_000.0, memory_part=0.1)
+        work.record_decode(4_000.0, memory_share=0.1)
     assert work.decode_ms == pytest.approx(400.0)
 
 
@@ -101,10 +101,10 @@
     """
     work = costs.CostEstimates()
     for _ in range(40):
-        work.record_projection(4_000.0, memory_part=0.1)
+        work.record_projection(4_000.0, memory_share=0.1)
     for _ in range(12):
-        work.record_decode(2_000.0, memory_part=0.1)
+        work.record_decode(2_000.0, memory_share=0.1)
     assert work.decode_ms == pytest.approx(400.0)
     for _ in range(200):
-        work.record_decode(4_000.0, memory_part=0.1)
+        work.record_decode(4_000.0, memory_share=0.1)
     assert work.decode_ms == pytest.approx(400.0, rel=0.01)
--- a/tests/forwarding/test_ordering.py
+++ b/tests/forwarding/test_ordering.py
@@ -30,7 +30,7 @@
         for instance in deployment.instances.values():
             for _ in range(12):
                 instance.work.record_prefill(94.0, prompt_tokens=5_200)
-                instance.work.record_decode(4_000.0, memory_part=0.12)
+                instance.work.record_decode(4_000.0, memory_share=0.12)
         yield deployment
 
 
@@ -307,7 +307,7 @@
             work = deployment.instances["e1"].work
             for _ in range(20):
                 work.record_prefill(2_000.0, prompt_tokens=5_200)
-                work.record_decode(2_000.0, memory_part=0.12)
+                work.record_decode(2_000.0, memory_share=0.12)
             await deployment.clock.sleep_ms(9_000.0)
             assert len(_received_orders(deployment)) == 3
 
--- a/tests/forwarding/test_patience.py
+++ b/tests/forwarding/test_patience.py
@@ -57,7 +57,7 @@
 
     async def test(policy, work, clock):
         for _ in range(20):
-            work.record_decode(4_000.0, memory_part=0.1)
+            work.record_decode(4_000.0, memory_share=0.1)
         assert policy.late_ms(_run(clock, patience_ms=9_000.0)) > 2_000.0
         assert policy.late_ms(_run(clock, patience_ms=4_000.0)) < 0.0
 
@@ -72,7 +72,7 @@
 
     async def test(policy, work, clock):
         for _ in range(20):
-            work.record_decode(3_000.0, memory_part=0.1)
+            work.record_decode(3_000.0, memory_share=0.1)
         call = _run(clock).call
         times_ms = [policy.come_back_ms(call, 10) for _ in range(4)]
         assert times_ms[0] >= 2_400.0
--- a/tests/leadership/test_orders.py
+++ b/tests/leadership/test_orders.py
@@ -44,7 +44,7 @@
 def _observe(instance, count: int) -> None:
     for _ in range(count):
         instance.work.record_prefill(94.0, prompt_tokens=5_200)
-        instance.work.record_decode(4_000.0, memory_part=0.12)
+        instance.work.record_decode(4_000.0, memory_share=0.12)
 
 
 def test_observations_of_all_instances_count_together():
