--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -274,10 +274,10 @@
         self._hold_time.add(took_ms)
 
     def record_projection(
-        self, will_take_ms: float, *, memory_share: float
+        self, projected_ms: float, *, memory_share: float
     ) -> None:
         """Records the projected duration of a running response."""
-        self._projected.add(will_take_ms * memory_share)
+        self._projected.add(projected_ms * memory_share)
 
     def record_first_event(self, took_ms: float) -> None:
         """Records the time from reservation to first event."""
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -24,7 +24,7 @@
         ...
 
     def record_projection(
-        self, will_take_ms: float, *, memory_share: float
+        self, projected_ms: float, *, memory_share: float
     ) -> None:
         """Records how long a running response is projected to hold memory."""
         ...
@@ -86,11 +86,11 @@
         self._cost_estimates.record_first_event(took_ms)
 
     def record_projection(
-        self, will_take_ms: float, *, memory_share: float
+        self, projected_ms: float, *, memory_share: float
     ) -> None:
         """See ``Observations``."""
         self._cost_estimates.record_projection(
-            will_take_ms, memory_share=memory_share
+            projected_ms, memory_share=memory_share
         )
 
     def record_length(self, expected_tokens: int, tokens: int) -> None:
--- a/src/jujubewharf/leadership/led.py
+++ b/src/jujubewharf/leadership/led.py
@@ -76,12 +76,12 @@
         self._leader.tell(leader_messages.AnswerBegan(took_ms))
 
     def record_projection(
-        self, will_take_ms: float, *, memory_share: float
+        self, projected_ms: float, *, memory_share: float
     ) -> None:
         """See ``observations.Observations``."""
-        self._local.record_projection(will_take_ms, memory_share=memory_share)
+        self._local.record_projection(projected_ms, memory_share=memory_share)
         self._leader.tell(
-            leader_messages.AnswerProjected(will_take_ms, memory_share)
+            leader_messages.AnswerProjected(projected_ms, memory_share)
         )
 
     def record_length(self, expected_tokens: int, tokens: int) -> None:
