--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -85,7 +85,7 @@
         registry: registries.Registry,
         places: all_places.Places,
         budget: budgets.FleetRetryBudget,
-        observations: observed.Observations,
+        observations: observed.Observer,
         limits: all_limits.Permits,
         restraints: all_restraints.Restraints,
         clock: clocks.Clock,
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -10,7 +10,7 @@
 from jujubewharf.forwarding import pool as pools
 
 
-class Observations(Protocol):
+class Observer(Protocol):
     """Receives observations of engines and request costs."""
 
     def record_prefill(
@@ -72,7 +72,7 @@
     def record_prefill(
         self, engine: str, took_ms: float, *, tokens: int
     ) -> None:
-        """See ``Observations``."""
+        """See ``Observer``."""
         self._pool.record_success(engine)
         busy_ms = self._pool.record_prefill(
             engine, took_ms=took_ms, tokens=tokens
@@ -82,33 +82,33 @@
         )
 
     def record_first_event(self, took_ms: float) -> None:
-        """See ``Observations``."""
+        """See ``Observer``."""
         self._cost_estimates.record_first_event(took_ms)
 
     def record_projection(
         self, projected_ms: float, *, memory_share: float
     ) -> None:
-        """See ``Observations``."""
+        """See ``Observer``."""
         self._cost_estimates.record_projection(
             projected_ms, memory_share=memory_share
         )
 
     def record_length(self, expected_tokens: int, tokens: int) -> None:
-        """See ``Observations``."""
+        """See ``Observer``."""
         self._lengths.ended(margins.Answer(expected_tokens, tokens))
 
     def record_failure(self, error: client.EngineError) -> None:
-        """See ``Observations``."""
+        """See ``Observer``."""
         self._pool.record_failure(error)
 
     def record_role_change(self, engine: str) -> None:
-        """See ``Observations``."""
+        """See ``Observer``."""
         self._pool.record_role_change(engine)
 
     def record_response_start(self, engine: str) -> None:
-        """See ``Observations``."""
+        """See ``Observer``."""
         self._pool.record_success(engine)
 
     def record_prefill_refusal(self, engine: str) -> None:
-        """See ``Observations``."""
+        """See ``Observer``."""
         self._pool.record_prefill_refusal(engine)
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -48,7 +48,7 @@
         self,
         sender: attempts.StreamAttempts,
         budget: budgets.FleetRetryBudget,
-        observations: observed.Observations,
+        observations: observed.Observer,
         clock: clocks.Clock,
     ) -> None:
         self._attempts = sender
@@ -213,7 +213,7 @@
 
     def __init__(
         self,
-        observations: observed.Observations,
+        observations: observed.Observer,
         run: runs.Run,
         upstream: attempts.Upstream,
         clock: clocks.Clock,
--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -231,7 +231,7 @@
 
 def new_placement_server_of(
     places: placements.Placement,
-    observations: observed.Observations,
+    observations: observed.Observer,
     source: forwarder.ActiveConfiguration,
     fleet_costs: costs.FleetCostEstimator,
     quotas: servers.FollowerQuotas,
--- a/src/jujubewharf/leadership/led.py
+++ b/src/jujubewharf/leadership/led.py
@@ -58,7 +58,7 @@
     """
 
     def __init__(
-        self, leader: leader_link.LeaderLink, local: observed.Observations
+        self, leader: leader_link.LeaderLink, local: observed.Observer
     ) -> None:
         self._leader = leader
         self._local = local
@@ -66,46 +66,46 @@
     def record_prefill(
         self, engine: str, took_ms: float, *, tokens: int
     ) -> None:
-        """See ``observations.Observations``."""
+        """See ``observations.Observer``."""
         self._local.record_prefill(engine, took_ms, tokens=tokens)
         self._leader.tell(leader_messages.PromptRead(engine, took_ms, tokens))
 
     def record_first_event(self, took_ms: float) -> None:
-        """See ``observations.Observations``."""
+        """See ``observations.Observer``."""
         self._local.record_first_event(took_ms)
         self._leader.tell(leader_messages.AnswerBegan(took_ms))
 
     def record_projection(
         self, projected_ms: float, *, memory_share: float
     ) -> None:
-        """See ``observations.Observations``."""
+        """See ``observations.Observer``."""
         self._local.record_projection(projected_ms, memory_share=memory_share)
         self._leader.tell(
             leader_messages.AnswerProjected(projected_ms, memory_share)
         )
 
     def record_length(self, expected_tokens: int, tokens: int) -> None:
-        """See ``observations.Observations``."""
+        """See ``observations.Observer``."""
         self._local.record_length(expected_tokens, tokens)
         self._leader.tell(leader_messages.AnswerEnded(expected_tokens, tokens))
 
     def record_failure(self, error: client.EngineError) -> None:
-        """See ``observations.Observations``."""
+        """See ``observations.Observer``."""
         self._local.record_failure(error)
         self._leader.tell(
             leader_messages.EngineFailed(error.engine, error.fault.value)
         )
 
     def record_role_change(self, engine: str) -> None:
-        """See ``observations.Observations``."""
+        """See ``observations.Observer``."""
         self._local.record_role_change(engine)
         self._leader.tell(leader_messages.EngineChanging(engine))
 
     def record_response_start(self, engine: str) -> None:
-        """See ``observations.Observations``."""
+        """See ``observations.Observer``."""
         self._local.record_response_start(engine)
 
     def record_prefill_refusal(self, engine: str) -> None:
-        """See ``observations.Observations``."""
+        """See ``observations.Observer``."""
         self._local.record_prefill_refusal(engine)
         self._leader.tell(leader_messages.ReadingRefused(engine))
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -113,7 +113,7 @@
     def __init__(
         self,
         places: placements.Placement,
-        observations: observed.Observations,
+        observations: observed.Observer,
         source: forwarder.ActiveConfiguration,
         fleet_costs: costs.FleetCostEstimator,
         quotas: FollowerQuotas,
