--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -234,7 +234,7 @@
             clock,
             rng,
         )
-        local = observations.LocalObservations(self.work, lengths, engines)
+        local = observations.LocalObserver(self.work, lengths, engines)
         observed = led.FleetObservations(self.fleet.link, local)
         if adapters.peers is not None:
             self._leadership = self.fleet.new_leadership(
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -50,7 +50,7 @@
         ...
 
 
-class LocalObservations:
+class LocalObserver:
     """Passes observations to the estimates and engine state of this instance.
 
     Args:
