--- a/src/jujubewharf/forwarding/margins.py
+++ b/src/jujubewharf/forwarding/margins.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class ResponseLength:
     """Length of a completed response.
 
     Attributes:
@@ -66,7 +66,7 @@
     """Statistics of response lengths and of callers' estimates."""
 
     def __init__(self) -> None:
-        self._responses: collections.deque[Answer] = collections.deque(
+        self._responses: collections.deque[ResponseLength] = collections.deque(
             maxlen=_SAMPLE_SIZE
         )
         self._estimates: collections.deque[int] = collections.deque(
@@ -80,7 +80,7 @@
         self._estimates.append(tokens)
         self._count_sample()
 
-    def ended(self, answer: Answer) -> None:
+    def ended(self, answer: ResponseLength) -> None:
         """Records the length of a completed response."""
         self._responses.append(answer)
         self._count_sample()
@@ -108,15 +108,17 @@
         ):
             self._margins.clear()
 
-    def _prediction_sample(self) -> Sequence[Answer]:
+    def _prediction_sample(self) -> Sequence[ResponseLength]:
         """Returns the sample from which the next responses are predicted."""
         if len(self._responses) >= _MIN_SAMPLE_SIZE:
             return self._responses
-        return [Answer(tokens, tokens) for tokens in self._estimates]
+        return [ResponseLength(tokens, tokens) for tokens in self._estimates]
 
 
 def _smallest_margin(
-    responses: Sequence[Answer], prompt_tokens: float, memory_tokens: int
+    responses: Sequence[ResponseLength],
+    prompt_tokens: float,
+    memory_tokens: int,
 ) -> Margin:
     if not responses:
         return Margin(1.0, 0)
@@ -138,7 +140,7 @@
 
 
 def _peak_outgrown_tokens(
-    responses: Sequence[Answer], share: float, count: float
+    responses: Sequence[ResponseLength], share: float, count: float
 ) -> float:
     """Returns the peak memory by which responses outgrow reservations.
 
--- a/tests/forwarding/test_margins.py
+++ b/tests/forwarding/test_margins.py
@@ -14,10 +14,10 @@
 
 def _random_length(
     rng: random.Random, mean: int, spread: float
-) -> margins.Answer:
+) -> margins.ResponseLength:
     tokens = mean * rng.lognormvariate(-0.25, 0.7)
     expected = tokens * rng.lognormvariate(0.0, spread)
-    return margins.Answer(int(expected), int(tokens))
+    return margins.ResponseLength(int(expected), int(tokens))
 
 
 def _margin(mean: int, spread: float, *, count: int = 64) -> margins.Margin:
@@ -40,7 +40,7 @@
     for _ in range(40):
         lengths.expected(6_000)
     for _ in range(4):
-        lengths.ended(margins.Answer(6_000, 100))
+        lengths.ended(margins.ResponseLength(6_000, 100))
     margin = lengths.margin(
         prompt_tokens=PROMPT_TOKENS, memory_tokens=MEMORY_TOKENS
     )
@@ -60,7 +60,7 @@
     rng = random.Random(8)
     bursts, ran_out = 400, 0
     for _ in range(bursts):
-        admitted: list[margins.Answer] = []
+        admitted: list[margins.ResponseLength] = []
         left = MEMORY_TOKENS
         while True:
             answer = _random_length(rng, mean, spread)
@@ -76,7 +76,9 @@
     assert ran_out / bursts < 0.2
 
 
-def _used(answers: list[margins.Answer], part: float, grown: int) -> float:
+def _used(
+    answers: list[margins.ResponseLength], part: float, grown: int
+) -> float:
     return sum(
         PROMPT_TOKENS + max(part * answer.expected_tokens, grown)
         for answer in answers
@@ -94,7 +96,7 @@
     needs = []
     for tokens in (1_000, 3_000):
         for _ in range(64):
-            lengths.ended(margins.Answer(1_000, tokens))
+            lengths.ended(margins.ResponseLength(1_000, tokens))
         margin = lengths.margin(
             prompt_tokens=PROMPT_TOKENS, memory_tokens=MEMORY_TOKENS
         )
