--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -208,7 +208,7 @@
         )
         self.registry.listen(chooser.set_endpoints)
         engines = pool.EnginePool(self.work, self.restraints, clock, rng)
-        lengths = margins.AnswerLengths()
+        lengths = margins.ResponseLengths()
         self.registry.listen(engines.update_engines)
         self._orders = ordering.RoleOrders(
             self._settings.instance,
--- a/src/jujubewharf/forwarding/margins.py
+++ b/src/jujubewharf/forwarding/margins.py
@@ -62,7 +62,7 @@
     free_tokens: int
 
 
-class AnswerLengths:
+class ResponseLengths:
     """Statistics of response lengths and of callers' estimates."""
 
     def __init__(self) -> None:
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -62,7 +62,7 @@
     def __init__(
         self,
         cost_estimates: costs.CostEstimates,
-        lengths: margins.AnswerLengths,
+        lengths: margins.ResponseLengths,
         pool: pools.EnginePool,
     ) -> None:
         self._cost_estimates = cost_estimates
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -97,7 +97,7 @@
         registry: registries.Registry,
         pool: pools.EnginePool,
         cost_estimates: costs.CostEstimates,
-        lengths: margins.AnswerLengths,
+        lengths: margins.ResponseLengths,
         quotas: all_quotas.Quotas,
         limits: all_limits.Permits,
         restraints: all_restraints.Restraints,
--- a/tests/forwarding/test_margins.py
+++ b/tests/forwarding/test_margins.py
@@ -22,7 +22,7 @@
 
 def _margin(mean: int, spread: float, *, count: int = 64) -> margins.Margin:
     rng = random.Random(7)
-    lengths = margins.AnswerLengths()
+    lengths = margins.ResponseLengths()
     for _ in range(count):
         lengths.ended(_random_length(rng, mean, spread))
     return lengths.margin(
@@ -36,7 +36,7 @@
 
 def test_estimates_are_used_until_enough_responses_completed():
     """Short responses complete first and must not bias the margin."""
-    lengths = margins.AnswerLengths()
+    lengths = margins.ResponseLengths()
     for _ in range(40):
         lengths.expected(6_000)
     for _ in range(4):
@@ -92,7 +92,7 @@
 
 
 def test_margin_follows_latest_responses():
-    lengths = margins.AnswerLengths()
+    lengths = margins.ResponseLengths()
     needs = []
     for tokens in (1_000, 3_000):
         for _ in range(64):
