--- a/src/jujubewharf/forwarding/margins.py
+++ b/src/jujubewharf/forwarding/margins.py
@@ -75,7 +75,7 @@
         self._count = 0
         self._margins: dict[int, Margin] = {}
 
-    def expected(self, tokens: int) -> None:
+    def record_estimate(self, tokens: int) -> None:
         """Records a caller's estimate, in tokens."""
         self._estimates.append(tokens)
         self._count_sample()
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -271,7 +271,7 @@
         mean_tokens = self._cost_estimates.prompt_tokens or float(
             work.prompt_tokens
         )
-        self._lengths.expected(work.answer_tokens)
+        self._lengths.record_estimate(work.answer_tokens)
         margin = self._lengths.margin(
             prompt_tokens=mean_tokens, memory_tokens=traits.memory_tokens
         )
--- a/tests/forwarding/test_margins.py
+++ b/tests/forwarding/test_margins.py
@@ -38,7 +38,7 @@
     """Short responses complete first and must not bias the margin."""
     lengths = margins.ResponseLengths()
     for _ in range(40):
-        lengths.expected(6_000)
+        lengths.record_estimate(6_000)
     for _ in range(4):
         lengths.ended(margins.ResponseLength(6_000, 100))
     margin = lengths.margin(
