--- a/src/jujubewharf/forwarding/margins.py
+++ b/src/jujubewharf/forwarding/margins.py
@@ -80,7 +80,7 @@
         self._estimates.append(tokens)
         self._count_sample()
 
-    def ended(self, answer: ResponseLength) -> None:
+    def record_length(self, answer: ResponseLength) -> None:
         """Records the length of a completed response."""
         self._responses.append(answer)
         self._count_sample()
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -95,7 +95,9 @@
 
     def record_length(self, expected_tokens: int, tokens: int) -> None:
         """See ``Observer``."""
-        self._lengths.ended(margins.ResponseLength(expected_tokens, tokens))
+        self._lengths.record_length(
+            margins.ResponseLength(expected_tokens, tokens)
+        )
 
     def record_failure(self, error: client.EngineError) -> None:
         """See ``Observer``."""
--- a/tests/forwarding/test_margins.py
+++ b/tests/forwarding/test_margins.py
@@ -24,7 +24,7 @@
     rng = random.Random(7)
     lengths = margins.ResponseLengths()
     for _ in range(count):
-        lengths.ended(_random_length(rng, mean, spread))
+        lengths.record_length(_random_length(rng, mean, spread))
     return lengths.margin(
         prompt_tokens=PROMPT_TOKENS, memory_tokens=MEMORY_TOKENS
     )
@@ -40,7 +40,7 @@
     for _ in range(40):
         lengths.record_estimate(6_000)
     for _ in range(4):
-        lengths.ended(margins.ResponseLength(6_000, 100))
+        lengths.record_length(margins.ResponseLength(6_000, 100))
     margin = lengths.margin(
         prompt_tokens=PROMPT_TOKENS, memory_tokens=MEMORY_TOKENS
     )
@@ -96,7 +96,7 @@
     needs = []
     for tokens in (1_000, 3_000):
         for _ in range(64):
-            lengths.ended(margins.ResponseLength(1_000, tokens))
+            lengths.record_length(margins.ResponseLength(1_000, tokens))
         margin = lengths.margin(
             prompt_tokens=PROMPT_TOKENS, memory_tokens=MEMORY_TOKENS
         )
