--- a/src/jujubewharf/forwarding/margins.py
+++ b/src/jujubewharf/forwarding/margins.py
@@ -54,11 +54,11 @@
     """Reservation for a response, and headroom on its engine.
 
     Attributes:
-        part: Share of the estimated length to reserve.
+        reserved_share: Share of the estimated length to reserve.
         free_tokens: Headroom that must be free in addition, in tokens.
     """
 
-    part: float
+    reserved_share: float
     free_tokens: int
 
 
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -275,7 +275,9 @@
         margin = self._lengths.margin(
             prompt_tokens=mean_tokens, memory_tokens=traits.memory_tokens
         )
-        tokens = work.prompt_tokens + int(work.answer_tokens * margin.part)
+        tokens = work.prompt_tokens + int(
+            work.answer_tokens * margin.reserved_share
+        )
         # A request that doesn't fit into an empty engine with its headroom is
         # still asked for, with less headroom.
         max_free_tokens = max(0, traits.memory_tokens - tokens)
--- a/tests/forwarding/test_margins.py
+++ b/tests/forwarding/test_margins.py
@@ -45,7 +45,7 @@
         prompt_tokens=PROMPT_TOKENS, memory_tokens=MEMORY_TOKENS
     )
     answers = MEMORY_TOKENS / (PROMPT_TOKENS + 6_000)
-    reserved = 6_000 * margin.part * answers
+    reserved = 6_000 * margin.reserved_share * answers
     assert reserved + margin.free_tokens >= 0.99 * 6_000 * answers
 
 
@@ -64,13 +64,16 @@
         left = MEMORY_TOKENS
         while True:
             answer = _random_length(rng, mean, spread)
-            need = PROMPT_TOKENS + margin.part * answer.expected_tokens
+            need = (
+                PROMPT_TOKENS + margin.reserved_share * answer.expected_tokens
+            )
             if left < need + margin.free_tokens:
                 break
             left -= need
             admitted.append(answer)
         ran_out += any(
-            _used(admitted, margin.part, answer.tokens) > MEMORY_TOKENS
+            _used(admitted, margin.reserved_share, answer.tokens)
+            > MEMORY_TOKENS
             for answer in admitted
         )
     assert ran_out / bursts < 0.2
@@ -100,5 +103,5 @@
         margin = lengths.margin(
             prompt_tokens=PROMPT_TOKENS, memory_tokens=MEMORY_TOKENS
         )
-        needs.append(1_000 * margin.part + margin.free_tokens)
+        needs.append(1_000 * margin.reserved_share + margin.free_tokens)
     assert needs[1] > 4 * needs[0]
