--- a/src/jujubewharf/forwarding/line.py
+++ b/src/jujubewharf/forwarding/line.py
@@ -47,7 +47,7 @@
         self._wake_event.clear()
 
 
-class Line:
+class WaitQueue:
     """Queued requests of one service, in order of rank."""
 
     def __init__(self) -> None:
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -117,7 +117,7 @@
         self._clock = clock
         self._rng = rng
         self._patience = patience.Patience(cost_estimates, clock)
-        self._queues: dict[str, lines.Line] = {}
+        self._queues: dict[str, lines.WaitQueue] = {}
         self._running = 0
 
     @contextlib.asynccontextmanager
@@ -395,8 +395,8 @@
             errors.ErrorKind.QUEUE_FULL, retry_after_ms=retry_after_ms
         )
 
-    def _queue_of(self, service: str) -> lines.Line:
-        return self._queues.setdefault(service, lines.Line())
+    def _queue_of(self, service: str) -> lines.WaitQueue:
+        return self._queues.setdefault(service, lines.WaitQueue())
 
     async def _release(
         self, engine: resources.Endpoint, reservation_id: str
--- a/tests/forwarding/test_line.py
+++ b/tests/forwarding/test_line.py
@@ -20,7 +20,7 @@
     """No request stays asleep when memory for several comes free at once."""
 
     async def main():
-        line, asked = lines.Line(), []
+        line, asked = lines.WaitQueue(), []
 
         async def wait(waiter):
             with line.joined(waiter):
