--- a/src/jujubewharf/forwarding/line.py
+++ b/src/jujubewharf/forwarding/line.py
@@ -57,7 +57,7 @@
         return len(self._waiters)
 
     @contextlib.contextmanager
-    def joined(self, waiter: Waiter) -> Iterator[None]:
+    def enqueued(self, waiter: Waiter) -> Iterator[None]:
         """Keeps a request in the queue while the block runs."""
         self._waiters.append(waiter)
         self._waiters.sort(key=lambda w: w.rank)
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -194,7 +194,7 @@
         waiter = lines.Waiter(is_deprioritized, started_ms + wait_ms)
         queue = self._queue_of(run.service)
         max_engines = _FIRST_ROUND_ENGINES
-        with queue.joined(waiter):
+        with queue.enqueued(waiter):
             while self._clock.now_ms() <= waiter.due_ms:
                 place = await self._try_engines(
                     run, demand, max_engines=max_engines
--- a/tests/forwarding/test_line.py
+++ b/tests/forwarding/test_line.py
@@ -23,7 +23,7 @@
         line, asked = lines.WaitQueue(), []
 
         async def wait(waiter):
-            with line.joined(waiter):
+            with line.enqueued(waiter):
                 await waiter.woken()
                 asked.append(waiter.due_ms)
                 line.wake_after(waiter)
