--- a/src/jujubewharf/forwarding/line.py
+++ b/src/jujubewharf/forwarding/line.py
@@ -41,7 +41,7 @@
         """Wakes the request so that it asks engines again."""
         self._wake_event.set()
 
-    async def woken(self) -> None:
+    async def wait_until_woken(self) -> None:
         """Waits until the request is woken."""
         await self._wake_event.wait()
         self._wake_event.clear()
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -259,7 +259,7 @@
             async with self._clock.timeout_ms(
                 max(1.0, min(interval_ms, remaining_ms))
             ):
-                await waiter.woken()
+                await waiter.wait_until_woken()
 
     def _demand_of(self, run: runs.Run) -> _MemoryDemand:
         """Returns the memory that the request needs."""
--- a/tests/forwarding/test_line.py
+++ b/tests/forwarding/test_line.py
@@ -24,7 +24,7 @@
 
         async def wait(waiter):
             with line.enqueued(waiter):
-                await waiter.woken()
+                await waiter.wait_until_woken()
                 asked.append(waiter.due_ms)
                 line.wake_after(waiter)
 
