--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -22,7 +22,6 @@
 from jujubewharf.forwarding import costs
 from jujubewharf.forwarding import decisions
 from jujubewharf.forwarding import limits as all_limits
-from jujubewharf.forwarding import line as lines
 from jujubewharf.forwarding import margins
 from jujubewharf.forwarding import patience
 from jujubewharf.forwarding import places
@@ -33,6 +32,7 @@
 from jujubewharf.forwarding import restraints as all_restraints
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
+from jujubewharf.forwarding import wait_queue as wait_queues
 
 # Number of engines that a request asks in its first round and in each later
 # round. When this many are full the next one most likely is too, and asking
@@ -117,7 +117,7 @@
         self._clock = clock
         self._rng = rng
         self._patience = patience.Patience(cost_estimates, clock)
-        self._queues: dict[str, lines.WaitQueue] = {}
+        self._queues: dict[str, wait_queues.WaitQueue] = {}
         self._running = 0
 
     @contextlib.asynccontextmanager
@@ -191,7 +191,7 @@
         # already has part of the response, which a failure would waste.
         is_deprioritized = is_late and not run.may_have_run
         demand = self._demand_of(run)
-        waiter = lines.Waiter(is_deprioritized, started_ms + wait_ms)
+        waiter = wait_queues.Waiter(is_deprioritized, started_ms + wait_ms)
         queue = self._queue_of(run.service)
         max_engines = _FIRST_ROUND_ENGINES
         with queue.enqueued(waiter):
@@ -246,7 +246,7 @@
         ]
         return min(waits, default=0.0) or None
 
-    async def _pause(self, waiter: lines.Waiter) -> None:
+    async def _pause(self, waiter: wait_queues.Waiter) -> None:
         """Waits until the request is woken, should ask again, or is due."""
         interval_ms = _DEFAULT_ASK_INTERVAL_MS
         if self._cost_estimates.decode_ms is not None:
@@ -395,8 +395,8 @@
             errors.ErrorKind.QUEUE_FULL, retry_after_ms=retry_after_ms
         )
 
-    def _queue_of(self, service: str) -> lines.WaitQueue:
-        return self._queues.setdefault(service, lines.WaitQueue())
+    def _queue_of(self, service: str) -> wait_queues.WaitQueue:
+        return self._queues.setdefault(service, wait_queues.WaitQueue())
 
     async def _release(
         self, engine: resources.Endpoint, reservation_id: str
