--- a/benchmarks/crash_checks.py
+++ b/benchmarks/crash_checks.py
@@ -43,7 +43,7 @@
         call = _call(f"/verdicts/{number}", b"body %d" % number)
         for engine in range(crashes_each):
             name = f"i-{number:05x}{engine:05x}"
-            history.crashed(call, name, stage="run")
+            history.record_crash(call, name, stage="run")
     return history
 
 
@@ -75,10 +75,10 @@
         nothing_us = _check_us(history, call)
         for number in range(500):
             other = _call(f"/verdicts/{number + 2}", b"b" * size_bytes)
-            history.crashed(other, "engine", stage="run")
+            history.record_crash(other, "engine", stage="run")
         others_us = _check_us(history, call)
         alike = _call("/verdicts/1", b"b" * size_bytes)
-        history.crashed(alike, "engine", stage="run")
+        history.record_crash(alike, "engine", stage="run")
         alike_us = _check_us(history, call)
         print(
             f"{size_bytes:10}  {nothing_us:13.2f}  {others_us:12.2f}"
--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -114,7 +114,9 @@
     def __repr__(self) -> str:
         return f"CrashHistory(requests={len(self)})"
 
-    def crashed(self, call: calls.Call, engine: str, *, stage: str) -> None:
+    def record_crash(
+        self, call: calls.Call, engine: str, *, stage: str
+    ) -> None:
         """Records that an engine crashed while it processed a request.
 
         Args:
--- a/src/jujubewharf/forwarding/watched_backends.py
+++ b/src/jujubewharf/forwarding/watched_backends.py
@@ -115,4 +115,4 @@
         self, endpoint: resources.Endpoint, call: calls.Call, stage: str
     ) -> None:
         if await self._backends.has_crashed(endpoint):
-            self._history.crashed(call, endpoint.name, stage=stage)
+            self._history.record_crash(call, endpoint.name, stage=stage)
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -39,7 +39,7 @@
 
 def _crash(history, call, *engines: str) -> None:
     for engine in engines:
-        history.crashed(call, engine, stage="run")
+        history.record_crash(call, engine, stage="run")
 
 
 def _is_quarantined(history, call) -> bool:
--- a/tests/leadership/test_crash_keeper.py
+++ b/tests/leadership/test_crash_keeper.py
@@ -22,7 +22,9 @@
 def _crash(world, *engines: str, instance: str = "e2", body=CRASHING) -> None:
     call = world.call("/sale/1", body=body)
     for engine in engines:
-        world.instances[instance].crashes.crashed(call, engine, stage="run")
+        world.instances[instance].crashes.record_crash(
+            call, engine, stage="run"
+        )
 
 
 def _counts(world, body=CRASHING) -> set[int]:
--- a/tests/leadership/test_crashing_requests.py
+++ b/tests/leadership/test_crashing_requests.py
@@ -108,7 +108,7 @@
     """Records three crashes of the request at another instance."""
     call = world.call("/verdicts/1", body=CRASHING)
     for engine in ("x1", "x2", "x3"):
-        world.instances["e3"].crashes.crashed(call, engine, stage="run")
+        world.instances["e3"].crashes.record_crash(call, engine, stage="run")
 
 
 PATHS = ("/verdicts/1", "/once/1", "/lookup/1", "/sale/1")
--- a/tests/leadership/test_innocent_requests.py
+++ b/tests/leadership/test_innocent_requests.py
@@ -72,7 +72,7 @@
     call = world.call("/crashing", body=CRASHING)
     history = world.instances["e3"].crashes
     world.backends.crash(engine)
-    history.crashed(call, engine.name, stage="run")
+    history.record_crash(call, engine.name, stage="run")
 
 
 async def _end_alone(world, engine) -> None:
@@ -113,7 +113,9 @@
         async with _deployed() as world:
             call = world.call("/verdicts/1", body=INNOCENT)
             for engine in ("x1", "x2"):
-                world.instances["e2"].crashes.crashed(call, engine, stage="run")
+                world.instances["e2"].crashes.record_crash(
+                    call, engine, stage="run"
+                )
             await world.clock.sleep_ms(100.0)
             request = asyncio.ensure_future(
                 world.ask("/verdicts/1", instance="e1", body=INNOCENT)
