--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -140,7 +140,7 @@
             self.on_seen(fingerprint)
             self._notify_quarantine(fingerprint)
 
-    def came_through(self, call: calls.Call) -> None:
+    def record_success(self, call: calls.Call) -> None:
         """Records that an engine answered a request completely."""
         record = self._find(call)
         if record is None or not record.crashes_ms:
--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -168,7 +168,7 @@
                 yield reply
             outcome = decisions.FINISHED
             if reply.is_success:
-                self._history.came_through(run.call)
+                self._history.record_success(run.call)
         except errors.WharfError as error:
             held_ms = self._clock.now_ms() - call.arrived_ms
             outcome = error.kind.value
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -78,7 +78,7 @@
     async def test(world):
         history = world.history()
         _crash(history, world.call(), "a", "b", "c")
-        history.came_through(world.call())
+        history.record_success(world.call())
         assert not _is_quarantined(history, world.call())
         await world.clock.sleep_ms(1.0)
         _crash(history, world.call(), "d", "e")
@@ -176,7 +176,7 @@
         for report in cut.reports():
             others.learn(report)
         await world.clock.sleep_ms(2_000.0)
-        others.came_through(world.call())
+        others.record_success(world.call())
         await world.clock.sleep_ms(2_000.0)
         for report in cut.reports():
             others.learn(report)
@@ -214,7 +214,7 @@
         for number in range(40):
             history, body = rng.choice(histories), rng.choice(bodies)
             if rng.random() < 0.2:
-                history.came_through(world.call(body))
+                history.record_success(world.call(body))
             else:
                 _crash(history, world.call(body), f"e{number % 9}")
             if rng.random() < 0.3:
@@ -259,7 +259,7 @@
             assert history.begin_trial(fingerprint)
             assert not history.begin_trial(fingerprint)
             await world.clock.sleep_ms(1_000.0)
-            history.came_through(world.call())
+            history.record_success(world.call())
             await world.clock.sleep_ms(1_000.0)
 
     _run(test)
--- a/tests/leadership/test_crash_keeper.py
+++ b/tests/leadership/test_crash_keeper.py
@@ -123,7 +123,7 @@
             _crash(world, "a", "b", "c")
             await world.clock.sleep_ms(2_000.0)
             call = world.call("/sale/1", body=CRASHING)
-            world.instances["e3"].crashes.came_through(call)
+            world.instances["e3"].crashes.record_success(call)
             await world.clock.sleep_ms(2_000.0)
             assert _counts(world) == {0}
             await _restart_all(world)
