--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -149,7 +149,7 @@
         record.remove_expired(record.cleared_ms)
         self.on_seen(fingerprints.Fingerprint.from_call(call))
 
-    def learn(self, report: crash_reports.CrashReport) -> bool:
+    def merge(self, report: crash_reports.CrashReport) -> bool:
         """Merges a report from another instance.
 
         Returns:
--- a/src/jujubewharf/leadership/fleet_crashes.py
+++ b/src/jujubewharf/leadership/fleet_crashes.py
@@ -68,12 +68,12 @@
     def told(self, message: crash_messages.CrashesKnown) -> None:
         """Applies a follower's reports, and broadcasts what is new."""
         for report in message.reports:
-            if self._history.learn(report):
+            if self._history.merge(report):
                 self._on_seen(report.fingerprint)
 
     def found(self, report: crash_reports.CrashReport) -> None:
         """Applies a report from the store, and broadcasts it if it is new."""
-        if self._history.learn(report):
+        if self._history.merge(report):
             self._schedule_broadcast(report.fingerprint)
 
     def _on_seen(self, fingerprint: fingerprints.Fingerprint) -> None:
--- a/src/jujubewharf/leadership/knowledge.py
+++ b/src/jujubewharf/leadership/knowledge.py
@@ -39,4 +39,4 @@
                     self.restraints.told(terms, is_news=message.is_news)
             case crash_messages.CrashesKnown():
                 for report in message.reports:
-                    self.history.learn(report)
+                    self.history.merge(report)
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -160,8 +160,8 @@
         news = crash_messages.CrashesKnown(teller.reports())
         frame = codec.Frame(codec.FrameKind.TELL, 0, news)
         (report,) = codec.decode(codec.encode(frame)[4:]).message.reports
-        assert hearer.learn(report)
-        assert not hearer.learn(report)
+        assert hearer.merge(report)
+        assert not hearer.merge(report)
         assert _is_quarantined(hearer, world.call())
 
     _run(test)
@@ -174,15 +174,15 @@
         cut, others = world.history(), world.history()
         _crash(cut, world.call(), "a", "b", "c")
         for report in cut.reports():
-            others.learn(report)
+            others.merge(report)
         await world.clock.sleep_ms(2_000.0)
         others.record_success(world.call())
         await world.clock.sleep_ms(2_000.0)
         for report in cut.reports():
-            others.learn(report)
+            others.merge(report)
         assert not _is_quarantined(others, world.call())
         for report in others.reports():
-            cut.learn(report)
+            cut.merge(report)
         assert not _is_quarantined(cut, world.call())
 
     _run(test)
@@ -196,9 +196,9 @@
         _crash(first, world.call(), "a", "b", "c")
         for _ in range(40):
             for report in first.reports():
-                second.learn(report)
+                second.merge(report)
             for report in second.reports():
-                first.learn(report)
+                first.merge(report)
             await world.clock.sleep_ms(crashes.RETENTION_MS / 20)
         assert len(first) == len(second) == 0
 
@@ -220,13 +220,13 @@
             if rng.random() < 0.3:
                 teller, hearer = rng.sample(histories, 2)
                 for report in teller.reports():
-                    hearer.learn(report)
+                    hearer.merge(report)
             await world.clock.sleep_ms(2_000.0)
         for _ in range(2):
             for teller in histories:
                 for hearer in histories:
                     for report in teller.reports():
-                        hearer.learn(report)
+                        hearer.merge(report)
         for body in bodies:
             counts = {h.count(world.call(body)) for h in histories}
             assert len(counts) == 1
@@ -275,7 +275,7 @@
         assert teller.begin_trial(fingerprint)
         (report,) = teller.reports()
         data = crash_records.encode(report, wall_ms=0.0)
-        hearer.learn(crash_records.decode(data, wall_ms=0.0))
+        hearer.merge(crash_records.decode(data, wall_ms=0.0))
         assert not hearer.begin_trial(fingerprint)
 
     _run(test)
