--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -175,7 +175,7 @@
         self._notify_quarantine(report.fingerprint)
         return True
 
-    def known(self) -> tuple[fingerprints.Fingerprint, ...]:
+    def known_fingerprints(self) -> tuple[fingerprints.Fingerprint, ...]:
         """Returns the fingerprints of all recorded requests."""
         self._remove_expired()
         return tuple(self._records)
--- a/src/jujubewharf/leadership/crash_keeper.py
+++ b/src/jujubewharf/leadership/crash_keeper.py
@@ -118,7 +118,9 @@
         if role is fleets.Role.LEADING and previous_role is not role:
             # The previous leader may have failed to write its reports.
             now_ms = self._clock.now_ms()
-            self._unwritten_ms = dict.fromkeys(self._history.known(), now_ms)
+            self._unwritten_ms = dict.fromkeys(
+                self._history.known_fingerprints(), now_ms
+            )
         if self._unwritten_ms:
             await self._write()
         if role is fleets.Role.LEADING:
@@ -165,7 +167,7 @@
         if now_ms - self._last_cleanup_ms < _CLEANUP_INTERVAL_MS:
             return
         self._last_cleanup_ms = now_ms
-        known = set(self._history.known())
+        known = set(self._history.known_fingerprints())
         expired = [
             key for key, f in self._record_keys.items() if f not in known
         ]
