--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -101,7 +101,7 @@
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
-        self.on_seen: Callable[[fingerprints.Fingerprint], None] = _ignore
+        self.on_update: Callable[[fingerprints.Fingerprint], None] = _ignore
         self.on_quarantine: Callable[[fingerprints.Fingerprint], None] = _ignore
         self._clock = clock
         self._records: dict[fingerprints.Fingerprint, _Record] = {}
@@ -137,7 +137,7 @@
             label=record.label,
         )
         if is_new:
-            self.on_seen(fingerprint)
+            self.on_update(fingerprint)
             self._notify_quarantine(fingerprint)
 
     def record_success(self, call: calls.Call) -> None:
@@ -147,7 +147,7 @@
             return
         record.cleared_ms = self._clock.now_ms()
         record.remove_expired(record.cleared_ms)
-        self.on_seen(fingerprints.Fingerprint.from_call(call))
+        self.on_update(fingerprints.Fingerprint.from_call(call))
 
     def merge(self, report: crash_reports.CrashReport) -> bool:
         """Merges a report from another instance.
@@ -245,7 +245,7 @@
             return False
         record.trials += 1
         record.trial_ms = now_ms
-        self.on_seen(fingerprint)
+        self.on_update(fingerprint)
         return True
 
     def check(self, call: calls.Call) -> None:
--- a/src/jujubewharf/leadership/fleet_crashes.py
+++ b/src/jujubewharf/leadership/fleet_crashes.py
@@ -52,7 +52,7 @@
         self._unsent: set[fingerprints.Fingerprint] = set()
         self.on_change: Callable[[fingerprints.Fingerprint], None]
         self.on_change = lambda fingerprint: None
-        history.on_seen = self._on_seen
+        history.on_update = self._on_seen
 
     async def take(self, call: calls.Call) -> bool:
         """Returns whether a trial is granted; see ``crashes.Trials``."""
