--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -345,7 +345,7 @@
                 self._backends.send(engine, sending)
             )
         except client.EngineError as error:
-            run.learn(error, before=before)
+            run.record_failure(error, before=before)
             self._record_failure(error)
             took_ms = self._clock.now_ms() - began_ms
             decisions.engine_failed(run, error, stage="decode", took_ms=took_ms)
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -174,7 +174,7 @@
             )
             return await self._exchange(stack, run, endpoint, timeout_ms)
         except client.EngineError as error:
-            run.learn(error, before=before)
+            run.record_failure(error, before=before)
             if error.fault is client.EngineFault.REFUSED_IDENTITY:
                 self._registry.replaced(endpoint.name)
             if error.fault is not client.EngineFault.REFUSED_FULL:
--- a/src/jujubewharf/forwarding/runs.py
+++ b/src/jujubewharf/forwarding/runs.py
@@ -113,14 +113,16 @@
         """Records an attempt, before the request is sent.
 
         Returns:
-            The former value of ``may_have_run``, for ``learn``.
+            The former value of ``may_have_run``, for ``record_failure``.
         """
         before = self.may_have_run
         self.tried.add(engine)
         self.may_have_run = True
         return before
 
-    def learn(self, error: client.EngineError, *, before: bool) -> None:
+    def record_failure(
+        self, error: client.EngineError, *, before: bool
+    ) -> None:
         """Records a failed attempt, undoing ``sent`` if the engine did nothing.
 
         Args:
