--- a/src/jujubewharf/forwarding/runs.py
+++ b/src/jujubewharf/forwarding/runs.py
@@ -102,7 +102,7 @@
         """Returns the time until the deadline."""
         return self.deadline_at_ms - clock.now_ms()
 
-    def passed_on(self, now_ms: float) -> None:
+    def record_event(self, now_ms: float) -> None:
         """Records that an event was forwarded to the caller."""
         if self.event_ms is not None:
             gap_ms = now_ms - self.event_ms
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -111,7 +111,7 @@
                         if event.number is not None:
                             _check_order(upstream.engine.name, last, event)
                             last = event.number
-                        run.passed_on(self._clock.now_ms())
+                        run.record_event(self._clock.now_ms())
                         yield event.data
                     self._record_length(run, last)
                     return
