--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -232,7 +232,7 @@
         except client.EngineError as error:
             raise run.failure() from error
         except TimeoutError as error:
-            raise run.too_late() from error
+            raise run.deadline_error() from error
 
     async def _begin(
         self, stack: contextlib.AsyncExitStack, run: runs.Run
--- a/src/jujubewharf/forwarding/runs.py
+++ b/src/jujubewharf/forwarding/runs.py
@@ -152,7 +152,7 @@
             return errors.WharfError(errors.ErrorKind.OUTCOME_UNKNOWN)
         return errors.WharfError(errors.ErrorKind.ENDPOINT_FAILED)
 
-    def too_late(self) -> errors.WharfError:
+    def deadline_error(self) -> errors.WharfError:
         """Returns the error for a request whose deadline has passed."""
         if not self.may_have_run:
             # Not a gateway timeout, because the caller may safely retry: the
