--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -210,7 +210,7 @@
         """
         prefilled = _Prefilled()
         readers = place.readers[:_MAX_PREFILL_ENGINES]
-        if readers and run.was_read and not self._budget.take(run.service):
+        if readers and run.was_prefilled and not self._budget.take(run.service):
             # Every prefill after the first one counts as a retry.
             readers = []
         for engine in readers:
@@ -223,14 +223,14 @@
             except client.EngineError as error:
                 if error.fault is client.EngineFault.LOST:
                     # It may have been accepted, so the next one is a retry.
-                    run.was_read = True
+                    run.was_prefilled = True
                 if not self._may_retry_prefill(run, error):
                     # Decoding now would also be a retry: the prefill call may
                     # have been refused, and the retry budget is exhausted.
                     raise run.failure() from error
             else:
                 prefilled.engine = engine
-                run.was_read = True
+                run.was_prefilled = True
                 break
         place.reading_ended()
         try:
--- a/src/jujubewharf/forwarding/runs.py
+++ b/src/jujubewharf/forwarding/runs.py
@@ -31,7 +31,7 @@
         tried: Engines that the request was sent to.
         may_have_run: Whether any engine may have started to process it.
         refusals: Number of attempts that an engine refused.
-        was_read: Whether a prefill engine may have processed the prompt.
+        was_prefilled: Whether a prefill engine may have processed the prompt.
         traits: Properties of the service's engines; ``None`` for plain
             services.
         lost_by: Engines that lost the answer or a part of it.
@@ -52,7 +52,7 @@
     tried: set[str] = dataclasses.field(default_factory=set)
     may_have_run: bool = False
     refusals: int = 0
-    was_read: bool = False
+    was_prefilled: bool = False
     traits: routes.EngineTraits | None = None
     lost_by: set[str] = dataclasses.field(default_factory=set)
     event_ms: float | None = None
