--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -78,16 +78,18 @@
     request_id = run.call.request_id
     if is_sampled(request_id):
         _logger.info(event, request=request_id, **fields)
-    elif len(run.trail) < _MAX_BUFFERED_LINES:
+    elif len(run.deferred_log_lines) < _MAX_BUFFERED_LINES:
         at_ms = asyncio.get_running_loop().time() * clocks.MS_PER_S
         since_ms = round(at_ms - run.call.arrived_ms)
-        run.trail.append({"event": event, "since_ms": since_ms, **fields})
+        run.deferred_log_lines.append(
+            {"event": event, "since_ms": since_ms, **fields}
+        )
 
 
 def _flush_trail(run: runs.Run) -> None:
-    for line in run.trail:
+    for line in run.deferred_log_lines:
         _logger.info(request=run.call.request_id, is_late=True, **line)
-    run.trail.clear()
+    run.deferred_log_lines.clear()
 
 
 def refused(
--- a/src/jujubewharf/forwarding/runs.py
+++ b/src/jujubewharf/forwarding/runs.py
@@ -37,7 +37,8 @@
         lost_by: Engines that lost the answer or a part of it.
         event_ms: Clock reading when the last event was forwarded.
         longest_gap_ms: Longest time between two events.
-        trail: Routine log lines, which are only written if the request fails.
+        deferred_log_lines: Routine log lines, which are only written if the
+            request fails.
         account: Client account of the caller.
         is_counted: Whether the account's quota was charged.
         backoff_until_ms: Ends of backoffs by engine, of the instance that sends
@@ -57,7 +58,9 @@
     lost_by: set[str] = dataclasses.field(default_factory=set)
     event_ms: float | None = None
     longest_gap_ms: float = 0.0
-    trail: list[dict[str, object]] = dataclasses.field(default_factory=list)
+    deferred_log_lines: list[dict[str, object]] = dataclasses.field(
+        default_factory=list
+    )
     account: accounts.Account | None = None
     is_counted: bool = False
     backoff_until_ms: Mapping[str, float] = dataclasses.field(
