--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -143,7 +143,7 @@
         if not run.tried:
             # No endpoint has received any part of the request.
             return True
-        if not run.may_send or not run.has_attempts:
+        if not run.may_send or not run.has_attempts_left:
             return False
         if not self._budget.take(run.service):
             decisions.not_retried(run, reason, budget_left=left)
@@ -226,7 +226,7 @@
             return max(0.0, run.left_ms(self._clock) - _DEADLINE_RESERVE_MS)
         if run.route.repeat is not routes.Repeat.AGAIN:
             return None
-        if not run.has_attempts or self._budget.left(run.service) < 1.0:
+        if not run.has_attempts_left or self._budget.left(run.service) < 1.0:
             return None
         return run.route.target_ms * _TIMEOUT_SHARE_OF_TARGET
 
--- a/src/jujubewharf/forwarding/runs.py
+++ b/src/jujubewharf/forwarding/runs.py
@@ -87,7 +87,7 @@
         return errors.Ran.UNKNOWN if self.may_have_run else errors.Ran.NO
 
     @property
-    def has_attempts(self) -> bool:
+    def has_attempts_left(self) -> bool:
         """Whether the request may be sent to another engine."""
         return len(self.tried) < self.route.max_attempts
 
