--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -143,7 +143,7 @@
         if not run.tried:
             # No endpoint has received any part of the request.
             return True
-        if not run.may_send or not run.has_attempts_left:
+        if not run.may_run_again or not run.has_attempts_left:
             return False
         if not self._budget.take(run.service):
             decisions.not_retried(run, reason, budget_left=left)
--- a/src/jujubewharf/forwarding/runs.py
+++ b/src/jujubewharf/forwarding/runs.py
@@ -92,7 +92,7 @@
         return len(self.tried) < self.route.max_attempts
 
     @property
-    def may_send(self) -> bool:
+    def may_run_again(self) -> bool:
         """Whether the request may run again after what may have happened."""
         is_once = self.route.repeat is routes.Repeat.NEVER
         return not (is_once and self.may_have_run)
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -90,7 +90,7 @@
         """
         left = self._budget.left(run.service)
         reason = error.fault.value
-        if not run.may_send or not run.has_attempts_left:
+        if not run.may_run_again or not run.has_attempts_left:
             decisions.not_retried(run, reason, budget_left=left)
             raise run.failure() from error
         if run.tried and not self._budget.take(run.service):
@@ -151,8 +151,8 @@
         while True:
             left = self._budget.left(run.service)
             is_allowed = run.route.repeat is routes.Repeat.CONTINUE
-            may_send = is_allowed and run.has_attempts_left
-            if not may_send or not self._budget.take(run.service):
+            may_run_again = is_allowed and run.has_attempts_left
+            if not may_run_again or not self._budget.take(run.service):
                 decisions.not_retried(run, "stream_broken", budget_left=left)
                 raise _broken_error() from error
             try:
