--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -332,7 +332,7 @@
             fault = client.EngineFault.REFUSED_LEAVING
             raise client.EngineError(fault, engine.name)
         began_ms = self._clock.now_ms()
-        before = run.sent(engine.name)
+        before = run.record_attempt(engine.name)
         decisions.sent(
             run,
             engine.name,
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -160,7 +160,7 @@
         has_error_reply: bool,
     ) -> calls.Reply:
         began_ms = self._clock.now_ms()
-        before = run.sent(endpoint.name)
+        before = run.record_attempt(endpoint.name)
         decisions.sent(
             run,
             endpoint.name,
--- a/src/jujubewharf/forwarding/runs.py
+++ b/src/jujubewharf/forwarding/runs.py
@@ -112,7 +112,7 @@
             self.longest_gap_ms = max(self.longest_gap_ms, gap_ms)
         self.event_ms = now_ms
 
-    def sent(self, engine: str) -> bool:
+    def record_attempt(self, engine: str) -> bool:
         """Records an attempt, before the request is sent.
 
         Returns:
@@ -126,11 +126,13 @@
     def record_failure(
         self, error: client.EngineError, *, before: bool
     ) -> None:
-        """Records a failed attempt, undoing ``sent`` if the engine did nothing.
+        """Records a failed attempt.
+
+        Undoes ``record_attempt`` if the engine certainly did nothing.
 
         Args:
             error: Failure of the attempt.
-            before: Return value of ``sent``.
+            before: Return value of ``record_attempt``.
         """
         if error.fault is client.EngineFault.LOST:
             self.lost_by.add(error.engine)
