--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -127,7 +127,7 @@
         """Returns whether an endpoint is registered or was until an outage."""
         return name in self._by_name
 
-    def begins_to_leave(self) -> None:
+    def handle_drain_notice(self) -> None:
         """Updates the index after an endpoint has sent a drain notice."""
         self._rebuild_index()
 
