--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -189,7 +189,7 @@
 
     def _record_failure(self, error: client.EngineError) -> None:
         if error.fault is client.EngineFault.REFUSED_IDENTITY:
-            self._registry.replaced(error.engine)
+            self._registry.remove_replaced(error.engine)
         self._observations.record_failure(error)
 
     async def _is_changing(self, engine: resources.Endpoint) -> bool:
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -331,7 +331,7 @@
             self._pool.record_memory_refusal(error.engine, demand.total_tokens)
             return
         if error.fault is client.EngineFault.REFUSED_IDENTITY:
-            self._registry.replaced(error.engine)
+            self._registry.remove_replaced(error.engine)
         decisions.engine_failed(run, error, stage="reserve", took_ms=0.0)
         if error.fault is client.EngineFault.LOST:
             # Treated as unreachable, which opens the circuit breaker: each
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -176,7 +176,7 @@
         except client.EngineError as error:
             run.record_failure(error, before=before)
             if error.fault is client.EngineFault.REFUSED_IDENTITY:
-                self._registry.replaced(endpoint.name)
+                self._registry.remove_replaced(endpoint.name)
             if error.fault is not client.EngineFault.REFUSED_FULL:
                 self._chooser.failed(endpoint.name)
             took_ms = self._clock.now_ms() - began_ms
--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -144,7 +144,7 @@
             return None
         return endpoint
 
-    def replaced(self, name: str) -> None:
+    def remove_replaced(self, name: str) -> None:
         """Removes an endpoint whose address belongs to another endpoint now.
 
         Otherwise an instance that is cut off from the store would keep sending
--- a/tests/forwarding/test_registry.py
+++ b/tests/forwarding/test_registry.py
@@ -114,7 +114,7 @@
 def test_a_replaced_endpoint_comes_back_by_its_own_word_only():
     async def test(registry, clock):
         registry.take([_record(3)])
-        registry.replaced("s1")
+        registry.remove_replaced("s1")
         assert not registry.takes_work("s1")
         registry.take_all([_record(3)], end=4)
         assert not registry.takes_work("s1")
@@ -173,7 +173,7 @@
         assert registry.takes_work("s1@2")
         assert registry.of_service("shop") == [SECOND]
         # A refusal of the earlier start does not affect the later one.
-        registry.replaced("s1@1")
+        registry.remove_replaced("s1@1")
         assert registry.takes_work("s1@2")
 
     _on_clock(test)
