--- a/src/jujubewharf/forwarding/gauges.py
+++ b/src/jujubewharf/forwarding/gauges.py
@@ -25,7 +25,7 @@
     def endpoints(options: metrics.CallbackOptions) -> Iterable[_Observation]:
         counts = collections.Counter(
             (e.service, e.role.value, "draining" if e.drained else "ready")
-            for e in entry.registry.present()
+            for e in entry.registry.registered()
         )
         for (service, role, state), count in counts.items():
             labels = {"service": service, "role": role, "state": state}
--- a/src/jujubewharf/forwarding/ordering.py
+++ b/src/jujubewharf/forwarding/ordering.py
@@ -162,7 +162,7 @@
         registered = self._registered.get(service, {})
         present = {
             engine.name: engine
-            for engine in self._registry.present()
+            for engine in self._registry.registered()
             if engine.service == service
         }
         missing = self._missing.setdefault(service, {})
--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -96,7 +96,7 @@
             return float("inf")
         return self._clock.now_ms() - self._last_read_ms
 
-    def present(self) -> list[resources.Endpoint]:
+    def registered(self) -> list[resources.Endpoint]:
         """Returns all registered endpoints, including draining ones."""
         return [
             self._with_drain_notice(record.endpoint)
@@ -259,7 +259,7 @@
 
     def _rebuild_index(self) -> None:
         self._by_service = {}
-        present = self.present()
+        present = self.registered()
         lapsed = [self._with_drain_notice(e) for e, _ in self._lapsed.values()]
         self._by_name = {e.name: e for e in (*present, *lapsed)}
         for endpoint in (*present, *lapsed):
