--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -342,7 +342,7 @@
     def is_ready(self) -> bool:
         """Whether the load balancer may send requests to this instance."""
         is_initialized = (
-            self.source.current is not None and self.registry.is_known
+            self.source.current is not None and self.registry.is_loaded
         )
         return self.admission.is_ready and is_initialized
 
--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -80,7 +80,7 @@
         self._logger = structlog.get_logger()
 
     @property
-    def is_known(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether any record was read."""
         return bool(self._records)
 
