--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -85,7 +85,7 @@
         return bool(self._records)
 
     @property
-    def is_away(self) -> bool:
+    def is_store_unavailable(self) -> bool:
         """Whether the store is unavailable."""
         return self._is_unavailable
 
