--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -192,7 +192,7 @@
             clock,
             rng,
             on_page=self._on_endpoints,
-            on_lost=self.registry.store_lost,
+            on_lost=self.registry.mark_store_unavailable,
         )
 
     def _make_forwarder(
--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -160,7 +160,7 @@
         self._lapsed.pop(key, None)
         self._rebuild_index()
 
-    def store_lost(self) -> None:
+    def mark_store_unavailable(self) -> None:
         """Records that the store is unavailable."""
         self._is_unavailable = True
 
