--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -410,7 +410,7 @@
     def _on_endpoints(
         self, page: tables.TablePage[resources.Endpoint], is_whole: bool
     ) -> None:
-        self.registry.store_back()
+        self.registry.mark_store_available()
         records = [
             registry.Record(r.key, r.offset, r.value, r.is_unreadable)
             for r in page.records
--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -164,7 +164,7 @@
         """Records that the store is unavailable."""
         self._is_unavailable = True
 
-    def store_back(self) -> None:
+    def mark_store_available(self) -> None:
         """Records that the store answers."""
         self._last_read_ms = self._clock.now_ms()
         if self._is_unavailable:
--- a/tests/forwarding/test_registry.py
+++ b/tests/forwarding/test_registry.py
@@ -65,7 +65,7 @@
         registry.take([_record(3)])
         registry.mark_store_unavailable()
         await clock.sleep_ms(8_000.0)
-        registry.store_back()
+        registry.mark_store_available()
         registry.take([_record(4, None)])
         assert registry.takes_work("s1")
         assert len(registry.of_service("shop")) == 1
@@ -80,7 +80,7 @@
     async def test(registry, clock):
         registry.take([_record(3)])
         registry.mark_store_unavailable()
-        registry.store_back()
+        registry.mark_store_available()
         registry.take([_record(4, None)])
         registry.take([_record(5)])
         await clock.sleep_ms(60_000.0)
@@ -94,7 +94,7 @@
     async def test(registry, clock):
         registry.take([_record(3, LEAVING)])
         registry.mark_store_unavailable()
-        registry.store_back()
+        registry.mark_store_available()
         registry.take([_record(4, None)])
         assert not registry.takes_work("s1")
 
@@ -141,7 +141,7 @@
     async def test(registry, clock):
         registry.take([_record(3)])
         registry.mark_store_unavailable()
-        registry.store_back()
+        registry.mark_store_available()
         registry.take([registries.Record("s1", 4, None, is_unreadable=True)])
         assert not registry.takes_work("s1")
         assert registry.of_service("shop") == ()
