--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -416,7 +416,7 @@
             for r in page.records
         ]
         if is_whole:
-            self.registry.take_all(records, page.end)
+            self.registry.apply_all(records, page.end)
         else:
             self.registry.take(records)
         if self.fleet.followers is not None:
--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -180,7 +180,7 @@
                 self._replace(known, record)
         self._rebuild_index()
 
-    def take_all(self, records: Sequence[Record], end: int) -> None:
+    def apply_all(self, records: Sequence[Record], end: int) -> None:
         """Applies a full read of the store.
 
         Args:
--- a/tests/forwarding/test_registry.py
+++ b/tests/forwarding/test_registry.py
@@ -29,7 +29,7 @@
 def test_an_older_word_doesnt_bring_a_leaving_endpoint_back():
     async def test(registry, clock):
         registry.take([_record(5, LEAVING)])
-        registry.take_all([_record(3)], end=4)
+        registry.apply_all([_record(3)], end=4)
         assert not registry.takes_work("s1")
         assert registry.of_service("shop") == ()
 
@@ -39,7 +39,7 @@
 def test_what_a_whole_reading_lacks_was_removed():
     async def test(registry, clock):
         registry.take([_record(3)])
-        registry.take_all([], end=9)
+        registry.apply_all([], end=9)
         assert not registry.takes_work("s1")
 
     _on_clock(test)
@@ -48,7 +48,7 @@
 def test_a_stale_whole_reading_removes_nothing_newer():
     async def test(registry, clock):
         registry.take([_record(8)])
-        registry.take_all([], end=6)
+        registry.apply_all([], end=6)
         assert registry.takes_work("s1")
 
     _on_clock(test)
@@ -116,7 +116,7 @@
         registry.take([_record(3)])
         registry.remove_replaced("s1")
         assert not registry.takes_work("s1")
-        registry.take_all([_record(3)], end=4)
+        registry.apply_all([_record(3)], end=4)
         assert not registry.takes_work("s1")
         registry.take([_record(6)])
         assert registry.takes_work("s1")
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -114,7 +114,7 @@
         ) as world:
             await world.clock.sleep_ms(2_000.0)
             world.instances[world.leader].registry.take = lambda records: None
-            world.instances[world.leader].registry.take_all = (
+            world.instances[world.leader].registry.apply_all = (
                 lambda records, end: None
             )
             world.register(leaving_engine, drained=True)
