--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -418,7 +418,7 @@
         if is_whole:
             self.registry.apply_all(records, page.end)
         else:
-            self.registry.take(records)
+            self.registry.apply(records)
         if self.fleet.followers is not None:
             self.fleet.followers.endpoints_read(
                 page.records, page.end, is_whole=is_whole
--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -171,7 +171,7 @@
             self._is_unavailable = False
             self._available_since_ms = self._clock.now_ms()
 
-    def take(self, records: Iterable[Record]) -> None:
+    def apply(self, records: Iterable[Record]) -> None:
         """Applies changed records."""
         for record in records:
             known = self._records.get(record.key)
@@ -188,7 +188,7 @@
             end: End offset of the store before the read. Older known records
                 that are not among the entries were removed.
         """
-        self.take(records)
+        self.apply(records)
         keys = {record.key for record in records}
         for key, known in list(self._records.items()):
             was_there = known.offset < end
--- a/tests/forwarding/test_registry.py
+++ b/tests/forwarding/test_registry.py
@@ -28,7 +28,7 @@
 
 def test_an_older_word_doesnt_bring_a_leaving_endpoint_back():
     async def test(registry, clock):
-        registry.take([_record(5, LEAVING)])
+        registry.apply([_record(5, LEAVING)])
         registry.apply_all([_record(3)], end=4)
         assert not registry.takes_work("s1")
         assert registry.of_service("shop") == ()
@@ -38,7 +38,7 @@
 
 def test_what_a_whole_reading_lacks_was_removed():
     async def test(registry, clock):
-        registry.take([_record(3)])
+        registry.apply([_record(3)])
         registry.apply_all([], end=9)
         assert not registry.takes_work("s1")
 
@@ -47,7 +47,7 @@
 
 def test_a_stale_whole_reading_removes_nothing_newer():
     async def test(registry, clock):
-        registry.take([_record(8)])
+        registry.apply([_record(8)])
         registry.apply_all([], end=6)
         assert registry.takes_work("s1")
 
@@ -62,11 +62,11 @@
     """
 
     async def test(registry, clock):
-        registry.take([_record(3)])
+        registry.apply([_record(3)])
         registry.mark_store_unavailable()
         await clock.sleep_ms(8_000.0)
         registry.mark_store_available()
-        registry.take([_record(4, None)])
+        registry.apply([_record(4, None)])
         assert registry.takes_work("s1")
         assert len(registry.of_service("shop")) == 1
         await clock.sleep_ms(registries.LAPSE_GRACE_MS + 1.0)
@@ -78,11 +78,11 @@
 
 def test_one_that_is_back_after_an_outage_stays():
     async def test(registry, clock):
-        registry.take([_record(3)])
+        registry.apply([_record(3)])
         registry.mark_store_unavailable()
         registry.mark_store_available()
-        registry.take([_record(4, None)])
-        registry.take([_record(5)])
+        registry.apply([_record(4, None)])
+        registry.apply([_record(5)])
         await clock.sleep_ms(60_000.0)
         assert registry.takes_work("s1")
         assert len(registry.of_service("shop")) == 1
@@ -92,10 +92,10 @@
 
 def test_one_that_said_it_leaves_is_not_kept_over_an_outage():
     async def test(registry, clock):
-        registry.take([_record(3, LEAVING)])
+        registry.apply([_record(3, LEAVING)])
         registry.mark_store_unavailable()
         registry.mark_store_available()
-        registry.take([_record(4, None)])
+        registry.apply([_record(4, None)])
         assert not registry.takes_work("s1")
 
     _on_clock(test)
@@ -104,8 +104,8 @@
 def test_a_removal_in_calm_times_counts_at_once():
     async def test(registry, clock):
         await clock.sleep_ms(60_000.0)
-        registry.take([_record(3)])
-        registry.take([_record(4, None)])
+        registry.apply([_record(3)])
+        registry.apply([_record(4, None)])
         assert not registry.takes_work("s1")
 
     _on_clock(test)
@@ -113,12 +113,12 @@
 
 def test_a_replaced_endpoint_comes_back_by_its_own_word_only():
     async def test(registry, clock):
-        registry.take([_record(3)])
+        registry.apply([_record(3)])
         registry.remove_replaced("s1")
         assert not registry.takes_work("s1")
         registry.apply_all([_record(3)], end=4)
         assert not registry.takes_work("s1")
-        registry.take([_record(6)])
+        registry.apply([_record(6)])
         assert registry.takes_work("s1")
 
     _on_clock(test)
@@ -128,8 +128,8 @@
     async def test(registry, clock):
         heard = []
         registry.listen(lambda endpoints: heard.append(len(endpoints)))
-        registry.take([_record(3)])
-        registry.take([_record(4, LEAVING)])
+        registry.apply([_record(3)])
+        registry.apply([_record(4, LEAVING)])
         assert heard == [1, 0]
 
     _on_clock(test)
@@ -139,13 +139,13 @@
     """An unreadable entry removes the endpoint, even right after an outage."""
 
     async def test(registry, clock):
-        registry.take([_record(3)])
+        registry.apply([_record(3)])
         registry.mark_store_unavailable()
         registry.mark_store_available()
-        registry.take([registries.Record("s1", 4, None, is_unreadable=True)])
+        registry.apply([registries.Record("s1", 4, None, is_unreadable=True)])
         assert not registry.takes_work("s1")
         assert registry.of_service("shop") == ()
-        registry.take([_record(5)])
+        registry.apply([_record(5)])
         assert registry.takes_work("s1")
 
     _on_clock(test)
@@ -167,8 +167,8 @@
     """State of an earlier start does not apply to the later one."""
 
     async def test(registry, clock):
-        registry.take([_record(3, FIRST)])
-        registry.take([_record(4, SECOND)])
+        registry.apply([_record(3, FIRST)])
+        registry.apply([_record(4, SECOND)])
         assert not registry.takes_work("s1@1")
         assert registry.takes_work("s1@2")
         assert registry.of_service("shop") == [SECOND]
@@ -183,11 +183,11 @@
     """A delayed write of an earlier start does not replace the later one."""
 
     async def test(registry, clock):
-        registry.take([_record(3, SECOND)])
-        registry.take([_record(4, FIRST)])
+        registry.apply([_record(3, SECOND)])
+        registry.apply([_record(4, FIRST)])
         assert registry.takes_work("s1@2")
         assert not registry.takes_work("s1@1")
-        registry.take([_record(5, None)])
+        registry.apply([_record(5, None)])
         assert registry.of_service("shop") == ()
 
     _on_clock(test)
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -113,7 +113,7 @@
             leaving_engine, reader("p2"), writer("d1")
         ) as world:
             await world.clock.sleep_ms(2_000.0)
-            world.instances[world.leader].registry.take = lambda records: None
+            world.instances[world.leader].registry.apply = lambda records: None
             world.instances[world.leader].registry.apply_all = (
                 lambda records, end: None
             )
