--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -123,7 +123,7 @@
         endpoint = self._by_name.get(name)
         return endpoint is not None and not endpoint.drained
 
-    def knows(self, name: str) -> bool:
+    def is_registered(self, name: str) -> bool:
         """Returns whether an endpoint is registered or was until an outage."""
         return name in self._by_name
 
