--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -57,17 +57,17 @@
 
     Args:
         clock: Time source.
-        says_it_leaves: Returns whether the endpoint of this name has sent a
+        sent_drain_notice: Returns whether the endpoint of this name has sent a
             drain notice.
     """
 
     def __init__(
         self,
         clock: clocks.Clock,
-        says_it_leaves: Callable[[str], bool] = lambda name: False,
+        sent_drain_notice: Callable[[str], bool] = lambda name: False,
     ) -> None:
         self._clock = clock
-        self._says_it_leaves = says_it_leaves
+        self._says_it_leaves = sent_drain_notice
         self._records: dict[str, Record] = {}
         self._lapsed: dict[str, tuple[resources.Endpoint, float]] = {}
         self._started_ms: dict[str, int] = {}
