--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -36,7 +36,8 @@
     Attributes:
         engine: Engine that answers.
         reply: The engine's answer.
-        exits: Stops the engine's work and releases its reservation on close.
+        exit_stack: Stops the engine's work and releases its reservation on
+            close.
         placed_ms: Clock reading when the memory was reserved.
         memory_part: Reserved share of the engine's memory, 0 to 1.
         has_begun: Whether any of the body has arrived.
@@ -44,7 +45,7 @@
 
     engine: resources.Endpoint
     reply: calls.Reply
-    exits: contextlib.AsyncExitStack
+    exit_stack: contextlib.AsyncExitStack
     placed_ms: float
     memory_part: float
     has_begun: bool = False
@@ -113,9 +114,11 @@
             WharfError: No memory was available, or the retry budget is
                 exhausted.
         """
-        async with contextlib.AsyncExitStack() as exits:
-            place = await exits.enter_async_context(self._places.place(run))
-            prefilled = await exits.enter_async_context(
+        async with contextlib.AsyncExitStack() as exit_stack:
+            place = await exit_stack.enter_async_context(
+                self._places.place(run)
+            )
+            prefilled = await exit_stack.enter_async_context(
                 self._prefill_result(run, place)
             )
             sending = calls.Sending(
@@ -127,17 +130,17 @@
             )
             try:
                 await self._check_not_deferred(place)
-                reply = await self._send(exits, run, place.engine, sending)
+                reply = await self._send(exit_stack, run, place.engine, sending)
             except client.EngineError as error:
                 sending = await self._replacement_sending(
                     run, error, sending, prefilled
                 )
-                reply = await self._send(exits, run, place.engine, sending)
+                reply = await self._send(exit_stack, run, place.engine, sending)
             prefilled.is_fetched = True
             return Upstream(
                 place.engine,
                 reply,
-                exits.pop_all(),
+                exit_stack.pop_all(),
                 place.since_ms,
                 place.memory_part,
             )
@@ -322,7 +325,7 @@
 
     async def _send(
         self,
-        exits: contextlib.AsyncExitStack,
+        exit_stack: contextlib.AsyncExitStack,
         run: runs.Run,
         engine: resources.Endpoint,
         sending: calls.Sending,
@@ -341,7 +344,7 @@
             age_ms=self._registry.age_ms,
         )
         try:
-            reply = await exits.enter_async_context(
+            reply = await exit_stack.enter_async_context(
                 self._backends.send(engine, sending)
             )
         except client.EngineError as error:
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -65,7 +65,7 @@
             WharfError: No engine answers.
         """
         upstream = await self._first_attempt(run)
-        stack.push_async_exit(upstream.exits)
+        stack.push_async_exit(upstream.exit_stack)
         if not upstream.reply.is_success:
             return upstream.reply
         body = self._relay(run, upstream)
@@ -105,7 +105,7 @@
         last = run.call.last_event
         while True:
             failure: client.EngineError | None = None
-            async with upstream.exits:
+            async with upstream.exit_stack:
                 try:
                     async for event in self._complete_events(run, upstream):
                         if event.number is not None:
@@ -135,7 +135,7 @@
         decisions.engine_failed(run, error, stage="stream", took_ms=0.0)
         upstream = await self._attempt_elsewhere(run, error, last)
         if not upstream.reply.is_success:
-            await upstream.exits.aclose()
+            await upstream.exit_stack.aclose()
             raise _broken_error()
         decisions.resumed(run, upstream.engine.name, after_event=last or 0)
         return upstream
