--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -178,7 +178,7 @@
             raise
         finally:
             if not run.may_have_run:
-                self._quotas.give_back(run)
+                self._quotas.refund(run)
             took_ms = self._clock.now_ms() - call.arrived_ms
             decisions.ended(run, outcome, took_ms=took_ms)
 
--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -34,7 +34,7 @@
         """
         ...
 
-    def give_back(self, run: runs.Run) -> None:
+    def refund(self, run: runs.Run) -> None:
         """Refunds a request that did not run."""
         ...
 
@@ -59,7 +59,7 @@
         yield
     except BaseException:
         if not was_counted:
-            quotas.give_back(run)
+            quotas.refund(run)
         raise
 
 
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -188,7 +188,7 @@
         run.is_counted = True
         self._has_use.set()
 
-    def give_back(self, run: runs.Run) -> None:
+    def refund(self, run: runs.Run) -> None:
         """Refunds a counted request; see ``quotas.Quotas``."""
         if run.account is None or run.account.quota is None:
             return
--- a/tests/forwarding/test_quotas.py
+++ b/tests/forwarding/test_quotas.py
@@ -127,7 +127,7 @@
         run.is_counted = True
         self.notes.append("take")
 
-    def give_back(self, run) -> None:
+    def refund(self, run) -> None:
         run.is_counted = False
         self.notes.append("give back")
 
