--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -160,7 +160,7 @@
             ):
                 await self._quarantine.admit(run)
                 reply = await self._begin(stack, run)
-                self._quotas.admitted(run)
+                self._quotas.record_admitted(run)
                 held_ms = self._clock.now_ms() - call.arrived_ms
                 decisions.answer_begun(
                     run, status=reply.status, took_ms=held_ms
--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -38,7 +38,7 @@
         """Refunds a request that did not run."""
         ...
 
-    def admitted(self, run: runs.Run) -> None:
+    def record_admitted(self, run: runs.Run) -> None:
         """Records that a request received by this instance was admitted."""
         ...
 
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -198,7 +198,7 @@
         self._charge(run.account.name, run.account.quota, -run.units)
         self._has_use.set()
 
-    def admitted(self, run: runs.Run) -> None:
+    def record_admitted(self, run: runs.Run) -> None:
         """Records an admitted request of this instance's callers."""
         if run.account is None or run.account.quota is None:
             return
