--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -128,7 +128,7 @@
             WharfError: No memory came free in time, or the account's quota is
                 exhausted. Nothing was run in this attempt.
         """
-        with all_quotas.counted(self._quotas, run):
+        with all_quotas.charged(self._quotas, run):
             place, demand = await self._wait_for_reservation(run)
         self._running += 1
         try:
--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -44,7 +44,7 @@
 
 
 @contextlib.contextmanager
-def counted(quotas: Quotas, run: runs.Run) -> Iterator[None]:
+def charged(quotas: Quotas, run: runs.Run) -> Iterator[None]:
     """Charges a request for the duration of its placement.
 
     If the block raises or is cancelled, the request did not run, and what was
--- a/tests/forwarding/test_quotas.py
+++ b/tests/forwarding/test_quotas.py
@@ -140,7 +140,7 @@
     counts, run = _Counted(), _Run()
     with (
         pytest.raises(ZeroDivisionError),
-        quotas.counted(counts, run),
+        quotas.charged(counts, run),
     ):
         raise ZeroDivisionError
     assert counts.notes == ["take", "give back"]
@@ -152,7 +152,7 @@
     run.is_counted = True
     with (
         pytest.raises(ZeroDivisionError),
-        quotas.counted(counts, run),
+        quotas.charged(counts, run),
     ):
         raise ZeroDivisionError
     assert counts.notes == ["take"]
