--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -143,7 +143,7 @@
         """Returns whether an account has a bucket."""
         return account in self._uses
 
-    def put(self, account: str, units: float, now_ms: float) -> None:
+    def set_balance(self, account: str, units: float, now_ms: float) -> None:
         """Sets an account's available units to a value counted elsewhere."""
         self._uses[account] = _AccountUse(buckets.TokenBucket(units, now_ms))
 
--- a/src/jujubewharf/leadership/account_feed.py
+++ b/src/jujubewharf/leadership/account_feed.py
@@ -39,7 +39,7 @@
         self._buckets.forget()
         now_ms = self._clock.now_ms()
         for account in left:
-            self._buckets.put(account.account, account.units, now_ms)
+            self._buckets.set_balance(account.account, account.units, now_ms)
 
     def left(self, name: str, quota: accounts.Quota) -> float:
         """Returns the units that a low account has left now."""
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -142,7 +142,7 @@
         for name, account in self._source.accounts.by_name.items():
             if account.quota is not None:
                 initial_units = self._initial_units(name, account.quota)
-                self._buckets.put(name, initial_units, now_ms)
+                self._buckets.set_balance(name, initial_units, now_ms)
 
     def _initial_units(self, name: str, quota: accounts.Quota) -> float:
         """Returns the initial units of an account in the current role."""
--- a/tests/forwarding/test_quotas.py
+++ b/tests/forwarding/test_quotas.py
@@ -15,7 +15,7 @@
 
 def _full() -> quotas.QuotaBuckets:
     ledger = quotas.QuotaBuckets()
-    ledger.put(NAME, QUOTA.burst, 0.0)
+    ledger.set_balance(NAME, QUOTA.burst, 0.0)
     return ledger
 
 
@@ -75,7 +75,7 @@
     assert ledger.left(NAME, QUOTA, 5_000.0) < QUOTA.burst / 2
     # First seen long after counting started: the whole burst is available.
     assert ledger.left("other", QUOTA, 9_000.0) == QUOTA.burst
-    ledger.put(NAME, QUOTA.burst, 5_000.0)
+    ledger.set_balance(NAME, QUOTA.burst, 5_000.0)
     ledger.resume(9_000.0)
     assert ledger.left(NAME, QUOTA, 9_000.0) < QUOTA.burst / 2
     assert ledger.left(NAME, QUOTA, 12_000.0) == QUOTA.burst
