--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -147,7 +147,7 @@
         """Sets an account's available units to a value counted elsewhere."""
         self._uses[account] = _AccountUse(buckets.TokenBucket(units, now_ms))
 
-    def keep_only(self, names: Collection[str]) -> None:
+    def retain(self, names: Collection[str]) -> None:
         """Removes all accounts but the given ones."""
         for name in list(self._uses):
             if name not in names:
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -263,8 +263,8 @@
     def forget_others(self) -> None:
         """Removes accounts that are no longer configured."""
         names = self._source.accounts.by_name
-        self._leader_buckets.keep_only(names)
-        self._local_buckets.keep_only(names)
+        self._leader_buckets.retain(names)
+        self._local_buckets.retain(names)
         for name in set(self._largest_units) - set(names):
             del self._largest_units[name]
 
