--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -139,7 +139,7 @@
         """Accounts with a bucket."""
         return frozenset(self._uses)
 
-    def knows(self, account: str) -> bool:
+    def contains(self, account: str) -> bool:
         """Returns whether an account has a bucket."""
         return account in self._uses
 
--- a/src/jujubewharf/leadership/account_feed.py
+++ b/src/jujubewharf/leadership/account_feed.py
@@ -49,7 +49,7 @@
         self, name: str, quota: accounts.Quota, units: float, *, debt: float
     ) -> float:
         """Takes units of a low account; see ``quotas.QuotaBuckets.take``."""
-        if not self._buckets.knows(name):
+        if not self._buckets.contains(name):
             return 0.0
         now_ms = self._clock.now_ms()
         return self._buckets.take(name, quota, units, now_ms, debt=debt)
