--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -92,7 +92,9 @@
         self._uses: dict[str, _AccountUse] = {}
         self._started_ms = now_ms
 
-    def left(self, account: str, quota: accounts.Quota, now_ms: float) -> float:
+    def balance(
+        self, account: str, quota: accounts.Quota, now_ms: float
+    ) -> float:
         """Returns the units available now; negative in debt."""
         return self._refilled(account, quota, now_ms).bucket.tokens
 
--- a/src/jujubewharf/leadership/account_feed.py
+++ b/src/jujubewharf/leadership/account_feed.py
@@ -43,7 +43,7 @@
 
     def left(self, name: str, quota: accounts.Quota) -> float:
         """Returns the units that a low account has left now."""
-        return self._buckets.left(name, quota, self._clock.now_ms())
+        return self._buckets.balance(name, quota, self._clock.now_ms())
 
     def take(
         self, name: str, quota: accounts.Quota, units: float, *, debt: float
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -365,7 +365,7 @@
             if account.quota is None:
                 continue
             local_quota = self._local_quota(name, account.quota)
-            left = self._buckets.left(name, local_quota, now_ms)
+            left = self._buckets.balance(name, local_quota, now_ms)
             if left < local_quota.burst * _LOW_SHARE:
                 low.append(quota_messages.AccountLeft(name, left))
         self._fleet.followers.tell_left(tuple(low))
--- a/tests/forwarding/test_quotas.py
+++ b/tests/forwarding/test_quotas.py
@@ -49,7 +49,7 @@
     ledger = _full()
     ledger.take(NAME, QUOTA, 2_000.0, 0.0)
     ledger.charge(NAME, QUOTA, -2_000.0, 0.0)
-    assert ledger.left(NAME, QUOTA, 0.0) == QUOTA.burst
+    assert ledger.balance(NAME, QUOTA, 0.0) == QUOTA.burst
 
 
 def test_a_small_request_is_admitted_in_a_debt_that_is_tolerated():
@@ -60,25 +60,25 @@
     for _ in range(10):
         assert ledger.take(NAME, QUOTA, 20.0, 0.0, debt=500.0) == 0.0
     assert ledger.take(NAME, QUOTA, 20.0, 0.0, debt=500.0) > 0.0
-    assert ledger.left(NAME, QUOTA, 0.0) == -500.0
+    assert ledger.balance(NAME, QUOTA, 0.0) == -500.0
 
 
 def test_a_lower_quota_binds_at_once():
     ledger = _full()
     lower = accounts.Quota(rate_per_s=10.0, burst=20.0)
-    assert ledger.left(NAME, lower, 0.0) == 20.0
-    assert ledger.left(NAME, QUOTA, 0.0) == 20.0
+    assert ledger.balance(NAME, lower, 0.0) == 20.0
+    assert ledger.balance(NAME, QUOTA, 0.0) == 20.0
 
 
 def test_a_count_begun_anew_grants_no_second_burst():
     ledger = quotas.QuotaBuckets(5_000.0)
-    assert ledger.left(NAME, QUOTA, 5_000.0) < QUOTA.burst / 2
+    assert ledger.balance(NAME, QUOTA, 5_000.0) < QUOTA.burst / 2
     # First seen long after counting started: the whole burst is available.
-    assert ledger.left("other", QUOTA, 9_000.0) == QUOTA.burst
+    assert ledger.balance("other", QUOTA, 9_000.0) == QUOTA.burst
     ledger.set_balance(NAME, QUOTA.burst, 5_000.0)
     ledger.resume(9_000.0)
-    assert ledger.left(NAME, QUOTA, 9_000.0) < QUOTA.burst / 2
-    assert ledger.left(NAME, QUOTA, 12_000.0) == QUOTA.burst
+    assert ledger.balance(NAME, QUOTA, 9_000.0) < QUOTA.burst / 2
+    assert ledger.balance(NAME, QUOTA, 12_000.0) == QUOTA.burst
 
 
 def test_a_count_that_goes_on_keeps_its_debts():
@@ -86,7 +86,7 @@
     ledger = _full()
     ledger.charge(NAME, QUOTA, 5_000.0, 0.0)
     ledger.resume(1_000.0)
-    assert ledger.left(NAME, QUOTA, 1_000.0) == -2_000.0
+    assert ledger.balance(NAME, QUOTA, 1_000.0) == -2_000.0
 
 
 @hypothesis.given(
--- a/tests/leadership/test_fleet_quotas.py
+++ b/tests/leadership/test_fleet_quotas.py
@@ -207,7 +207,7 @@
             assert errors.ErrorKind.QUEUE_FULL in kinds
             leader = world.instances[world.leader]
             await world.clock.sleep_ms(500.0)
-            left = leader.quotas._buckets.left(
+            left = leader.quotas._buckets.balance(
                 "hot", SMALL, world.clock.now_ms()
             )
             assert left == pytest.approx(SMALL.burst)
@@ -230,14 +230,14 @@
             runs = 0
             while runs < 2:
                 world.backends.runs.clear()
-                before = leader.quotas._buckets.left(
+                before = leader.quotas._buckets.balance(
                     "hot", SMALL, world.clock.now_ms()
                 )
                 answer = await _ask(
                     world, "hot", "/verdicts/1", "e1", work=WORK
                 )
                 runs = len(world.backends.runs)
-                after = leader.quotas._buckets.left(
+                after = leader.quotas._buckets.balance(
                     "hot", SMALL, world.clock.now_ms()
                 )
                 gained = SMALL.rate_per_s * answer.took_ms / 1_000.0
