--- a/src/jujubewharf/forwarding/quotas.py
+++ b/src/jujubewharf/forwarding/quotas.py
@@ -155,7 +155,7 @@
             if name not in names:
                 del self._uses[name]
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Removes all accounts."""
         self._uses.clear()
 
--- a/src/jujubewharf/leadership/account_feed.py
+++ b/src/jujubewharf/leadership/account_feed.py
@@ -32,11 +32,11 @@
 
     def begin(self) -> None:
         """Discards what the previous leader reported."""
-        self._buckets.forget()
+        self._buckets.clear()
 
     def told(self, left: Iterable[quota_messages.AccountLeft]) -> None:
         """Replaces the low accounts by those of a new report."""
-        self._buckets.forget()
+        self._buckets.clear()
         now_ms = self._clock.now_ms()
         for account in left:
             self._buckets.set_balance(account.account, account.units, now_ms)
