--- a/src/jujubewharf/forwarding/limits.py
+++ b/src/jujubewharf/forwarding/limits.py
@@ -41,11 +41,11 @@
     """Token buckets that enforce the rate limits of endpoints.
 
     Args:
-        first_permits: Returns the initial tokens of a new bucket, below 1.
+        initial_tokens: Returns the initial tokens of a new bucket, below 1.
     """
 
-    def __init__(self, first_permits: Callable[[], float]) -> None:
-        self._first_permits = first_permits
+    def __init__(self, initial_tokens: Callable[[], float]) -> None:
+        self._first_permits = initial_tokens
         self._by_name: dict[str, buckets.TokenBucket] = {}
         self._last_retry_ms: dict[str, float] = {}
 
