--- a/src/jujubewharf/forwarding/budget.py
+++ b/src/jujubewharf/forwarding/budget.py
@@ -50,7 +50,7 @@
         for counter in (*self._requests.values(), *self._retries.values()):
             counter.window_ms = window_ms
 
-    def accepted(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Counts a request for a service."""
         self._counter(self._requests, service).add(self._clock.now_ms())
 
--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -187,7 +187,7 @@
         account = self._source.account_of(route, call.headers)
         call = self._without_key(call, account)
         service = self._select_service(route)
-        self._budget.accepted(service)
+        self._budget.record_request(service)
         timeout_ms = route.timeout_ms
         if call.patience_ms is not None:
             timeout_ms = min(timeout_ms, call.patience_ms)
--- a/tests/forwarding/test_budget.py
+++ b/tests/forwarding/test_budget.py
@@ -26,7 +26,7 @@
         fleet = [_budget(clock, share=1 / 6) for _ in range(6)]
         for budget in fleet:
             for _ in range(50):
-                budget.accepted("s")
+                budget.record_request("s")
         assert sum(_take_all(b) for b in fleet) <= 0.2 * 300 + 40
 
     virtual_time.run(main())
