--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -181,7 +181,7 @@
         )
         self._observations.record_failure(expired)
         decisions.engine_failed(run, expired, stage="fetch", took_ms=0.0)
-        left = self._budget.left(run.service)
+        left = self._budget.remaining(run.service)
         if not self._budget.take(run.service):
             decisions.not_retried(run, "kv_gone", budget_left=left)
             raise run.failure() from error
@@ -264,7 +264,7 @@
             return True
         if error.fault is client.EngineFault.REFUSED_FULL:
             self._observations.record_prefill_refusal(error.engine)
-        left = self._budget.left(run.service)
+        left = self._budget.remaining(run.service)
         if not self._budget.take(run.service):
             decisions.not_retried(run, "prefill_failed", budget_left=left)
             return False
--- a/src/jujubewharf/forwarding/budget.py
+++ b/src/jujubewharf/forwarding/budget.py
@@ -54,7 +54,7 @@
         """Counts a request for a service."""
         self._counter(self._requests, service).add(self._clock.now_ms())
 
-    def left(self, service: str) -> float:
+    def remaining(self, service: str) -> float:
         """Returns the retries left; fractional, below 1 means none."""
         now_ms = self._clock.now_ms()
         requests = self._counter(self._requests, service).total(now_ms)
@@ -64,7 +64,7 @@
 
     def take(self, service: str) -> bool:
         """Consumes one retry and returns whether there was one."""
-        if self.left(service) < 1.0:
+        if self.remaining(service) < 1.0:
             return False
         self._counter(self._retries, service).add(self._clock.now_ms())
         return True
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -373,7 +373,7 @@
 
     def retries_left(self) -> dict[str, float]:
         """Returns the remaining retries of this instance by service."""
-        return {name: self.budget.left(name) for name in self._services()}
+        return {name: self.budget.remaining(name) for name in self._services()}
 
     def new_shutdown(self) -> shutdown.Shutdown:
         """Creates a graceful shutdown, to be run by the caller."""
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -139,7 +139,7 @@
         return run.failure("all endpoints deferred", retry_after_ms=after_ms)
 
     def _may_retry(self, run: runs.Run, reason: str) -> bool:
-        left = self._budget.left(run.service)
+        left = self._budget.remaining(run.service)
         if not run.tried:
             # No endpoint has received any part of the request.
             return True
@@ -226,7 +226,10 @@
             return max(0.0, run.left_ms(self._clock) - _DEADLINE_RESERVE_MS)
         if run.route.repeat is not routes.Repeat.AGAIN:
             return None
-        if not run.has_attempts_left or self._budget.left(run.service) < 1.0:
+        if (
+            not run.has_attempts_left
+            or self._budget.remaining(run.service) < 1.0
+        ):
             return None
         return run.route.target_ms * _TIMEOUT_SHARE_OF_TARGET
 
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -88,7 +88,7 @@
         Raises:
             WharfError: No retry is allowed.
         """
-        left = self._budget.left(run.service)
+        left = self._budget.remaining(run.service)
         reason = error.fault.value
         if not run.may_run_again or not run.has_attempts_left:
             decisions.not_retried(run, reason, budget_left=left)
@@ -149,7 +149,7 @@
             WharfError: No further attempt is allowed.
         """
         while True:
-            left = self._budget.left(run.service)
+            left = self._budget.remaining(run.service)
             is_allowed = run.route.repeat is routes.Repeat.CONTINUE
             may_run_again = is_allowed and run.has_attempts_left
             if not may_run_again or not self._budget.take(run.service):
--- a/tests/forwarding/test_attempts.py
+++ b/tests/forwarding/test_attempts.py
@@ -358,10 +358,10 @@
             lossy, changing, writer("d2", "b")
         ) as world:
             budget = world.instances["e1"].budget
-            before = budget.left(deployments.ENGINES)
+            before = budget.remaining(deployments.ENGINES)
             answer = await world.ask("/verdicts/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
-            taken = before - budget.left(deployments.ENGINES)
+            taken = before - budget.remaining(deployments.ENGINES)
             # Two prefills, a refused run and a run; the first prefill and the
             # first run are not retries.
             assert len(world.backends.prefills) == 2
