--- a/src/jujubewharf/routing/prefill_ledger.py
+++ b/src/jujubewharf/routing/prefill_ledger.py
@@ -17,7 +17,7 @@
     sent_ms: float
 
 
-class ReadLedger:
+class PrefillLedger:
     """The prefill queue of one engine, as reported by the sending instances.
 
     Load reports lag by more than the queue lasts. Instances that relied on them
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -72,7 +72,7 @@
         self._queues: dict[str, _Queue] = {}
         self._hold_times: dict[str, hold_times.HoldTimes] = {}
         self._present: frozenset[str] = frozenset()
-        self._prefill_ledgers: dict[str, prefill_ledger.ReadLedger] = {}
+        self._prefill_ledgers: dict[str, prefill_ledger.PrefillLedger] = {}
         self._digest_rotation: collections.deque[str] = collections.deque()
         self._keepers = coordinators.CoordinatorCache(members)
         peers.handle(slot_messages.SlotAsk, self.on_ask)
@@ -170,7 +170,7 @@
         prefills = self._prefill_ledgers.get(ask.engine)
         if prefills is None:
             prefills = self._prefill_ledgers[ask.engine] = (
-                prefill_ledger.ReadLedger(now_ms)
+                prefill_ledger.PrefillLedger(now_ms)
             )
         holder = slot_ledger.Holder(peer, ask.number)
         transfer_ms = self._transfer_ms(ask.engine, ask.tokens)
