--- a/src/jujubewharf/routing/prefill_ledger.py
+++ b/src/jujubewharf/routing/prefill_ledger.py
@@ -28,13 +28,13 @@
     faster than it transfers them accumulate until transfers time out.
 
     Args:
-        kept_since_ms: Clock reading at which this instance became the
+        coordinator_since_ms: Clock reading at which this instance became the
             coordinator. Prompts sent before then are unknown to it.
     """
 
-    def __init__(self, kept_since_ms: float) -> None:
-        self._kept_since_ms = kept_since_ms
-        self._link_free_ms = kept_since_ms
+    def __init__(self, coordinator_since_ms: float) -> None:
+        self._coordinator_since_ms = coordinator_since_ms
+        self._link_free_ms = coordinator_since_ms
         self._prefills: dict[slot_ledger.Holder, _Prefill] = {}
 
     def begin(
@@ -79,6 +79,6 @@
             if prefill.sent_ms < expired_ms:
                 del self._prefills[holder]
         outstanding = sum(prefill.tokens for prefill in self._prefills.values())
-        if now_ms - self._kept_since_ms < _REPORT_GRACE_MS:
+        if now_ms - self._coordinator_since_ms < _REPORT_GRACE_MS:
             return max(outstanding, reported_tokens)
         return outstanding
--- a/tests/routing/test_prefill_ledger.py
+++ b/tests/routing/test_prefill_ledger.py
@@ -13,7 +13,7 @@
 
 
 def test_reports_count_only_after_coordinator_change():
-    ledger = prefill_ledger.PrefillLedger(kept_since_ms=0.0)
+    ledger = prefill_ledger.PrefillLedger(coordinator_since_ms=0.0)
     ledger.begin(_holder(1), 500, 0.0, 1_000.0)
     assert ledger.queued_tokens(9_000, 1_000.0) == 9_000
     assert ledger.queued_tokens(9_000, 6_000.0) == 500
