--- a/src/jujubewharf/routing/prefill_ledger.py
+++ b/src/jujubewharf/routing/prefill_ledger.py
@@ -48,11 +48,11 @@
         self._prefills[holder] = _Prefill(tokens, transfer_ms, now_ms)
 
     def end(
-        self, holder: slot_ledger.Holder, now_ms: float, *, is_read: bool
+        self, holder: slot_ledger.Holder, now_ms: float, *, is_prefilled: bool
     ) -> None:
         """Removes a prompt; if its prefill completed, the transfer starts."""
         prefill = self._prefills.pop(holder, None)
-        if prefill is not None and is_read:
+        if prefill is not None and is_prefilled:
             start_ms = max(now_ms, self._link_free_ms)
             self._link_free_ms = start_ms + prefill.transfer_ms
 
--- a/tests/routing/test_prefill_ledger.py
+++ b/tests/routing/test_prefill_ledger.py
@@ -25,7 +25,7 @@
     ledger = prefill_ledger.PrefillLedger(_LONG_AGO_MS)
     ledger.begin(_holder(1), 5_000, 800.0, 0.0)
     ledger.begin(_holder(2), 5_000, 800.0, 0.0)
-    ledger.end(_holder(1), 0.0, is_read=True)
+    ledger.end(_holder(1), 0.0, is_prefilled=True)
     assert ledger.link_ms(0.0) == 1_600
     assert ledger.link_ms(500.0) == 1_100
 
@@ -33,7 +33,7 @@
 def test_failed_prefill_needs_no_transfer():
     ledger = prefill_ledger.PrefillLedger(_LONG_AGO_MS)
     ledger.begin(_holder(1), 5_000, 800.0, 0.0)
-    ledger.end(_holder(1), 0.0, is_read=False)
+    ledger.end(_holder(1), 0.0, is_prefilled=False)
     assert ledger.link_ms(0.0) == 0
 
 
