--- a/src/jujubewharf/routing/prefill_ledger.py
+++ b/src/jujubewharf/routing/prefill_ledger.py
@@ -63,7 +63,7 @@
         )
         return max(0.0, self._link_free_ms - now_ms) + pending_ms
 
-    def forget_instance(self, instance: str) -> None:
+    def remove_instance(self, instance: str) -> None:
         """Removes the prompts of an instance that has left."""
         for holder in [h for h in self._prefills if h.instance == instance]:
             del self._prefills[holder]
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -315,9 +315,9 @@
         present = frozenset(m.instance for m in self._members.present())
         for departed in sorted(self._present - present):
             for queue in self._queues.values():
-                queue.ledger.forget_instance(departed)
+                queue.ledger.remove_instance(departed)
             for prefills in self._prefill_ledgers.values():
-                prefills.forget_instance(departed)
+                prefills.remove_instance(departed)
         self._present = present
         for name, queue in list(self._queues.items()):
             view = self._fleet.view(name)
--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -153,7 +153,7 @@
         elif was_held and self.foreign:
             self._attribute_one()
 
-    def forget_instance(self, instance: str) -> None:
+    def remove_instance(self, instance: str) -> None:
         """Removes the entries of an instance that has left.
 
         Slots that it held stay in use at the engine until the sweep frees them.
--- a/tests/routing/test_prefill_ledger.py
+++ b/tests/routing/test_prefill_ledger.py
@@ -40,5 +40,5 @@
 def test_prompts_of_lost_instance_are_removed():
     ledger = prefill_ledger.PrefillLedger(_LONG_AGO_MS)
     ledger.begin(_holder(1), 500, 10.0, 0.0)
-    ledger.forget_instance("e1")
+    ledger.remove_instance("e1")
     assert ledger.queued_tokens(0, 1.0) == 0
--- a/tests/routing/test_slot_ledger.py
+++ b/tests/routing/test_slot_ledger.py
@@ -112,5 +112,5 @@
     ledger = _ledger(slots=1)
     ledger.wish(_request(1))
     assert _granted(ledger, 0) == [1]
-    ledger.forget_instance("e1")
+    ledger.remove_instance("e1")
     assert ledger.balance == 1
