--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -23,7 +23,7 @@
 from jujubewharf.routing import jobs
 from jujubewharf.routing import plans as plans_lib
 from jujubewharf.routing import policy as policies
-from jujubewharf.routing import reading
+from jujubewharf.routing import prefill_estimator
 from jujubewharf.routing import slots
 
 _MAX_PARALLEL_REQUESTS = 3
@@ -55,14 +55,14 @@
         self._rng = rng
         self._queued: collections.Counter[str] = collections.Counter()
         self._hold_times: dict[str, hold_times.HoldTimes] = {}
-        self._reading = reading.Reading(clock)
+        self._reading = prefill_estimator.Reading(clock)
         self._held_since_ms: dict[int, float] = {}
 
     def attach(self, context: policies.PolicyContext) -> None:
         """Attaches to an instance; see ``policy.AsyncPolicy``."""
         self._context = context
         self._slots = slots.Slots(context, self._clock)
-        self._reading = reading.Reading(self._clock)
+        self._reading = prefill_estimator.Reading(self._clock)
         self._queued.clear()
         self._held_since_ms.clear()
 
@@ -280,7 +280,9 @@
         kv_bytes = job.prompt_tokens * self._context.fleet.kv_bytes_per_token(
             job.service.model
         )
-        kv_transfer_ms = reading.transfer_ms(prefill, decode, kv_bytes)
+        kv_transfer_ms = prefill_estimator.transfer_ms(
+            prefill, decode, kv_bytes
+        )
         first_token_ms = (
             kv_ready_ms + kv_transfer_ms + plans_lib.first_steps_ms(decode)
         )
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -18,7 +18,7 @@
 from jujubewharf.routing import hold_times
 from jujubewharf.routing import jobs
 from jujubewharf.routing import policy as policies
-from jujubewharf.routing import reading
+from jujubewharf.routing import prefill_estimator
 from jujubewharf.routing import slot_ledger
 
 _POLL_MS = 5.0
@@ -67,7 +67,7 @@
 
     def __init__(self, load_now: Callable[[str], client.LoadReport]) -> None:
         self.load_now = load_now
-        self.reading: reading.Reading | None = None
+        self.reading: prefill_estimator.Reading | None = None
         self.claimed: dict[str, set[slot_ledger.Holder]] = {}
         self._pools: dict[str, _Pool] = {}
 
@@ -98,7 +98,7 @@
         self._truth = truth
         self._clock = clock
         if truth.reading is None:
-            truth.reading = reading.Reading(clock)
+            truth.reading = prefill_estimator.Reading(clock)
         self._reading = truth.reading
 
     def attach(self, context: policies.PolicyContext) -> None:
@@ -213,7 +213,9 @@
         kv_bytes = job.prompt_tokens * self._context.fleet.kv_bytes_per_token(
             job.service.model
         )
-        kv_transfer_ms = reading.transfer_ms(prefill, decode, kv_bytes)
+        kv_transfer_ms = prefill_estimator.transfer_ms(
+            prefill, decode, kv_bytes
+        )
         step_ms = self._truth.load_now(decode.endpoint.name).step_ms
         return kv_transfer_ms + _STEPS_TO_FIRST_TOKEN * step_ms
 
