--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -55,14 +55,14 @@
         self._rng = rng
         self._queued: collections.Counter[str] = collections.Counter()
         self._hold_times: dict[str, hold_times.HoldTimes] = {}
-        self._reading = prefill_estimator.Reading(clock)
+        self._estimator = prefill_estimator.PrefillEstimator(clock)
         self._held_since_ms: dict[int, float] = {}
 
     def attach(self, context: policies.PolicyContext) -> None:
         """Attaches to an instance; see ``policy.AsyncPolicy``."""
         self._context = context
         self._slots = slots.Slots(context, self._clock)
-        self._reading = prefill_estimator.Reading(self._clock)
+        self._estimator = prefill_estimator.PrefillEstimator(self._clock)
         self._queued.clear()
         self._held_since_ms.clear()
 
@@ -79,7 +79,7 @@
 
     async def wait_for_decode(self, job: jobs.Job) -> jobs.Decision:
         """Waits for a decode slot after prefill, without a time limit."""
-        prefill = self._reading.done(job.number)
+        prefill = self._estimator.done(job.number)
         if prefill is not None:
             self._context.fleet.hints.record_prompt(
                 prefill.engine, job.prefix_hashes
@@ -136,7 +136,7 @@
 
     def release(self, job: jobs.Job, *, is_prefilled: bool) -> None:
         """Releases the request's resources; see ``policy.AsyncPolicy``."""
-        self._reading.dropped(job.number)
+        self._estimator.dropped(job.number)
         self._slots.end_read(job.number)
         self._slots.end(job.number)
         since_ms = self._held_since_ms.pop(job.number, None)
@@ -231,7 +231,7 @@
             return self._refusal(errors.ErrorKind.DEADLINE_UNREACHABLE, job)
         link_wait_ms = kv_ready_ms - self._prefill_ms(prefill, job)
         start_at_ms = self._clock.now_ms() + link_wait_ms
-        self._reading.begin(job, prefill, start_at_ms)
+        self._estimator.begin(job, prefill, start_at_ms)
         return jobs.Choice(None, prefill.endpoint, prefill_at_ms=start_at_ms)
 
     def _gain_ms(
@@ -254,7 +254,7 @@
         saved = self._context.fleet.hints.saved_tokens(
             view.endpoint.name, job.prefix_hashes
         )
-        return self._reading.read_ms(view, job.prompt_tokens - saved)
+        return self._estimator.read_ms(view, job.prompt_tokens - saved)
 
     def _plans(self, job: jobs.Job) -> list[plans_lib.Plan]:
         views = self._candidates(job)
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -67,7 +67,7 @@
 
     def __init__(self, load_now: Callable[[str], client.LoadReport]) -> None:
         self.load_now = load_now
-        self.reading: prefill_estimator.Reading | None = None
+        self.estimator: prefill_estimator.PrefillEstimator | None = None
         self.claimed: dict[str, set[slot_ledger.Holder]] = {}
         self._pools: dict[str, _Pool] = {}
 
@@ -97,9 +97,9 @@
     def __init__(self, truth: GroundTruth, clock: clocks.Clock) -> None:
         self._truth = truth
         self._clock = clock
-        if truth.reading is None:
-            truth.reading = prefill_estimator.Reading(clock)
-        self._reading = truth.reading
+        if truth.estimator is None:
+            truth.estimator = prefill_estimator.PrefillEstimator(clock)
+        self._estimator = truth.estimator
 
     def attach(self, context: policies.PolicyContext) -> None:
         """Attaches to an instance; see ``policy.AsyncPolicy``."""
@@ -119,18 +119,18 @@
         if not await self._wait(job, prefill_ms, first_token_ms):
             return jobs.Refusal(errors.ErrorKind.DEADLINE_UNREACHABLE)
         prefill = min(prefill_views, key=lambda v: self._prefill_ms(v, job))
-        self._reading.begin(job, prefill, self._clock.now_ms())
+        self._estimator.begin(job, prefill, self._clock.now_ms())
         return jobs.Choice(None, prefill.endpoint)
 
     async def wait_for_decode(self, job: jobs.Job) -> jobs.Decision:
         """Claims a slot on the least loaded engine as soon as one is free."""
-        self._reading.done(job.number)
+        self._estimator.done(job.number)
         await self._wait(job, 0.0, -math.inf, is_ready=True)
         return await self._claim(job, eligibility.kv_importers)
 
     def release(self, job: jobs.Job, *, is_prefilled: bool) -> None:
         """Releases the request's resources; see ``policy.AsyncPolicy``."""
-        self._reading.dropped(job.number)
+        self._estimator.dropped(job.number)
         holder = self._holder(job)
         self._truth.pool(job).ledger.end(holder, self._clock.now_ms())
         for claimed in self._truth.claimed.values():
@@ -201,7 +201,7 @@
         name = view.endpoint.name
         queued = self._truth.load_now(name).prefill_queued_tokens
         tokens = queued + job.prompt_tokens
-        return tokens * self._reading.ms_per_token(name)
+        return tokens * self._estimator.ms_per_token(name)
 
     def _after_prefill_ms(
         self,
--- a/src/jujubewharf/routing/prefill_estimator.py
+++ b/src/jujubewharf/routing/prefill_estimator.py
@@ -29,7 +29,7 @@
     ahead_tokens: float
 
 
-class Reading:
+class PrefillEstimator:
     """Tracks this instance's prefills and the prefill speed of engines.
 
     Args:
