--- a/src/jujubewharf/routing/prefill_estimator.py
+++ b/src/jujubewharf/routing/prefill_estimator.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Read:
+class PrefillInProgress:
     """A prefill in progress for a request of this instance.
 
     Attributes:
@@ -40,7 +40,7 @@
         self._clock = clock
         self._ms_per_token: dict[str, float] = {}
         self._mean_ms_per_token = _PRIOR_MS_PER_TOKEN
-        self._prefills: dict[int, Read] = {}
+        self._prefills: dict[int, PrefillInProgress] = {}
 
     def ms_per_token(self, engine: str) -> float:
         """Returns the prefill time per token; the mean for a new engine."""
@@ -76,14 +76,14 @@
         self, job: jobs.Job, view: fleets.EngineView, at_ms: float
     ) -> None:
         """Records a prompt that is sent now or at a later clock reading."""
-        self._prefills[job.number] = Read(
+        self._prefills[job.number] = PrefillInProgress(
             view.endpoint.name,
             job.prompt_tokens,
             at_ms,
             self.queued_tokens(view),
         )
 
-    def done(self, number: int) -> Read | None:
+    def done(self, number: int) -> PrefillInProgress | None:
         """Records a completed prefill and updates the estimates."""
         prefill = self._prefills.pop(number, None)
         if prefill is None:
