--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -254,7 +254,7 @@
         saved = self._context.fleet.hints.saved_tokens(
             view.endpoint.name, job.prefix_hashes
         )
-        return self._estimator.read_ms(view, job.prompt_tokens - saved)
+        return self._estimator.prefill_ms(view, job.prompt_tokens - saved)
 
     def _plans(self, job: jobs.Job) -> list[plans_lib.Plan]:
         views = self._candidates(job)
--- a/src/jujubewharf/routing/prefill_estimator.py
+++ b/src/jujubewharf/routing/prefill_estimator.py
@@ -67,7 +67,7 @@
         rate = self.ms_per_token(view.endpoint.name)
         return self.queued_tokens(view) * rate
 
-    def read_ms(self, view: fleets.EngineView, tokens: float) -> float:
+    def prefill_ms(self, view: fleets.EngineView, tokens: float) -> float:
         """Returns the expected time until a new prompt's prefill completes."""
         rate = self.ms_per_token(view.endpoint.name)
         return self.wait_ms(view) + tokens * rate
