--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -79,7 +79,7 @@
 
     async def wait_for_decode(self, job: jobs.Job) -> jobs.Decision:
         """Waits for a decode slot after prefill, without a time limit."""
-        prefill = self._estimator.done(job.number)
+        prefill = self._estimator.complete(job.number)
         if prefill is not None:
             self._context.fleet.hints.record_prompt(
                 prefill.engine, job.prefix_hashes
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -124,7 +124,7 @@
 
     async def wait_for_decode(self, job: jobs.Job) -> jobs.Decision:
         """Claims a slot on the least loaded engine as soon as one is free."""
-        self._estimator.done(job.number)
+        self._estimator.complete(job.number)
         await self._wait(job, 0.0, -math.inf, is_ready=True)
         return await self._claim(job, eligibility.kv_importers)
 
--- a/src/jujubewharf/routing/prefill_estimator.py
+++ b/src/jujubewharf/routing/prefill_estimator.py
@@ -83,7 +83,7 @@
             self.queued_tokens(view),
         )
 
-    def done(self, number: int) -> PrefillInProgress | None:
+    def complete(self, number: int) -> PrefillInProgress | None:
         """Records a completed prefill and updates the estimates."""
         prefill = self._prefills.pop(number, None)
         if prefill is None:
