--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -136,7 +136,7 @@
 
     def release(self, job: jobs.Job, *, is_prefilled: bool) -> None:
         """Releases the request's resources; see ``policy.AsyncPolicy``."""
-        self._estimator.dropped(job.number)
+        self._estimator.discard(job.number)
         self._slots.end_read(job.number)
         self._slots.end(job.number)
         since_ms = self._held_since_ms.pop(job.number, None)
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -130,7 +130,7 @@
 
     def release(self, job: jobs.Job, *, is_prefilled: bool) -> None:
         """Releases the request's resources; see ``policy.AsyncPolicy``."""
-        self._estimator.dropped(job.number)
+        self._estimator.discard(job.number)
         holder = self._holder(job)
         self._truth.pool(job).ledger.end(holder, self._clock.now_ms())
         for claimed in self._truth.claimed.values():
--- a/src/jujubewharf/routing/prefill_estimator.py
+++ b/src/jujubewharf/routing/prefill_estimator.py
@@ -98,7 +98,7 @@
         self._mean_ms_per_token = mean + _SMOOTHING * (sample - mean)
         return prefill
 
-    def dropped(self, number: int) -> None:
+    def discard(self, number: int) -> None:
         """Removes a prompt whose prefill failed or was cancelled."""
         self._prefills.pop(number, None)
 
