--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -36,7 +36,7 @@
         self._rejected: set[slot_ledger.Holder] = set()
 
     async def wait(
-        self, request: slot_ledger.Wish, clock: clocks.Clock
+        self, request: slot_ledger.SlotRequest, clock: clocks.Clock
     ) -> bool:
         """Waits for a slot; returns false if none can be granted in time."""
         holder = request.holder
@@ -161,7 +161,7 @@
         pool.ledger.slots = sum(
             self._truth.load_now(name).slots_total for name in names
         )
-        request = slot_ledger.Wish(
+        request = slot_ledger.SlotRequest(
             self._holder(job),
             ready_in_ms=ready_in_ms,
             latest_at_ms=self._latest_at_ms(job, first_token_ms),
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -195,7 +195,7 @@
         return kv_bytes / view.endpoint.link_bytes_per_s * clocks.MS_PER_S
 
     async def _wait(
-        self, queue: _Queue, request: slot_ledger.Wish, timeout_ms: float
+        self, queue: _Queue, request: slot_ledger.SlotRequest, timeout_ms: float
     ) -> _Outcome:
         self._answer(queue, request.holder, _Outcome.NOT_YET)
         future: asyncio.Future[_Outcome]
@@ -380,8 +380,8 @@
 
 def _slot_request(
     peer: str, ask: slot_messages.SlotAsk, now_ms: float
-) -> slot_ledger.Wish:
-    return slot_ledger.Wish(
+) -> slot_ledger.SlotRequest:
+    return slot_ledger.SlotRequest(
         slot_ledger.Holder(peer, ask.number),
         ready_in_ms=ask.ready_in_ms,
         latest_at_ms=now_ms + ask.latest_in_ms,
--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
+class SlotRequest:
     """A request for a slot.
 
     Attributes:
@@ -76,7 +76,7 @@
         self._hold_times = hold_times
         self._held: dict[Holder, float] = {}
         self._promised: dict[Holder, _Promise] = {}
-        self._queue: dict[Holder, Wish] = {}
+        self._queue: dict[Holder, SlotRequest] = {}
         self._foreign_samples: collections.deque[int] = collections.deque(
             maxlen=_REPORT_WINDOW
         )
@@ -112,7 +112,7 @@
         return self._available - len(self._queue)
 
     @property
-    def line(self) -> list[Wish]:
+    def line(self) -> list[SlotRequest]:
         """Queued requests, next to be granted first."""
         return sorted(self._queue.values(), key=lambda request: request.rank)
 
@@ -122,7 +122,7 @@
             self.slots = slots_total
         self._foreign_samples.append(max(0, slots_used - len(self._held)))
 
-    def wish(self, request: Wish) -> None:
+    def wish(self, request: SlotRequest) -> None:
         """Queues a request. If it is ready, its promise is dropped."""
         if request.is_ready:
             self._promised.pop(request.holder, None)
@@ -163,7 +163,7 @@
             for holder in [h for h in entries if h.instance == instance]:
                 del entries[holder]
 
-    def grant_next(self, now_ms: float) -> Wish | None:
+    def grant_next(self, now_ms: float) -> SlotRequest | None:
         """Grants the first queued request that can be granted now."""
         self._expire_promises(now_ms)
         for request in self.line:
@@ -184,7 +184,7 @@
             return request
         return None
 
-    def take_hopeless(self, now_ms: float) -> list[Wish]:
+    def take_hopeless(self, now_ms: float) -> list[SlotRequest]:
         """Removes and returns the requests that cannot be granted in time."""
         rejected = []
         position = 0
@@ -212,7 +212,7 @@
         users = max(1, min(users, self.slots))
         return needed * self._hold_times.mean_ms / users
 
-    def _can_promise(self, request: Wish, now_ms: float) -> bool:
+    def _can_promise(self, request: SlotRequest, now_ms: float) -> bool:
         if self._available >= 1:
             return True
         expected_ends, variance = self._expected_ends(
--- a/tests/routing/test_slot_ledger.py
+++ b/tests/routing/test_slot_ledger.py
@@ -17,7 +17,7 @@
 
 def _request(number, *, ready_in_ms=500, latest_at_ms=5_000, **fields):
     holder = slot_ledger.Holder("e1", number)
-    return slot_ledger.Wish(holder, ready_in_ms, latest_at_ms, **fields)
+    return slot_ledger.SlotRequest(holder, ready_in_ms, latest_at_ms, **fields)
 
 
 def _granted(ledger, now_ms):
