--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -40,7 +40,7 @@
     ) -> bool:
         """Waits for a slot; returns false if none can be granted in time."""
         holder = request.holder
-        self.ledger.wish(request)
+        self.ledger.enqueue(request)
         while True:
             self._serve(clock.now_ms())
             if holder in self._granted:
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -202,7 +202,7 @@
         future = asyncio.get_running_loop().create_future()
         queue.answers[request.holder] = future
         self._request_arrived.set()
-        queue.ledger.wish(request)
+        queue.ledger.enqueue(request)
         self._serve(queue)
         try:
             async with self._clock.timeout_ms(timeout_ms):
--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -122,7 +122,7 @@
             self.slots = slots_total
         self._foreign_samples.append(max(0, slots_used - len(self._held)))
 
-    def wish(self, request: SlotRequest) -> None:
+    def enqueue(self, request: SlotRequest) -> None:
         """Queues a request. If it is ready, its promise is dropped."""
         if request.is_ready:
             self._promised.pop(request.holder, None)
--- a/tests/routing/test_slot_ledger.py
+++ b/tests/routing/test_slot_ledger.py
@@ -30,14 +30,14 @@
 def test_promises_do_not_exceed_slots():
     ledger = _ledger(slots=2)
     for number in (1, 2, 3):
-        ledger.wish(_request(number))
+        ledger.enqueue(_request(number))
     assert _granted(ledger, 0) == [1, 2]
 
 
 def test_slot_is_promised_before_it_is_free():
     ledger = _ledger(slots=1)
     ledger.hold(slot_ledger.Holder("e2", 9), since_ms=0)
-    ledger.wish(_request(1, ready_in_ms=300))
+    ledger.enqueue(_request(1, ready_in_ms=300))
     assert _granted(ledger, 200) == []
     assert _granted(ledger, 900) == [1]
     assert ledger.free == 0
@@ -45,16 +45,16 @@
 
 def test_completed_prefill_precedes_promises_and_priorities():
     ledger = _ledger(slots=1)
-    ledger.wish(_request(1, priority=9))
-    ledger.wish(_request(2, ready_in_ms=0, is_ready=True))
+    ledger.enqueue(_request(1, priority=9))
+    ledger.enqueue(_request(2, ready_in_ms=0, is_ready=True))
     assert _granted(ledger, 0) == [2]
 
 
 def test_order_by_priority_then_deadline():
     ledger = _ledger(slots=3)
-    ledger.wish(_request(1, latest_at_ms=900))
-    ledger.wish(_request(2, latest_at_ms=800))
-    ledger.wish(_request(3, latest_at_ms=4_000, priority=1))
+    ledger.enqueue(_request(1, latest_at_ms=900))
+    ledger.enqueue(_request(2, latest_at_ms=800))
+    ledger.enqueue(_request(3, latest_at_ms=4_000, priority=1))
     assert _granted(ledger, 0) == [3, 2, 1]
 
 
@@ -63,16 +63,16 @@
     # cannot be granted within its 1.5 s.
     ledger = _ledger(slots=1)
     ledger.hold(slot_ledger.Holder("e2", 9), since_ms=0)
-    ledger.wish(_request(1, latest_at_ms=1_400))
-    ledger.wish(_request(2, latest_at_ms=1_500))
+    ledger.enqueue(_request(1, latest_at_ms=1_400))
+    ledger.enqueue(_request(2, latest_at_ms=1_500))
     assert [w.holder.number for w in ledger.take_hopeless(0)] == [2]
 
 
 def test_unused_promise_expires():
     ledger = _ledger(slots=1)
-    ledger.wish(_request(1))
+    ledger.enqueue(_request(1))
     assert _granted(ledger, 0) == [1]
-    ledger.wish(_request(2, latest_at_ms=20_000))
+    ledger.enqueue(_request(2, latest_at_ms=20_000))
     assert _granted(ledger, 1_000) == []
     later_ms = 500 + slot_ledger.PROMISE_LASTS_MS + 1
     assert _granted(ledger, later_ms) == [2]
@@ -80,7 +80,7 @@
 
 def test_end_frees_slot_and_is_idempotent():
     ledger = _ledger(slots=1)
-    ledger.wish(_request(1, ready_in_ms=0, is_ready=True))
+    ledger.enqueue(_request(1, ready_in_ms=0, is_ready=True))
     assert _granted(ledger, 0) == [1]
     ledger.end(slot_ledger.Holder("e1", 1), 100)
     ledger.end(slot_ledger.Holder("e1", 1), 100)
@@ -110,7 +110,7 @@
 
 def test_promises_of_lost_instance_are_removed():
     ledger = _ledger(slots=1)
-    ledger.wish(_request(1))
+    ledger.enqueue(_request(1))
     assert _granted(ledger, 0) == [1]
     ledger.remove_instance("e1")
     assert ledger.balance == 1
