--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -112,7 +112,7 @@
         return self._available - len(self._queue)
 
     @property
-    def line(self) -> list[SlotRequest]:
+    def wait_queue(self) -> list[SlotRequest]:
         """Queued requests, next to be granted first."""
         return sorted(self._queue.values(), key=lambda request: request.rank)
 
@@ -166,7 +166,7 @@
     def grant_next(self, now_ms: float) -> SlotRequest | None:
         """Grants the first queued request that can be granted now."""
         self._expire_promises(now_ms)
-        for request in self.line:
+        for request in self.wait_queue:
             if request.is_ready:
                 if self.free <= 0:
                     continue
@@ -188,7 +188,7 @@
         """Removes and returns the requests that cannot be granted in time."""
         rejected = []
         position = 0
-        for request in self.line:
+        for request in self.wait_queue:
             wait_ms = 0.0 if request.is_ready else self.wait_ms(position)
             if now_ms + wait_ms > request.latest_at_ms:
                 del self._queue[request.holder]
