--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -47,7 +47,7 @@
     is_ready: bool = False
 
     @property
-    def rank(self) -> tuple[bool, int, float, Holder]:
+    def sort_key(self) -> tuple[bool, int, float, Holder]:
         """Sort key: completed prefills first, then priority, then deadline."""
         return (
             not self.is_ready,
@@ -114,7 +114,9 @@
     @property
     def wait_queue(self) -> list[SlotRequest]:
         """Queued requests, next to be granted first."""
-        return sorted(self._queue.values(), key=lambda request: request.rank)
+        return sorted(
+            self._queue.values(), key=lambda request: request.sort_key
+        )
 
     def reported(self, slots_total: int, slots_used: int) -> None:
         """Applies a load report of the engine, which may be outdated."""
