--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -52,7 +52,7 @@
             await clock.sleep_ms(_POLL_MS)
 
     def _serve(self, now_ms: float) -> None:
-        for request in self.ledger.take_hopeless(now_ms):
+        for request in self.ledger.reject_late(now_ms):
             self._rejected.add(request.holder)
         while (granted := self.ledger.grant_next(now_ms)) is not None:
             self._granted.add(granted.holder)
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -227,7 +227,7 @@
 
     def _serve(self, queue: _Queue) -> None:
         now_ms = self._clock.now_ms()
-        for request in queue.ledger.take_hopeless(now_ms):
+        for request in queue.ledger.reject_late(now_ms):
             self._answer(queue, request.holder, _Outcome.REJECTED)
         while (granted := queue.ledger.grant_next(now_ms)) is not None:
             self._answer(queue, granted.holder, _Outcome.GRANTED)
--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -186,7 +186,7 @@
             return request
         return None
 
-    def take_hopeless(self, now_ms: float) -> list[SlotRequest]:
+    def reject_late(self, now_ms: float) -> list[SlotRequest]:
         """Removes and returns the requests that cannot be granted in time."""
         rejected = []
         position = 0
--- a/tests/routing/test_slot_ledger.py
+++ b/tests/routing/test_slot_ledger.py
@@ -65,7 +65,7 @@
     ledger.hold(slot_ledger.Holder("e2", 9), since_ms=0)
     ledger.enqueue(_request(1, latest_at_ms=1_400))
     ledger.enqueue(_request(2, latest_at_ms=1_500))
-    assert [w.holder.number for w in ledger.take_hopeless(0)] == [2]
+    assert [w.holder.number for w in ledger.reject_late(0)] == [2]
 
 
 def test_unused_promise_expires():
