--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -283,7 +283,7 @@
             used = report.slots_used if report is not None else 0
             free, wait_ms = view.endpoint.slots - used, 0.0
         else:
-            free, wait_ms = queue.ledger.balance, queue.ledger.wait_ms()
+            free, wait_ms = queue.ledger.net_free, queue.ledger.wait_ms()
         return slot_messages.EngineDigest(
             view.endpoint.name,
             free,
--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -107,7 +107,7 @@
         return self.free - len(self._promised)
 
     @property
-    def balance(self) -> int:
+    def net_free(self) -> int:
         """Free slots minus promises and queued requests; may be negative."""
         return self._available - len(self._queue)
 
--- a/tests/routing/test_slot_ledger.py
+++ b/tests/routing/test_slot_ledger.py
@@ -113,4 +113,4 @@
     ledger.enqueue(_request(1))
     assert _granted(ledger, 0) == [1]
     ledger.remove_instance("e1")
-    assert ledger.balance == 1
+    assert ledger.net_free == 1
