--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -272,7 +272,7 @@
             return
         if view.heard_ms > queue.reported_ms:
             queue.reported_ms = view.heard_ms
-            queue.ledger.reported(
+            queue.ledger.apply_report(
                 view.report.slots_total, view.report.slots_used
             )
 
--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -118,7 +118,7 @@
             self._queue.values(), key=lambda request: request.sort_key
         )
 
-    def reported(self, slots_total: int, slots_used: int) -> None:
+    def apply_report(self, slots_total: int, slots_used: int) -> None:
         """Applies a load report of the engine, which may be outdated."""
         if slots_total > 0:
             self.slots = slots_total
--- a/tests/routing/test_slot_ledger.py
+++ b/tests/routing/test_slot_ledger.py
@@ -93,7 +93,7 @@
     # learns of their end from the holders.
     ledger = _ledger(slots=20)
     for used in reports:
-        ledger.reported(20, used)
+        ledger.apply_report(20, used)
     assert ledger.free == 0
     ledger.end(slot_ledger.Holder("e2", 5), 100)
     assert ledger.free == 0
@@ -103,8 +103,8 @@
 
 def test_single_lagging_report_is_ignored():
     ledger = _ledger(slots=20)
-    ledger.reported(20, 0)
-    ledger.reported(20, 20)
+    ledger.apply_report(20, 0)
+    ledger.apply_report(20, 20)
     assert ledger.free == 20
 
 
