--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -159,7 +159,7 @@
         now_ms = self._clock.now_ms()
         for number, age_ms in held.held:
             holder = slot_ledger.Holder(peer, number)
-            queue.ledger.hold(holder, now_ms - age_ms)
+            queue.ledger.record_held(holder, now_ms - age_ms)
 
     async def on_read(
         self, peer: str, ask: slot_messages.ReadAsk
--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -130,7 +130,7 @@
             self._promised.pop(request.holder, None)
         self._queue[request.holder] = request
 
-    def hold(self, holder: Holder, since_ms: float) -> None:
+    def record_held(self, holder: Holder, since_ms: float) -> None:
         """Records a slot that is already held."""
         if holder not in self._held and self._foreign_samples:
             self._attribute_one()
--- a/tests/routing/test_slot_ledger.py
+++ b/tests/routing/test_slot_ledger.py
@@ -36,7 +36,7 @@
 
 def test_slot_is_promised_before_it_is_free():
     ledger = _ledger(slots=1)
-    ledger.hold(slot_ledger.Holder("e2", 9), since_ms=0)
+    ledger.record_held(slot_ledger.Holder("e2", 9), since_ms=0)
     ledger.enqueue(_request(1, ready_in_ms=300))
     assert _granted(ledger, 200) == []
     assert _granted(ledger, 900) == [1]
@@ -62,7 +62,7 @@
     # Two requests wait for one slot with a mean hold time of 1 s. The second
     # cannot be granted within its 1.5 s.
     ledger = _ledger(slots=1)
-    ledger.hold(slot_ledger.Holder("e2", 9), since_ms=0)
+    ledger.record_held(slot_ledger.Holder("e2", 9), since_ms=0)
     ledger.enqueue(_request(1, latest_at_ms=1_400))
     ledger.enqueue(_request(2, latest_at_ms=1_500))
     assert [w.holder.number for w in ledger.reject_late(0)] == [2]
