--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -132,7 +132,7 @@
         """Releases the request's resources; see ``policy.AsyncPolicy``."""
         self._estimator.discard(job.number)
         holder = self._holder(job)
-        self._truth.pool(job).ledger.end(holder, self._clock.now_ms())
+        self._truth.pool(job).ledger.release(holder, self._clock.now_ms())
         for claimed in self._truth.claimed.values():
             claimed.discard(holder)
 
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -146,7 +146,7 @@
         if queue is None:
             return
         holder = slot_ledger.Holder(peer, end.number)
-        queue.ledger.end(holder, self._clock.now_ms(), was_held=end.is_held)
+        queue.ledger.release(holder, self._clock.now_ms(), was_held=end.is_held)
         self._answer(queue, holder, _Outcome.NOT_YET)
         self._serve(queue)
 
@@ -223,7 +223,7 @@
         """Removes a slot request, unless its holder has since made another."""
         if queue.answers.get(holder) is future:
             del queue.answers[holder]
-            queue.ledger.end(holder, self._clock.now_ms())
+            queue.ledger.release(holder, self._clock.now_ms())
 
     def _serve(self, queue: _Queue) -> None:
         now_ms = self._clock.now_ms()
--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -136,7 +136,7 @@
             self._attribute_one()
         self._held[holder] = since_ms
 
-    def end(
+    def release(
         self, holder: Holder, now_ms: float, *, was_held: bool = False
     ) -> None:
         """Removes a request's slot, promise and queue entry.
--- a/tests/routing/test_slot_ledger.py
+++ b/tests/routing/test_slot_ledger.py
@@ -82,8 +82,8 @@
     ledger = _ledger(slots=1)
     ledger.enqueue(_request(1, ready_in_ms=0, is_ready=True))
     assert _granted(ledger, 0) == [1]
-    ledger.end(slot_ledger.Holder("e1", 1), 100)
-    ledger.end(slot_ledger.Holder("e1", 1), 100)
+    ledger.release(slot_ledger.Holder("e1", 1), 100)
+    ledger.release(slot_ledger.Holder("e1", 1), 100)
     assert ledger.free == 1
 
 
@@ -95,9 +95,9 @@
     for used in reports:
         ledger.apply_report(20, used)
     assert ledger.free == 0
-    ledger.end(slot_ledger.Holder("e2", 5), 100)
+    ledger.release(slot_ledger.Holder("e2", 5), 100)
     assert ledger.free == 0
-    ledger.end(slot_ledger.Holder("e2", 6), 100, was_held=True)
+    ledger.release(slot_ledger.Holder("e2", 6), 100, was_held=True)
     assert ledger.free == 1
 
 
