--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -24,7 +24,7 @@
 from jujubewharf.routing import plans as plans_lib
 from jujubewharf.routing import policy as policies
 from jujubewharf.routing import prefill_estimator
-from jujubewharf.routing import slots
+from jujubewharf.routing import slot_client
 
 _MAX_PARALLEL_REQUESTS = 3
 _MAX_REJECTIONS = 3
@@ -61,7 +61,7 @@
     def attach(self, context: policies.PolicyContext) -> None:
         """Attaches to an instance; see ``policy.AsyncPolicy``."""
         self._context = context
-        self._slots = slots.Slots(context, self._clock)
+        self._slots = slot_client.Slots(context, self._clock)
         self._estimator = prefill_estimator.PrefillEstimator(self._clock)
         self._queued.clear()
         self._held_since_ms.clear()
