--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -61,7 +61,7 @@
     def attach(self, context: policies.PolicyContext) -> None:
         """Attaches to an instance; see ``policy.AsyncPolicy``."""
         self._context = context
-        self._slots = slot_client.Slots(context, self._clock)
+        self._slot_client = slot_client.SlotClient(context, self._clock)
         self._estimator = prefill_estimator.PrefillEstimator(self._clock)
         self._queued.clear()
         self._held_since_ms.clear()
@@ -84,8 +84,8 @@
             self._context.fleet.hints.record_prompt(
                 prefill.engine, job.prefix_hashes
             )
-        self._slots.end_read(job.number, is_read=True)
-        promised = self._slots.granted_engine(job.number)
+        self._slot_client.end_read(job.number, is_read=True)
+        promised = self._slot_client.granted_engine(job.number)
         while True:
             views = eligibility.kv_importers(self._candidates(job))
             if not views:
@@ -98,7 +98,7 @@
             )
             if found is not None:
                 self._held_since_ms[job.number] = self._clock.now_ms()
-                self._slots.end(job.number, but=found.name)
+                self._slot_client.end(job.number, but=found.name)
                 return jobs.Choice(found)
             promised = None
             await self._clock.sleep_ms(_RETRY_MS)
@@ -112,7 +112,7 @@
         )
         requests = {
             asyncio.ensure_future(
-                self._slots.ask(
+                self._slot_client.ask(
                     view,
                     self._slot_ask(job, view, 0.0, timeout_ms, is_ready=True),
                 )
@@ -137,8 +137,8 @@
     def release(self, job: jobs.Job, *, is_prefilled: bool) -> None:
         """Releases the request's resources; see ``policy.AsyncPolicy``."""
         self._estimator.discard(job.number)
-        self._slots.end_read(job.number)
-        self._slots.end(job.number)
+        self._slot_client.end_read(job.number)
+        self._slot_client.end(job.number)
         since_ms = self._held_since_ms.pop(job.number, None)
         if since_ms is not None:
             held_ms = self._clock.now_ms() - since_ms
@@ -195,7 +195,7 @@
         ask = self._slot_ask(
             job, plan.decode, plan.ready_ms, latest_ms, urgency=urgency
         )
-        return await self._slots.ask(plan.decode, ask)
+        return await self._slot_client.ask(plan.decode, ask)
 
     async def _start(
         self, job: jobs.Job, plan: plans_lib.Plan, urgency: plans_lib.Urgency
@@ -215,12 +215,14 @@
             if self._gain_ms(job, prefill, best) < _MIN_MOVE_GAIN_MS:
                 best = prefill
             is_announced = (
-                self._slots.read_engine(job.number) == best.endpoint.name
+                self._slot_client.read_engine(job.number) == best.endpoint.name
             )
             prefill = best
             if is_announced:
                 break
-            await self._slots.ask_read(prefill, job.number, job.prompt_tokens)
+            await self._slot_client.ask_read(
+                prefill, job.number, job.prompt_tokens
+            )
         kv_ready_ms = self._kv_ready_ms(prefill, job)
         delay_ms = kv_ready_ms - plan.ready_ms
         first_token_at_ms = (
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -31,7 +31,7 @@
         return self.is_ready and self.is_granted
 
 
-class Slots:
+class SlotClient:
     """Slots and promises of this instance's requests.
 
     Args:
