--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -112,7 +112,7 @@
         )
         requests = {
             asyncio.ensure_future(
-                self._slot_client.ask(
+                self._slot_client.request(
                     view,
                     self._slot_ask(job, view, 0.0, timeout_ms, is_ready=True),
                 )
@@ -195,7 +195,7 @@
         ask = self._slot_ask(
             job, plan.decode, plan.ready_ms, latest_ms, urgency=urgency
         )
-        return await self._slot_client.ask(plan.decode, ask)
+        return await self._slot_client.request(plan.decode, ask)
 
     async def _start(
         self, job: jobs.Job, plan: plans_lib.Plan, urgency: plans_lib.Urgency
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -61,7 +61,7 @@
             (n for n, grant in grants.items() if grant.is_granted), None
         )
 
-    async def ask(
+    async def request(
         self, view: fleets.EngineView, ask: slot_messages.SlotAsk
     ) -> slot_messages.SlotAnswer:
         """Requests a slot; returns when it is granted or cannot be in time.
