--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -220,7 +220,7 @@
             prefill = best
             if is_announced:
                 break
-            await self._slot_client.ask_read(
+            await self._slot_client.announce_prompt(
                 prefill, job.number, job.prompt_tokens
             )
         kv_ready_ms = self._kv_ready_ms(prefill, job)
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -95,7 +95,7 @@
             del grants[ask.engine]
         return answer
 
-    async def ask_read(
+    async def announce_prompt(
         self, view: fleets.EngineView, number: int, tokens: int
     ) -> None:
         """Announces a prompt to the coordinator and updates the digest."""
