--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -215,7 +215,8 @@
             if self._gain_ms(job, prefill, best) < _MIN_MOVE_GAIN_MS:
                 best = prefill
             is_announced = (
-                self._slot_client.read_engine(job.number) == best.endpoint.name
+                self._slot_client.announced_engine(job.number)
+                == best.endpoint.name
             )
             prefill = best
             if is_announced:
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -112,7 +112,7 @@
         if isinstance(digest, slot_messages.LoadDigest):
             self._apply_digests(digest.digest)
 
-    def read_engine(self, number: int) -> str | None:
+    def announced_engine(self, number: int) -> str | None:
         """Returns the engine to whose coordinator a prompt was announced."""
         prefill = self._prefills.get(number)
         return prefill[0] if prefill is not None else None
