--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -84,7 +84,7 @@
             self._context.fleet.hints.record_prompt(
                 prefill.engine, job.prefix_hashes
             )
-        self._slot_client.end_read(job.number, is_read=True)
+        self._slot_client.end_prefill(job.number, is_prefilled=True)
         promised = self._slot_client.granted_engine(job.number)
         while True:
             views = eligibility.kv_importers(self._candidates(job))
@@ -137,7 +137,7 @@
     def release(self, job: jobs.Job, *, is_prefilled: bool) -> None:
         """Releases the request's resources; see ``policy.AsyncPolicy``."""
         self._estimator.discard(job.number)
-        self._slot_client.end_read(job.number)
+        self._slot_client.end_prefill(job.number)
         self._slot_client.end(job.number)
         since_ms = self._held_since_ms.pop(job.number, None)
         if since_ms is not None:
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -99,7 +99,7 @@
         self, view: fleets.EngineView, number: int, tokens: int
     ) -> None:
         """Announces a prompt to the coordinator and updates the digest."""
-        self.end_read(number)
+        self.end_prefill(number)
         coordinator = self._coordinator_of(view)
         self._prefills[number] = (view.endpoint.name, coordinator)
         ask = slot_messages.ReadAsk(view.endpoint.name, number, tokens)
@@ -117,12 +117,12 @@
         prefill = self._prefills.get(number)
         return prefill[0] if prefill is not None else None
 
-    def end_read(self, number: int, *, is_read: bool = False) -> None:
+    def end_prefill(self, number: int, *, is_prefilled: bool = False) -> None:
         """Reports that prefill completed, or that it will not run."""
         prefill = self._prefills.pop(number, None)
         if prefill is not None:
             engine, coordinator = prefill
-            end = slot_messages.ReadEnd(engine, number, is_read)
+            end = slot_messages.ReadEnd(engine, number, is_prefilled)
             self._peers.tell(coordinator, end)
 
     def end(self, number: int, *, but: str | None = None) -> None:
