--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -98,7 +98,7 @@
             )
             if found is not None:
                 self._held_since_ms[job.number] = self._clock.now_ms()
-                self._slot_client.end(job.number, but=found.name)
+                self._slot_client.release(job.number, but=found.name)
                 return jobs.Choice(found)
             promised = None
             await self._clock.sleep_ms(_RETRY_MS)
@@ -138,7 +138,7 @@
         """Releases the request's resources; see ``policy.AsyncPolicy``."""
         self._estimator.discard(job.number)
         self._slot_client.end_prefill(job.number)
-        self._slot_client.end(job.number)
+        self._slot_client.release(job.number)
         since_ms = self._held_since_ms.pop(job.number, None)
         if since_ms is not None:
             held_ms = self._clock.now_ms() - since_ms
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -125,7 +125,7 @@
             end = slot_messages.ReadEnd(engine, number, is_prefilled)
             self._peers.tell(coordinator, end)
 
-    def end(self, number: int, *, but: str | None = None) -> None:
+    def release(self, number: int, *, but: str | None = None) -> None:
         """Releases a request's slots, promises and queue entries.
 
         Args:
