--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -98,7 +98,7 @@
             )
             if found is not None:
                 self._held_since_ms[job.number] = self._clock.now_ms()
-                self._slot_client.release(job.number, but=found.name)
+                self._slot_client.release(job.number, keep=found.name)
                 return jobs.Choice(found)
             promised = None
             await self._clock.sleep_ms(_RETRY_MS)
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -125,16 +125,16 @@
             end = slot_messages.ReadEnd(engine, number, is_prefilled)
             self._peers.tell(coordinator, end)
 
-    def release(self, number: int, *, but: str | None = None) -> None:
+    def release(self, number: int, *, keep: str | None = None) -> None:
         """Releases a request's slots, promises and queue entries.
 
         Args:
             number: Number of the request.
-            but: Engine whose slot is kept.
+            keep: Engine whose slot is kept.
         """
         grants = self._grants.pop(number, {})
         for engine, grant in grants.items():
-            if engine == but:
+            if engine == keep:
                 self._grants[number] = {engine: grant}
                 continue
             end = slot_messages.SlotEnd(engine, number, grant.is_held)
