--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -166,7 +166,7 @@
         self.departures = departures.Departures(
             self.facts,
             self.membership.listed_endpoints,
-            self.fleet.say_leaving,
+            self.fleet.leaving_engines,
             clock,
         )
         self.fleet.withheld = self._is_withheld
--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -221,7 +221,7 @@
         """Returns a model's configured KV cache bytes per prompt token."""
         return self._kv_bytes.get(model, _DEFAULT_KV_BYTES_PER_TOKEN)
 
-    def say_leaving(self) -> list[str]:
+    def leaving_engines(self) -> list[str]:
         """Returns the engines whose latest report says they are leaving."""
         return [
             name
