--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -72,7 +72,7 @@
         return self.breaker.is_open
 
     @property
-    def says_leaving(self) -> bool:
+    def reports_leaving(self) -> bool:
         """Whether the engine's latest report says that it is leaving."""
         return self.report is not None and self.report.is_leaving
 
@@ -226,7 +226,7 @@
         return [
             name
             for name, view in sorted(self._views.items())
-            if view.says_leaving
+            if view.reports_leaving
         ]
 
     def view(self, name: str) -> EngineView | None:
