--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -119,7 +119,7 @@
                 self.leaving_until_ms, now_ms + _LEAVING_AFTER_REFUSAL_MS
             )
 
-    def take_digest(
+    def apply_digest(
         self, digest: slot_messages.EngineDigest, now_ms: float
     ) -> None:
         """Stores a digest from the engine's coordinator."""
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -172,7 +172,7 @@
         for engine_digest in digest:
             view = self._fleet.view(engine_digest.engine)
             if view is not None:
-                view.take_digest(engine_digest, now_ms)
+                view.apply_digest(engine_digest, now_ms)
 
     async def _on_digest(
         self, peer: str, digest: slot_messages.LoadDigest
