--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -90,7 +90,7 @@
         view.report = client.LoadReport(
             0.0, 20, int(rng.integers(0, 18)), 0, 0, 30.0
         )
-        view.heard_ms = clock.now_ms()
+        view.report_received_ms = clock.now_ms()
     return fleet
 
 
--- a/src/jujubewharf/operators/inspection.py
+++ b/src/jujubewharf/operators/inspection.py
@@ -122,7 +122,7 @@
             is_suspect=view.is_suspect,
             own_slots=view.own_slots,
         )
-        report, heard_ms = view.report, view.heard_ms
+        report, heard_ms = view.report, view.report_received_ms
         if report is None or heard_ms is None:
             return status
         return dataclasses.replace(
--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -35,8 +35,8 @@
         client: Client of the engine.
         clock: Time source.
         report: Latest load report.
-        heard_ms: Clock reading at which ``report`` arrived; ``None`` before the
-            first.
+        report_received_ms: Clock reading at which ``report`` arrived; ``None``
+            before the first.
         own_slots: Slots held there by requests of this instance.
         own_prefill_tokens: Prompt tokens sent there by this instance.
         leaving_until_ms: Clock reading until which the engine counts as
@@ -53,7 +53,7 @@
     client: engine_client.EngineClient
     clock: clocks.Clock
     report: engine_client.LoadReport | None = None
-    heard_ms: float | None = None
+    report_received_ms: float | None = None
     own_slots: int = 0
     own_prefill_tokens: int = 0
     leaving_until_ms: float = -math.inf
@@ -271,7 +271,7 @@
             if self.polls(view) or not view.has_digest:
                 to_poll.append(view)
             else:
-                view.report = view.heard_ms = None
+                view.report = view.report_received_ms = None
         return to_poll
 
     async def _poll_one(self, view: EngineView) -> None:
@@ -284,4 +284,4 @@
             return
         view.breaker.record_success()
         view.report = report
-        view.heard_ms = self._clock.now_ms()
+        view.report_received_ms = self._clock.now_ms()
--- a/src/jujubewharf/routing/prefill_estimator.py
+++ b/src/jujubewharf/routing/prefill_estimator.py
@@ -52,13 +52,13 @@
         Reports lag. Own prompts sent since the report are added to it; the
         result is at least the sum of all own prompts.
         """
-        reported, heard_ms = _latest_queue(view)
+        reported, report_received_ms = _latest_queue(view)
         own_total = own_unseen = 0
         for prefill in self._prefills.values():
             if prefill.engine != view.endpoint.name:
                 continue
             own_total += prefill.tokens
-            if prefill.began_ms >= heard_ms:
+            if prefill.began_ms >= report_received_ms:
                 own_unseen += prefill.tokens
         return max(float(own_total), reported + own_unseen)
 
@@ -114,8 +114,8 @@
         and view.digest_ms is not None
     ):
         return view.digest.queued_tokens, view.digest_ms
-    if view.report is not None and view.heard_ms is not None:
-        return view.report.prefill_queued_tokens, view.heard_ms
+    if view.report is not None and view.report_received_ms is not None:
+        return view.report.prefill_queued_tokens, view.report_received_ms
     return 0, 0.0
 
 
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -268,10 +268,10 @@
         return queue
 
     def _apply_report(self, queue: _Queue, view: fleets.EngineView) -> None:
-        if view.report is None or view.heard_ms is None:
+        if view.report is None or view.report_received_ms is None:
             return
-        if view.heard_ms > queue.reported_ms:
-            queue.reported_ms = view.heard_ms
+        if view.report_received_ms > queue.reported_ms:
+            queue.reported_ms = view.report_received_ms
             queue.ledger.apply_report(
                 view.report.slots_total, view.report.slots_used
             )
