--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -248,8 +248,8 @@
     def _kv_ready_ms(self, view: fleets.EngineView, job: jobs.Job) -> float:
         """Returns the expected time until the KV cache transfer can start."""
         link_ms = view.digest.link_ms if view.digest is not None else 0.0
-        if view.digest_ms is not None:
-            link_ms -= self._clock.now_ms() - view.digest_ms
+        if view.digest_received_ms is not None:
+            link_ms -= self._clock.now_ms() - view.digest_received_ms
         return max(self._prefill_ms(view, job), link_ms)
 
     def _prefill_ms(self, view: fleets.EngineView, job: jobs.Job) -> float:
--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -42,8 +42,8 @@
         leaving_until_ms: Clock reading until which the engine counts as
             leaving.
         digest: Latest digest from the engine's coordinator.
-        digest_ms: Clock reading at which ``digest`` arrived; ``None`` before
-            the first.
+        digest_received_ms: Clock reading at which ``digest`` arrived; ``None``
+            before the first.
         asked_since_digest: Slots requested by this instance since then.
         breaker: Circuit breaker of the engine.
         withheld: Tells by engine name whether new work is withheld.
@@ -58,7 +58,7 @@
     own_prefill_tokens: int = 0
     leaving_until_ms: float = -math.inf
     digest: slot_messages.EngineDigest | None = None
-    digest_ms: float | None = None
+    digest_received_ms: float | None = None
     asked_since_digest: int = 0
     withheld: Withheld = lambda name: False
     breaker: breakers.Breaker = dataclasses.field(init=False)
@@ -92,9 +92,11 @@
     @property
     def has_digest(self) -> bool:
         """Whether a recent digest from the coordinator is available."""
-        if self.digest_ms is None:
+        if self.digest_received_ms is None:
             return False
-        return self.clock.now_ms() - self.digest_ms < _DIGEST_MAX_AGE_MS
+        return (
+            self.clock.now_ms() - self.digest_received_ms < _DIGEST_MAX_AGE_MS
+        )
 
     @property
     def step_ms(self) -> float:
@@ -124,7 +126,7 @@
     ) -> None:
         """Stores a digest from the engine's coordinator."""
         self.digest = digest
-        self.digest_ms = now_ms
+        self.digest_received_ms = now_ms
         self.asked_since_digest = 0
 
 
--- a/src/jujubewharf/routing/prefill_estimator.py
+++ b/src/jujubewharf/routing/prefill_estimator.py
@@ -111,9 +111,9 @@
     if (
         view.has_digest
         and view.digest is not None
-        and view.digest_ms is not None
+        and view.digest_received_ms is not None
     ):
-        return view.digest.queued_tokens, view.digest_ms
+        return view.digest.queued_tokens, view.digest_received_ms
     if view.report is not None and view.report_received_ms is not None:
         return view.report.prefill_queued_tokens, view.report_received_ms
     return 0, 0.0
