--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -343,7 +343,7 @@
         """Returns the expected wait by digest and own requests since then."""
         if view.digest is None:
             return 0.0
-        ahead = view.asked_since_digest - max(0, view.digest.free)
+        ahead = view.requested_since_digest - max(0, view.digest.free)
         if ahead < 0:
             return 0.0
         slot_ms = self._hold_times_of(job).mean_ms / max(1, view.slots)
@@ -358,7 +358,7 @@
 
     def _free_slots(self, view: fleets.EngineView) -> float:
         if view.digest is not None:
-            free_slots = float(view.digest.free - view.asked_since_digest)
+            free_slots = float(view.digest.free - view.requested_since_digest)
         elif view.report is not None:
             free_slots = float(
                 view.slots - view.report.slots_used - view.own_slots
--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -44,7 +44,7 @@
         digest: Latest digest from the engine's coordinator.
         digest_received_ms: Clock reading at which ``digest`` arrived; ``None``
             before the first.
-        asked_since_digest: Slots requested by this instance since then.
+        requested_since_digest: Slots requested by this instance since then.
         breaker: Circuit breaker of the engine.
         withheld: Tells by engine name whether new work is withheld.
     """
@@ -59,7 +59,7 @@
     leaving_until_ms: float = -math.inf
     digest: slot_messages.EngineDigest | None = None
     digest_received_ms: float | None = None
-    asked_since_digest: int = 0
+    requested_since_digest: int = 0
     withheld: Withheld = lambda name: False
     breaker: breakers.Breaker = dataclasses.field(init=False)
 
@@ -127,7 +127,7 @@
         """Stores a digest from the engine's coordinator."""
         self.digest = digest
         self.digest_received_ms = now_ms
-        self.asked_since_digest = 0
+        self.requested_since_digest = 0
 
 
 class Fleet(mode.Service):
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -71,7 +71,7 @@
         has no slot.
         """
         coordinator = self._coordinator_of(view)
-        view.asked_since_digest += 1
+        view.requested_since_digest += 1
         grant = _Grant(coordinator, self._clock.now_ms(), ask.is_ready)
         grants = self._grants.setdefault(ask.number, {})
         grants[ask.engine] = grant
