--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -169,7 +169,7 @@
             self.fleet.leaving_engines,
             clock,
         )
-        self.fleet.withheld = self._is_withheld
+        self.fleet.is_withheld = self._is_withheld
         self.admission = shutdown.AdmissionState()
         if policy is None:
             seed = zlib.crc32(settings.instance.encode())
--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -46,7 +46,7 @@
             before the first.
         requested_since_digest: Slots requested by this instance since then.
         breaker: Circuit breaker of the engine.
-        withheld: Tells by engine name whether new work is withheld.
+        is_withheld: Tells by engine name whether new work is withheld.
     """
 
     endpoint: resources.Endpoint
@@ -60,7 +60,7 @@
     digest: slot_messages.EngineDigest | None = None
     digest_received_ms: float | None = None
     requested_since_digest: int = 0
-    withheld: Withheld = lambda name: False
+    is_withheld: Withheld = lambda name: False
     breaker: breakers.Breaker = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
@@ -81,7 +81,7 @@
         """Whether the engine accepts new work."""
         if self.endpoint.drained or self.is_suspect:
             return False
-        if self.withheld(self.endpoint.name):
+        if self.is_withheld(self.endpoint.name):
             return False
         if self.leaving_until_ms > self.clock.now_ms():
             return False
@@ -142,14 +142,14 @@
         clock: Time source.
 
     Attributes:
-        withheld: Tells by engine name whether new work is withheld.
+        is_withheld: Tells by engine name whether new work is withheld.
         polls: Tells whether this instance polls an engine.
         hints: Hints of the prefixes that engines have cached.
     """
 
     def __init__(self, make_client: ClientFactory, clock: clocks.Clock) -> None:
         super().__init__()
-        self.withheld: Withheld = lambda name: False
+        self.is_withheld: Withheld = lambda name: False
         self.polls: Callable[[EngineView], bool] = lambda view: True
         self.hints = prefix_hints.PrefixHints(clock)
         self._make_client = make_client
@@ -255,7 +255,7 @@
             endpoint,
             self._make_client(endpoint),
             self._clock,
-            withheld=lambda engine: self.withheld(engine),
+            is_withheld=lambda engine: self.is_withheld(engine),
         )
 
     @mode.Service.task
