--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -176,7 +176,7 @@
             rng = random.Random(seed)
             policy = default_policy.DefaultPolicy(clock, rng)
         if isinstance(policy, policies.AsyncPolicy):
-            self.fleet.polls = self.keeping.is_coordinator
+            self.fleet.should_poll = self.keeping.is_coordinator
             policy.attach(
                 policies.PolicyContext(
                     self.fleet, self.peers, self.membership, settings.domain
--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -143,14 +143,14 @@
 
     Attributes:
         is_withheld: Tells by engine name whether new work is withheld.
-        polls: Tells whether this instance polls an engine.
+        should_poll: Tells whether this instance polls an engine.
         hints: Hints of the prefixes that engines have cached.
     """
 
     def __init__(self, make_client: ClientFactory, clock: clocks.Clock) -> None:
         super().__init__()
         self.is_withheld: Withheld = lambda name: False
-        self.polls: Callable[[EngineView], bool] = lambda view: True
+        self.should_poll: Callable[[EngineView], bool] = lambda view: True
         self.hints = prefix_hints.PrefixHints(clock)
         self._make_client = make_client
         self._clock = clock
@@ -270,7 +270,7 @@
         """Returns the engines to poll; discards the reports of the others."""
         to_poll = []
         for view in self.all_views():
-            if self.polls(view) or not view.has_digest:
+            if self.should_poll(view) or not view.has_digest:
                 to_poll.append(view)
             else:
                 view.report = view.report_received_ms = None
