--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -17,7 +17,7 @@
 from jujubewharf.routing import prefix_hints
 
 ClientFactory = Callable[[resources.Endpoint], engine_client.EngineClient]
-Withheld = Callable[[str], bool]
+WithheldCheck = Callable[[str], bool]
 
 _POLL_MS = 250.0
 _POLL_TIMEOUT_MS = 1_000.0
@@ -60,7 +60,7 @@
     digest: slot_messages.EngineDigest | None = None
     digest_received_ms: float | None = None
     requested_since_digest: int = 0
-    is_withheld: Withheld = lambda name: False
+    is_withheld: WithheldCheck = lambda name: False
     breaker: breakers.Breaker = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
@@ -149,7 +149,7 @@
 
     def __init__(self, make_client: ClientFactory, clock: clocks.Clock) -> None:
         super().__init__()
-        self.is_withheld: Withheld = lambda name: False
+        self.is_withheld: WithheldCheck = lambda name: False
         self.should_poll: Callable[[EngineView], bool] = lambda view: True
         self.hints = prefix_hints.PrefixHints(clock)
         self._make_client = make_client
