--- a/src/jujubewharf/forwarding/patience.py
+++ b/src/jujubewharf/forwarding/patience.py
@@ -41,7 +41,7 @@
 _MIN_RETRY_AFTER_MS = 300.0
 
 
-class Patience:
+class WaitPolicy:
     """Computes wait times of requests and the retry-after of refused ones.
 
     Args:
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -116,7 +116,7 @@
         self._counts_all = counts_all
         self._clock = clock
         self._rng = rng
-        self._patience = patience.Patience(cost_estimates, clock)
+        self._patience = patience.WaitPolicy(cost_estimates, clock)
         self._queues: dict[str, wait_queues.WaitQueue] = {}
         self._running = 0
 
--- a/tests/forwarding/test_patience.py
+++ b/tests/forwarding/test_patience.py
@@ -18,7 +18,7 @@
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         work = costs.CostEstimates()
-        await test(patience.Patience(work, clock), work, clock)
+        await test(patience.WaitPolicy(work, clock), work, clock)
 
     virtual_time.run(main())
 
