--- a/src/jujubewharf/forwarding/patience.py
+++ b/src/jujubewharf/forwarding/patience.py
@@ -57,7 +57,7 @@
         self._longest_timeout_ms: dict[str, float] = {}
         self._last_retry_at_ms = 0.0
 
-    def in_time_ms(self, run: runs.Run) -> float:
+    def on_time_wait_ms(self, run: runs.Run) -> float:
         """Returns how long a request can wait and still meet its target.
 
         0 if it can't meet its latency target any more.
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -184,7 +184,7 @@
         self, run: runs.Run
     ) -> tuple[places.Place, _MemoryDemand]:
         started_ms = self._clock.now_ms()
-        in_time_ms = self._patience.in_time_ms(run)
+        in_time_ms = self._patience.on_time_wait_ms(run)
         is_late = in_time_ms <= 0.0
         wait_ms = self._patience.late_ms(run) if is_late else in_time_ms
         # A stream that is resumed is late but keeps its priority: its caller
--- a/tests/forwarding/test_patience.py
+++ b/tests/forwarding/test_patience.py
@@ -41,13 +41,13 @@
 
 def test_wait_leaves_time_for_first_event():
     async def test(policy, work, clock):
-        unknown_ms = policy.in_time_ms(_run(clock))
+        unknown_ms = policy.on_time_wait_ms(_run(clock))
         for _ in range(20):
             work.record_first_event(200.0)
-        assert policy.in_time_ms(_run(clock)) == 700.0 > unknown_ms
+        assert policy.on_time_wait_ms(_run(clock)) == 700.0 > unknown_ms
         for _ in range(80):
             work.record_first_event(5_000.0)
-        assert 0.0 < policy.in_time_ms(_run(clock)) < 400.0
+        assert 0.0 < policy.on_time_wait_ms(_run(clock)) < 400.0
 
     _with_policy(test)
 
