--- a/src/jujubewharf/forwarding/patience.py
+++ b/src/jujubewharf/forwarding/patience.py
@@ -71,7 +71,7 @@
         begin_ms = min(begin_ms, target_ms * _MAX_START_SHARE)
         return max(0.0, target_ms - begin_ms - self._elapsed_ms(run))
 
-    def late_ms(self, run: runs.Run) -> float:
+    def late_wait_ms(self, run: runs.Run) -> float:
         """Returns how long a request waits that has missed its target.
 
         0 or less if the response can't complete before the deadline; the
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -186,7 +186,7 @@
         started_ms = self._clock.now_ms()
         in_time_ms = self._patience.on_time_wait_ms(run)
         is_late = in_time_ms <= 0.0
-        wait_ms = self._patience.late_ms(run) if is_late else in_time_ms
+        wait_ms = self._patience.late_wait_ms(run) if is_late else in_time_ms
         # A stream that is resumed is late but keeps its priority: its caller
         # already has part of the response, which a failure would waste.
         is_deprioritized = is_late and not run.may_have_run
--- a/tests/forwarding/test_patience.py
+++ b/tests/forwarding/test_patience.py
@@ -58,8 +58,8 @@
     async def test(policy, work, clock):
         for _ in range(20):
             work.record_decode(4_000.0, memory_share=0.1)
-        assert policy.late_ms(_run(clock, patience_ms=9_000.0)) > 2_000.0
-        assert policy.late_ms(_run(clock, patience_ms=4_000.0)) < 0.0
+        assert policy.late_wait_ms(_run(clock, patience_ms=9_000.0)) > 2_000.0
+        assert policy.late_wait_ms(_run(clock, patience_ms=4_000.0)) < 0.0
 
     _with_policy(test)
 
