--- a/src/jujubewharf/forwarding/patience.py
+++ b/src/jujubewharf/forwarding/patience.py
@@ -84,7 +84,7 @@
             max_wait_ms, run.left_ms(self._clock) - self._response_ms(run)
         )
 
-    def come_back_ms(self, call: calls.Call, running: int) -> float:
+    def retry_after_ms(self, call: calls.Call, running: int) -> float:
         """Returns the retry-after of a refused request, in milliseconds.
 
         Each call returns a later time than the one before, spaced by the time
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -389,7 +389,7 @@
         )
         if run.may_have_run:
             return run.failure()
-        retry_after_ms = self._patience.come_back_ms(run.call, self._running)
+        retry_after_ms = self._patience.retry_after_ms(run.call, self._running)
         retry_after_ms = max(retry_after_ms, self._available_in_ms(run) or 0.0)
         return errors.WharfError(
             errors.ErrorKind.QUEUE_FULL, retry_after_ms=retry_after_ms
--- a/tests/forwarding/test_patience.py
+++ b/tests/forwarding/test_patience.py
@@ -74,13 +74,13 @@
         for _ in range(20):
             work.record_decode(3_000.0, memory_share=0.1)
         call = _run(clock).call
-        times_ms = [policy.come_back_ms(call, 10) for _ in range(4)]
+        times_ms = [policy.retry_after_ms(call, 10) for _ in range(4)]
         assert times_ms[0] >= 2_400.0
         apart = [b - a for a, b in itertools.pairwise(times_ms)]
         assert min(apart) > 0.0
-        more = [policy.come_back_ms(call, 10) for _ in range(9)]
+        more = [policy.retry_after_ms(call, 10) for _ in range(9)]
         assert max(more) <= 14_000.0 / 3
         hasty = dataclasses.replace(call, patience_ms=3_000.0)
-        assert policy.come_back_ms(hasty, 10) <= 1_000.0
+        assert policy.retry_after_ms(hasty, 10) <= 1_000.0
 
     _with_policy(test)
