--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -23,7 +23,6 @@
 from jujubewharf.forwarding import decisions
 from jujubewharf.forwarding import limits as all_limits
 from jujubewharf.forwarding import margins
-from jujubewharf.forwarding import patience
 from jujubewharf.forwarding import places
 from jujubewharf.forwarding import pool as pools
 from jujubewharf.forwarding import ports
@@ -32,6 +31,7 @@
 from jujubewharf.forwarding import restraints as all_restraints
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
+from jujubewharf.forwarding import wait_policy
 from jujubewharf.forwarding import wait_queue as wait_queues
 
 # Number of engines that a request asks in its first round and in each later
@@ -116,7 +116,7 @@
         self._counts_all = counts_all
         self._clock = clock
         self._rng = rng
-        self._patience = patience.WaitPolicy(cost_estimates, clock)
+        self._patience = wait_policy.WaitPolicy(cost_estimates, clock)
         self._queues: dict[str, wait_queues.WaitQueue] = {}
         self._running = 0
 
