--- a/src/jujubewharf/forwarding/come_back.py
+++ b/src/jujubewharf/forwarding/come_back.py
@@ -14,7 +14,7 @@
 _SPREAD_SHARE = 0.5
 
 
-class ComeBackTimes:
+class RetryScheduler:
     """Assigns each refused request of a service its own retry time.
 
     With equal times all callers would retry together for a single free slot
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -60,7 +60,7 @@
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
-        self._come_back = come_back.ComeBackTimes(clock, rng)
+        self._come_back = come_back.RetryScheduler(clock, rng)
         self._backends = backends
         self._registry = registry
         self._chooser = chooser
--- a/tests/forwarding/test_come_back.py
+++ b/tests/forwarding/test_come_back.py
@@ -11,7 +11,7 @@
 
 def test_retry_times_are_spaced_up_to_the_maximum():
     async def main():
-        times = come_back.ComeBackTimes(
+        times = come_back.RetryScheduler(
             clocks.Clock(wall_origin_ms=0.0), random.Random(1)
         )
         told = [
