--- a/src/jujubewharf/forwarding/come_back.py
+++ b/src/jujubewharf/forwarding/come_back.py
@@ -8,7 +8,7 @@
 
 # Largest retry-after as a share of the caller's remaining timeout. With more,
 # callers retry earlier or not at all.
-OF_PATIENCE = 0.33
+MAX_TIMEOUT_SHARE = 0.33
 # Share of the maximum, at its end, over which requests are spread that find no
 # free slot before it.
 _SPREAD_SHARE = 0.5
--- a/src/jujubewharf/forwarding/wait_policy.py
+++ b/src/jujubewharf/forwarding/wait_policy.py
@@ -96,7 +96,7 @@
             running: Number of responses that this instance is running.
         """
         patience_ms = call.patience_ms or _DEFAULT_CALLER_TIMEOUT_MS
-        max_retry_after_ms = patience_ms * come_back.OF_PATIENCE
+        max_retry_after_ms = patience_ms * come_back.MAX_TIMEOUT_SHARE
         stay_ms = (
             self._cost_estimates.memory_hold_ms
             or patience_ms * _DEFAULT_RESPONSE_SHARE
