--- a/src/jujubewharf/forwarding/come_back.py
+++ b/src/jujubewharf/forwarding/come_back.py
@@ -30,7 +30,7 @@
         self._rng = rng
         self._last_slot_ms: dict[str, float] = {}
 
-    def next_ms(
+    def next_retry_after_ms(
         self,
         service: str,
         *,
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -130,7 +130,7 @@
         if wait_ms is None:
             return run.failure()
         patience_ms = run.call.patience_ms or run.left_ms(self._clock)
-        after_ms = self._come_back.next_ms(
+        after_ms = self._come_back.next_retry_after_ms(
             run.service,
             free_in_ms=wait_ms,
             apart_ms=self._restraints.apart_ms(names),
