--- a/src/jujubewharf/forwarding/come_back.py
+++ b/src/jujubewharf/forwarding/come_back.py
@@ -35,7 +35,7 @@
         service: str,
         *,
         free_in_ms: float,
-        apart_ms: float,
+        interval_ms: float,
         longest_ms: float,
     ) -> float:
         """Returns the retry-after of one more request, in milliseconds.
@@ -43,11 +43,11 @@
         Args:
             service: Name of the service.
             free_in_ms: Time until its endpoints accept a request again.
-            apart_ms: Interval at which they then accept requests.
+            interval_ms: Interval at which they then accept requests.
             longest_ms: Largest retry-after that the caller can be given.
         """
         now_ms = self._clock.now_ms()
-        next_slot_ms = self._last_slot_ms.get(service, 0.0) + apart_ms
+        next_slot_ms = self._last_slot_ms.get(service, 0.0) + interval_ms
         slot_ms = max(now_ms + free_in_ms, next_slot_ms)
         if slot_ms > now_ms + longest_ms:
             share = 1.0 - _SPREAD_SHARE * self._rng.random()
