--- a/src/jujubewharf/forwarding/come_back.py
+++ b/src/jujubewharf/forwarding/come_back.py
@@ -36,7 +36,7 @@
         *,
         free_in_ms: float,
         interval_ms: float,
-        longest_ms: float,
+        max_ms: float,
     ) -> float:
         """Returns the retry-after of one more request, in milliseconds.
 
@@ -44,13 +44,13 @@
             service: Name of the service.
             free_in_ms: Time until its endpoints accept a request again.
             interval_ms: Interval at which they then accept requests.
-            longest_ms: Largest retry-after that the caller can be given.
+            max_ms: Largest retry-after that the caller can be given.
         """
         now_ms = self._clock.now_ms()
         next_slot_ms = self._last_slot_ms.get(service, 0.0) + interval_ms
         slot_ms = max(now_ms + free_in_ms, next_slot_ms)
-        if slot_ms > now_ms + longest_ms:
+        if slot_ms > now_ms + max_ms:
             share = 1.0 - _SPREAD_SHARE * self._rng.random()
-            return longest_ms * share
+            return max_ms * share
         self._last_slot_ms[service] = slot_ms
         return slot_ms - now_ms
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -134,7 +134,7 @@
             run.service,
             free_in_ms=wait_ms,
             interval_ms=self._restraints.apart_ms(names),
-            longest_ms=patience_ms * come_back.MAX_TIMEOUT_SHARE,
+            max_ms=patience_ms * come_back.MAX_TIMEOUT_SHARE,
         )
         return run.failure("all endpoints deferred", retry_after_ms=after_ms)
 
--- a/tests/forwarding/test_come_back.py
+++ b/tests/forwarding/test_come_back.py
@@ -16,7 +16,7 @@
         )
         told = [
             times.next_retry_after_ms(
-                "svc", free_in_ms=300.0, interval_ms=200.0, longest_ms=1_000.0
+                "svc", free_in_ms=300.0, interval_ms=200.0, max_ms=1_000.0
             )
             for _ in range(8)
         ]
