--- a/tests/forwarding/test_come_back.py
+++ b/tests/forwarding/test_retry_after.py
@@ -6,12 +6,12 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf.experiments import virtual_time
-from jujubewharf.forwarding import come_back
+from jujubewharf.forwarding import retry_after
 
 
 def test_retry_times_are_spaced_up_to_the_maximum():
     async def main():
-        times = come_back.RetryScheduler(
+        times = retry_after.RetryScheduler(
             clocks.Clock(wall_origin_ms=0.0), random.Random(1)
         )
         told = [
