--- a/src/jujubewharf/forwarding/budget.py
+++ b/src/jujubewharf/forwarding/budget.py
@@ -38,8 +38,8 @@
     ) -> None:
         self._share = share
         self._clock = clock
-        self._requests: dict[str, recent.RecentSum] = {}
-        self._retries: dict[str, recent.RecentSum] = {}
+        self._requests: dict[str, recent.SlidingSum] = {}
+        self._retries: dict[str, recent.SlidingSum] = {}
         self.change(ratio=ratio, slack=slack, window_ms=window_ms)
 
     def change(self, *, ratio: float, slack: float, window_ms: float) -> None:
@@ -70,9 +70,9 @@
         return True
 
     def _counter(
-        self, table: dict[str, recent.RecentSum], service: str
-    ) -> recent.RecentSum:
+        self, table: dict[str, recent.SlidingSum], service: str
+    ) -> recent.SlidingSum:
         counter = table.get(service)
         if counter is None:
-            counter = table[service] = recent.RecentSum(self._window_ms)
+            counter = table[service] = recent.SlidingSum(self._window_ms)
         return counter
--- a/src/jujubewharf/forwarding/recent.py
+++ b/src/jujubewharf/forwarding/recent.py
@@ -5,7 +5,7 @@
 import collections
 
 
-class RecentSum:
+class SlidingSum:
     """Sum of the amounts added within a sliding window.
 
     Args:
--- a/src/jujubewharf/leadership/account_pace.py
+++ b/src/jujubewharf/leadership/account_pace.py
@@ -16,13 +16,13 @@
     """Units that each account has used within the last ``PACE_MS``."""
 
     def __init__(self) -> None:
-        self._sums: dict[str, recent.RecentSum] = {}
+        self._sums: dict[str, recent.SlidingSum] = {}
 
     def add(self, account: str, units: float, now_ms: float) -> None:
         """Adds units that an account uses now."""
         recent_sum = self._sums.get(account)
         if recent_sum is None:
-            recent_sum = self._sums[account] = recent.RecentSum(PACE_MS)
+            recent_sum = self._sums[account] = recent.SlidingSum(PACE_MS)
         recent_sum.add(now_ms, units)
 
     def total(self, account: str, now_ms: float) -> float:
