--- a/src/jujubewharf/forwarding/budget.py
+++ b/src/jujubewharf/forwarding/budget.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from jujubewharf import clock as clocks
-from jujubewharf.forwarding import recent
+from jujubewharf.forwarding import sliding_window
 
 # Share of the allowed retries that is used. The margin covers requests near the
 # edge of the window, which another counter may assign to the next window.
@@ -38,8 +38,8 @@
     ) -> None:
         self._share = share
         self._clock = clock
-        self._requests: dict[str, recent.SlidingSum] = {}
-        self._retries: dict[str, recent.SlidingSum] = {}
+        self._requests: dict[str, sliding_window.SlidingSum] = {}
+        self._retries: dict[str, sliding_window.SlidingSum] = {}
         self.change(ratio=ratio, slack=slack, window_ms=window_ms)
 
     def change(self, *, ratio: float, slack: float, window_ms: float) -> None:
@@ -70,9 +70,11 @@
         return True
 
     def _counter(
-        self, table: dict[str, recent.SlidingSum], service: str
-    ) -> recent.SlidingSum:
+        self, table: dict[str, sliding_window.SlidingSum], service: str
+    ) -> sliding_window.SlidingSum:
         counter = table.get(service)
         if counter is None:
-            counter = table[service] = recent.SlidingSum(self._window_ms)
+            counter = table[service] = sliding_window.SlidingSum(
+                self._window_ms
+            )
         return counter
--- a/src/jujubewharf/leadership/account_pace.py
+++ b/src/jujubewharf/leadership/account_pace.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 import dataclasses
 
-from jujubewharf.forwarding import recent
+from jujubewharf.forwarding import sliding_window
 from jujubewharf.peers import messages
 
 # Window over which use is summed.
@@ -16,13 +16,15 @@
     """Units that each account has used within the last ``PACE_MS``."""
 
     def __init__(self) -> None:
-        self._sums: dict[str, recent.SlidingSum] = {}
+        self._sums: dict[str, sliding_window.SlidingSum] = {}
 
     def add(self, account: str, units: float, now_ms: float) -> None:
         """Adds units that an account uses now."""
         recent_sum = self._sums.get(account)
         if recent_sum is None:
-            recent_sum = self._sums[account] = recent.SlidingSum(PACE_MS)
+            recent_sum = self._sums[account] = sliding_window.SlidingSum(
+                PACE_MS
+            )
         recent_sum.add(now_ms, units)
 
     def total(self, account: str, now_ms: float) -> float:
