--- a/src/jujubewharf/forwarding/gauges.py
+++ b/src/jujubewharf/forwarding/gauges.py
@@ -13,7 +13,7 @@
 _UNKNOWN_VERSION = -1
 
 
-def watch(entry: entries.ForwardingEntry) -> None:
+def register_gauges(entry: entries.ForwardingEntry) -> None:
     """Registers the gauges of one instance; call it once per process."""
 
     def version(options: metrics.CallbackOptions) -> Iterable[_Observation]:
