--- a/src/jujubewharf/requests/active_answer.py
+++ b/src/jujubewharf/requests/active_answer.py
@@ -26,7 +26,7 @@
         replaces: Id of the failed run of the same key that this run replaces.
         task: Task that owns the answer until its end.
         run_task: Task that runs the request on engines.
-        followers: Number of local callers that read the answer.
+        local_readers: Number of local callers that read the answer.
         pulls: Number of pull requests in progress from other instances.
         was_pulled: Whether another instance ever read the answer.
         last_reader_left_ms: Clock reading when the last reader left, in ms.
@@ -45,7 +45,7 @@
     replaces: str = ""
     task: asyncio.Task[None] | None = None
     run_task: asyncio.Task[None] | None = None
-    followers: int = 0
+    local_readers: int = 0
     pulls: int = 0
     was_pulled: bool = False
     last_reader_left_ms: float = 0.0
@@ -64,7 +64,7 @@
     @property
     def has_readers(self) -> bool:
         """Whether any caller or instance is reading the answer."""
-        return bool(self.followers or self.pulls)
+        return bool(self.local_readers or self.pulls)
 
     @property
     def may_run_again(self) -> bool:
--- a/src/jujubewharf/requests/answer_service.py
+++ b/src/jujubewharf/requests/answer_service.py
@@ -111,12 +111,12 @@
             # The run enforces this deadline itself and reports whether an
             # engine ran, so it gets some extra time to do so.
             until_ms += _DEADLINE_SLACK_MS
-        active.followers += 1
+        active.local_readers += 1
         try:
             async for event in active.answer.follow(until_ms):
                 yield event
         finally:
-            active.followers -= 1
+            active.local_readers -= 1
             self._on_reader_left(active)
 
     async def on_start(self) -> None:
