--- a/src/jujubewharf/requests/active_answer.py
+++ b/src/jujubewharf/requests/active_answer.py
@@ -27,7 +27,8 @@
         task: Task that owns the answer until its end.
         run_task: Task that runs the request on engines.
         local_readers: Number of local callers that read the answer.
-        pulls: Number of pull requests in progress from other instances.
+        remote_readers: Number of pull requests in progress from other
+            instances.
         was_pulled: Whether another instance ever read the answer.
         last_reader_left_ms: Clock reading when the last reader left, in ms.
         source: Run that the answer is relayed from, while it is.
@@ -46,7 +47,7 @@
     task: asyncio.Task[None] | None = None
     run_task: asyncio.Task[None] | None = None
     local_readers: int = 0
-    pulls: int = 0
+    remote_readers: int = 0
     was_pulled: bool = False
     last_reader_left_ms: float = 0.0
     source: relays.Source | None = None
@@ -64,7 +65,7 @@
     @property
     def has_readers(self) -> bool:
         """Whether any caller or instance is reading the answer."""
-        return bool(self.local_readers or self.pulls)
+        return bool(self.local_readers or self.remote_readers)
 
     @property
     def may_run_again(self) -> bool:
--- a/src/jujubewharf/requests/answer_service.py
+++ b/src/jujubewharf/requests/answer_service.py
@@ -292,13 +292,13 @@
                 owner=active.source.owner,
                 request_id=active.source.request_id,
             )
-        active.pulls += 1
+        active.remote_readers += 1
         active.was_pulled = True
         try:
             until_ms = self._clock.now_ms() + message.wait_ms
             await active.answer.wait_for_token(message.first_index, until_ms)
         finally:
-            active.pulls -= 1
+            active.remote_readers -= 1
             self._on_reader_left(active)
         return _pulled(active.answer, message.first_index)
 
