--- a/src/jujubewharf/requests/keys.py
+++ b/src/jujubewharf/requests/keys.py
@@ -56,7 +56,7 @@
     engines: tuple[str, ...] = ()
 
 
-class Home(NamedTuple):
+class HomeProcess(NamedTuple):
     """A process that stores a key's record.
 
     Attributes:
@@ -149,10 +149,11 @@
         """Returns the homes of a key by this instance's current membership."""
         return homes_of(key, self._membership.present())
 
-    def home_processes(self, key: bytes) -> list[Home]:
+    def home_processes(self, key: bytes) -> list[HomeProcess]:
         """Returns the homes of a key with the incarnation of each."""
         return [
-            Home(name, self._incarnation_of(name)) for name in self.homes(key)
+            HomeProcess(name, self._incarnation_of(name))
+            for name in self.homes(key)
         ]
 
     async def register(
--- a/src/jujubewharf/requests/ownership.py
+++ b/src/jujubewharf/requests/ownership.py
@@ -38,7 +38,7 @@
         releaser: releases.Releaser,
         counters: request_counters.Counters,
     ) -> None:
-        self.homes_of: dict[bytes, list[keys.Home]] = {}
+        self.homes_of: dict[bytes, list[keys.HomeProcess]] = {}
         self._instance = instance
         self._homes = homes
         self._claims = claims
--- a/src/jujubewharf/requests/rehoming.py
+++ b/src/jujubewharf/requests/rehoming.py
@@ -34,7 +34,7 @@
     def __init__(
         self,
         homes: keys.KeyHomes,
-        homes_of: dict[bytes, list[keys.Home]],
+        homes_of: dict[bytes, list[keys.HomeProcess]],
         own_records: Callable[[], Iterable[keys.KeyRecord]],
         membership: views.MembershipView,
         clock: clocks.Clock,
