--- a/src/jujubewharf/requests/answer_cache.py
+++ b/src/jujubewharf/requests/answer_cache.py
@@ -75,9 +75,9 @@
         """Adds an answer that has ended."""
         assert answer.end is not None
         packed = msgpack.packb(answer.texts)
-        self.keep_packed(key, request, answer.end, packed)
+        self.add_packed(key, request, answer.end, packed)
 
-    def keep_packed(
+    def add_packed(
         self,
         key: bytes,
         request: model_request.ModelRequest,
--- a/src/jujubewharf/requests/handover.py
+++ b/src/jujubewharf/requests/handover.py
@@ -97,7 +97,7 @@
         end = model_request.Finished(
             message.count, message.digest, message.attempt_id
         )
-        self._cache.keep_packed(key, request, end, message.packed)
+        self._cache.add_packed(key, request, end, message.packed)
         record = keys.KeyRecord(
             key,
             keys.body_of(message.body_digest),
