--- a/src/jujubewharf/requests/answer_cache.py
+++ b/src/jujubewharf/requests/answer_cache.py
@@ -66,7 +66,7 @@
     def __len__(self) -> int:
         return len(self._by_id)
 
-    def keep(
+    def add(
         self,
         key: bytes,
         request: model_request.ModelRequest,
--- a/src/jujubewharf/requests/answer_service.py
+++ b/src/jujubewharf/requests/answer_service.py
@@ -265,7 +265,7 @@
         # an end would hide the run's answer from the next retry.
         is_own = active.has_run and active.source is None
         if is_own and not (active.may_run_again and request.is_repeatable):
-            self._cache.keep(active.key, request, active.answer)
+            self._cache.add(active.key, request, active.answer)
 
     async def _on_pull(
         self, sender: str, message: key_messages.Pull
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -289,7 +289,7 @@
     DisabledSafeguard(
         "finished answers are kept",
         answer_cache.AnswerCache,
-        "keep",
+        "add",
         lambda *args: None,
         test_answer_service.test_a_retry_after_the_end_gets_the_finished_answer,
     ),
