--- a/src/jujubewharf/requests/plain.py
+++ b/src/jujubewharf/requests/plain.py
@@ -289,7 +289,7 @@
         may_repeat = request.is_repeatable or not progress.may_have_run
         if (
             not may_repeat
-            or not body.is_whole
+            or not body.is_replayable
             or progress.attempts >= _MAX_ATTEMPTS
             or not self._chooser.has_any(service, excluded=progress.excluded)
             or not self._budget.take(request.service)
--- a/src/jujubewharf/requests/plain_body.py
+++ b/src/jujubewharf/requests/plain_body.py
@@ -36,7 +36,7 @@
         self._is_truncated = False
 
     @property
-    def is_whole(self) -> bool:
+    def is_replayable(self) -> bool:
         """Whether ``read`` can still return the body from its start."""
         return not self._is_truncated
 
