--- a/src/jujubewharf/entry.py
+++ b/src/jujubewharf/entry.py
@@ -68,7 +68,9 @@
                 self.core,
                 self._clock,
                 callers,
-                new_id=lambda: model_request.mint_id(self._settings.instance),
+                new_id=lambda: model_request.new_request_id(
+                    self._settings.instance
+                ),
             ),
             plain_paths.PlainServices(self.core, self._clock, callers),
             readiness.Readiness(
--- a/src/jujubewharf/requests/model_request.py
+++ b/src/jujubewharf/requests/model_request.py
@@ -12,7 +12,7 @@
 _MINTED_KEY = re.compile(r"(?P<instance>.+)~[0-9a-f]{32}")
 
 
-def mint_id(instance: str) -> str:
+def new_request_id(instance: str) -> str:
     """Creates a request id that contains the name of the instance."""
     return f"{instance}~{uuid.uuid4().hex}"
 
--- a/tests/requests/deployments.py
+++ b/tests/requests/deployments.py
@@ -153,7 +153,7 @@
 
     def request(self, *, tokens=20, words=400, key=None, **fields):
         number = next(self._numbers)
-        request_id = model_request.mint_id(f"t{number}")
+        request_id = model_request.new_request_id(f"t{number}")
         fields.setdefault("prompt", prompt(tokens, words))
         return model_request.ModelRequest(
             request_id=request_id,
--- a/tests/requests/test_answer_service.py
+++ b/tests/requests/test_answer_service.py
@@ -157,7 +157,7 @@
 def test_a_minted_key_needs_no_record():
     # A retry with a minted key goes to the minting instance, without a record.
     async def scenario(d):
-        minted = model_request.mint_id("e1")
+        minted = model_request.new_request_id("e1")
         request = model_request.dataclasses.replace(
             d.request(), request_id=minted, key=minted
         )
@@ -175,7 +175,7 @@
 
 def test_not_repeatable_with_a_lost_minter_is_unknown():
     async def scenario(d):
-        minted = model_request.mint_id("e1")
+        minted = model_request.new_request_id("e1")
         request = model_request.dataclasses.replace(
             d.request(is_repeatable=False), request_id=minted, key=minted
         )
