--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -32,7 +32,7 @@
 from jujubewharf.forwarding import quotas
 from jujubewharf.forwarding import runs
 from jujubewharf.forwarding import settings
-from jujubewharf.leadership import account_pace
+from jujubewharf.leadership import account_usage
 from jujubewharf.leadership import fleet as fleets
 from jujubewharf.peers import messages
 from jujubewharf.peers import quota_messages
@@ -104,14 +104,14 @@
         )
         self._has_use = asyncio.Event()
         # Use by this instance's callers, and by all callers for a leader.
-        self._own_usage = account_pace.AccountPace()
-        self._total_usage = account_pace.AccountPace()
+        self._own_usage = account_usage.AccountPace()
+        self._total_usage = account_usage.AccountPace()
         # Units of the largest request per account at this instance.
         self._largest_units: dict[str, float] = {}
         # This instance's share of each account's use.
         self._usage_shares: dict[str, float] = {}
         self._shares_sent_ms = 0.0
-        self._followers: set[account_pace.FollowerUse] = set()
+        self._followers: set[account_usage.FollowerUse] = set()
         # Expiry in ms and reserved shares per lost follower.
         self._lost_followers: dict[str, tuple[float, dict[str, float]]] = {}
         fleet.link.on_account_parts = self.parts_told
@@ -212,14 +212,14 @@
 
     def follower(
         self, peer: str, tell: Callable[[messages.Message], object]
-    ) -> account_pace.FollowerUse:
+    ) -> account_usage.FollowerUse:
         """Starts to count the use at a follower."""
         self._lost_followers.pop(peer, None)
-        use = account_pace.FollowerUse(peer, tell)
+        use = account_usage.FollowerUse(peer, tell)
         self._followers.add(use)
         return use
 
-    def follower_lost(self, use: account_pace.FollowerUse) -> None:
+    def follower_lost(self, use: account_usage.FollowerUse) -> None:
         """Reserves the share of a follower whose link ended."""
         self._followers.discard(use)
         now_ms = self._clock.now_ms()
@@ -231,7 +231,7 @@
             )
 
     def follower_admitted(
-        self, use: account_pace.FollowerUse, run: runs.Run
+        self, use: account_usage.FollowerUse, run: runs.Run
     ) -> None:
         """Records a placed model request of a follower."""
         if run.account is not None and run.account.quota is not None:
@@ -239,7 +239,7 @@
 
     def follower_used(
         self,
-        use: account_pace.FollowerUse,
+        use: account_usage.FollowerUse,
         uses: Iterable[quota_messages.AccountUse],
     ) -> None:
         """Counts the use that a follower has admitted on its own."""
@@ -254,7 +254,7 @@
         self._has_use.set()
 
     def _record_follower_use(
-        self, use: account_pace.FollowerUse, account: str, units: float
+        self, use: account_usage.FollowerUse, account: str, units: float
     ) -> None:
         now_ms = self._clock.now_ms()
         use.pace.add(account, units, now_ms)
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -20,7 +20,7 @@
 from jujubewharf.forwarding import placement as placements
 from jujubewharf.forwarding import places as all_places
 from jujubewharf.forwarding import runs
-from jujubewharf.leadership import account_pace
+from jujubewharf.leadership import account_usage
 from jujubewharf.peers import crash_messages
 from jujubewharf.peers import leader_messages
 from jujubewharf.peers import limit_messages
@@ -33,23 +33,23 @@
 
     def follower(
         self, peer: str, tell: Callable[[messages.Message], object]
-    ) -> account_pace.FollowerUse:
+    ) -> account_usage.FollowerUse:
         """Starts to count the use at a follower."""
         ...
 
-    def follower_lost(self, use: account_pace.FollowerUse) -> None:
+    def follower_lost(self, use: account_usage.FollowerUse) -> None:
         """Reserves the share of a follower whose link ended."""
         ...
 
     def follower_admitted(
-        self, use: account_pace.FollowerUse, run: runs.Run
+        self, use: account_usage.FollowerUse, run: runs.Run
     ) -> None:
         """Records a placed model request of a follower."""
         ...
 
     def follower_used(
         self,
-        use: account_pace.FollowerUse,
+        use: account_usage.FollowerUse,
         uses: Iterable[quota_messages.AccountUse],
     ) -> None:
         """Counts the use that a follower has admitted on its own."""
@@ -121,7 +121,7 @@
         crashes: FollowerCrashes,
         clock: clocks.Clock,
         *,
-        use: account_pace.FollowerUse,
+        use: account_usage.FollowerUse,
     ) -> None:
         self._quotas = quotas
         self._limits = limits
