--- a/src/jujubewharf/leadership/account_usage.py
+++ b/src/jujubewharf/leadership/account_usage.py
@@ -12,7 +12,7 @@
 PACE_MS = 10_000.0
 
 
-class AccountPace:
+class AccountUsage:
     """Units that each account has used within the last ``PACE_MS``."""
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         return 0.0 if recent_sum is None else recent_sum.total(now_ms)
 
     def parts_of(
-        self, total_usage: AccountPace, now_ms: float
+        self, total_usage: AccountUsage, now_ms: float
     ) -> dict[str, float]:
         """Returns the share of each active account's use in another total.
 
@@ -67,4 +67,4 @@
 
     peer: str
     tell: Callable[[messages.Message], object]
-    pace: AccountPace = dataclasses.field(default_factory=AccountPace)
+    pace: AccountUsage = dataclasses.field(default_factory=AccountUsage)
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -104,8 +104,8 @@
         )
         self._has_use = asyncio.Event()
         # Use by this instance's callers, and by all callers for a leader.
-        self._own_usage = account_usage.AccountPace()
-        self._total_usage = account_usage.AccountPace()
+        self._own_usage = account_usage.AccountUsage()
+        self._total_usage = account_usage.AccountUsage()
         # Units of the largest request per account at this instance.
         self._largest_units: dict[str, float] = {}
         # This instance's share of each account's use.
