--- a/src/jujubewharf/leadership/account_usage.py
+++ b/src/jujubewharf/leadership/account_usage.py
@@ -9,11 +9,11 @@
 from jujubewharf.peers import messages
 
 # Window over which use is summed.
-PACE_MS = 10_000.0
+USAGE_WINDOW_MS = 10_000.0
 
 
 class AccountUsage:
-    """Units that each account has used within the last ``PACE_MS``."""
+    """Units that each account has used within the last ``USAGE_WINDOW_MS``."""
 
     def __init__(self) -> None:
         self._sums: dict[str, sliding_window.SlidingSum] = {}
@@ -23,7 +23,7 @@
         recent_sum = self._sums.get(account)
         if recent_sum is None:
             recent_sum = self._sums[account] = sliding_window.SlidingSum(
-                PACE_MS
+                USAGE_WINDOW_MS
             )
         recent_sum.add(now_ms, units)
 
