--- a/src/jujubewharf/leadership/account_usage.py
+++ b/src/jujubewharf/leadership/account_usage.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class FollowerUse:
+class FollowerUsage:
     """Recent use of accounts at one follower.
 
     Attributes:
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -111,7 +111,7 @@
         # This instance's share of each account's use.
         self._usage_shares: dict[str, float] = {}
         self._shares_sent_ms = 0.0
-        self._followers: set[account_usage.FollowerUse] = set()
+        self._followers: set[account_usage.FollowerUsage] = set()
         # Expiry in ms and reserved shares per lost follower.
         self._lost_followers: dict[str, tuple[float, dict[str, float]]] = {}
         fleet.link.on_account_parts = self.parts_told
@@ -212,14 +212,14 @@
 
     def follower(
         self, peer: str, tell: Callable[[messages.Message], object]
-    ) -> account_usage.FollowerUse:
+    ) -> account_usage.FollowerUsage:
         """Starts to count the use at a follower."""
         self._lost_followers.pop(peer, None)
-        use = account_usage.FollowerUse(peer, tell)
+        use = account_usage.FollowerUsage(peer, tell)
         self._followers.add(use)
         return use
 
-    def follower_lost(self, use: account_usage.FollowerUse) -> None:
+    def follower_lost(self, use: account_usage.FollowerUsage) -> None:
         """Reserves the share of a follower whose link ended."""
         self._followers.discard(use)
         now_ms = self._clock.now_ms()
@@ -231,7 +231,7 @@
             )
 
     def follower_admitted(
-        self, use: account_usage.FollowerUse, run: runs.Run
+        self, use: account_usage.FollowerUsage, run: runs.Run
     ) -> None:
         """Records a placed model request of a follower."""
         if run.account is not None and run.account.quota is not None:
@@ -239,7 +239,7 @@
 
     def follower_used(
         self,
-        use: account_usage.FollowerUse,
+        use: account_usage.FollowerUsage,
         uses: Iterable[quota_messages.AccountUse],
     ) -> None:
         """Counts the use that a follower has admitted on its own."""
@@ -254,7 +254,7 @@
         self._has_use.set()
 
     def _record_follower_use(
-        self, use: account_usage.FollowerUse, account: str, units: float
+        self, use: account_usage.FollowerUsage, account: str, units: float
     ) -> None:
         now_ms = self._clock.now_ms()
         use.pace.add(account, units, now_ms)
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -33,23 +33,23 @@
 
     def follower(
         self, peer: str, tell: Callable[[messages.Message], object]
-    ) -> account_usage.FollowerUse:
+    ) -> account_usage.FollowerUsage:
         """Starts to count the use at a follower."""
         ...
 
-    def follower_lost(self, use: account_usage.FollowerUse) -> None:
+    def follower_lost(self, use: account_usage.FollowerUsage) -> None:
         """Reserves the share of a follower whose link ended."""
         ...
 
     def follower_admitted(
-        self, use: account_usage.FollowerUse, run: runs.Run
+        self, use: account_usage.FollowerUsage, run: runs.Run
     ) -> None:
         """Records a placed model request of a follower."""
         ...
 
     def follower_used(
         self,
-        use: account_usage.FollowerUse,
+        use: account_usage.FollowerUsage,
         uses: Iterable[quota_messages.AccountUse],
     ) -> None:
         """Counts the use that a follower has admitted on its own."""
@@ -121,7 +121,7 @@
         crashes: FollowerCrashes,
         clock: clocks.Clock,
         *,
-        use: account_usage.FollowerUse,
+        use: account_usage.FollowerUsage,
     ) -> None:
         self._quotas = quotas
         self._limits = limits
