--- a/src/jujubewharf/leadership/account_usage.py
+++ b/src/jujubewharf/leadership/account_usage.py
@@ -62,9 +62,9 @@
     Attributes:
         peer: Name of the follower.
         tell: Sends a message to the follower.
-        pace: Recent use by the follower's callers.
+        usage: Recent use by the follower's callers.
     """
 
     peer: str
     tell: Callable[[messages.Message], object]
-    pace: AccountUsage = dataclasses.field(default_factory=AccountUsage)
+    usage: AccountUsage = dataclasses.field(default_factory=AccountUsage)
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -223,7 +223,7 @@
         """Reserves the share of a follower whose link ended."""
         self._followers.discard(use)
         now_ms = self._clock.now_ms()
-        shares = use.pace.parts_of(self._total_usage, now_ms)
+        shares = use.usage.parts_of(self._total_usage, now_ms)
         if shares:
             self._lost_followers[use.peer] = (
                 now_ms + _LOST_SHARE_TTL_MS,
@@ -257,7 +257,7 @@
         self, use: account_usage.FollowerUsage, account: str, units: float
     ) -> None:
         now_ms = self._clock.now_ms()
-        use.pace.add(account, units, now_ms)
+        use.usage.add(account, units, now_ms)
         self._total_usage.add(account, units, now_ms)
 
     def forget_others(self) -> None:
@@ -377,7 +377,7 @@
         self._shares_sent_ms = now_ms
         self._usage_shares = self._own_usage.parts_of(self._total_usage, now_ms)
         for use in self._followers:
-            shares = use.pace.parts_of(self._total_usage, now_ms)
+            shares = use.usage.parts_of(self._total_usage, now_ms)
             use.tell(quota_messages.AccountParts.from_parts(shares))
 
     def parts_told(self, shares: dict[str, float]) -> None:
