--- a/src/jujubewharf/leadership/account_usage.py
+++ b/src/jujubewharf/leadership/account_usage.py
@@ -61,10 +61,10 @@
 
     Attributes:
         peer: Name of the follower.
-        tell: Sends a message to the follower.
+        send: Sends a message to the follower.
         usage: Recent use by the follower's callers.
     """
 
     peer: str
-    tell: Callable[[messages.Message], object]
+    send: Callable[[messages.Message], object]
     usage: AccountUsage = dataclasses.field(default_factory=AccountUsage)
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -378,7 +378,7 @@
         self._usage_shares = self._own_usage.parts_of(self._total_usage, now_ms)
         for use in self._followers:
             shares = use.usage.parts_of(self._total_usage, now_ms)
-            use.tell(quota_messages.AccountParts.from_parts(shares))
+            use.send(quota_messages.AccountParts.from_parts(shares))
 
     def parts_told(self, shares: dict[str, float]) -> None:
         """Sets this instance's share of each account's use."""
