--- a/src/jujubewharf/leadership/account_usage.py
+++ b/src/jujubewharf/leadership/account_usage.py
@@ -32,7 +32,7 @@
         recent_sum = self._sums.get(account)
         return 0.0 if recent_sum is None else recent_sum.total(now_ms)
 
-    def parts_of(
+    def shares_of(
         self, total_usage: AccountUsage, now_ms: float
     ) -> dict[str, float]:
         """Returns the share of each active account's use in another total.
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -223,7 +223,7 @@
         """Reserves the share of a follower whose link ended."""
         self._followers.discard(use)
         now_ms = self._clock.now_ms()
-        shares = use.usage.parts_of(self._total_usage, now_ms)
+        shares = use.usage.shares_of(self._total_usage, now_ms)
         if shares:
             self._lost_followers[use.peer] = (
                 now_ms + _LOST_SHARE_TTL_MS,
@@ -375,9 +375,11 @@
         if now_ms - self._shares_sent_ms < _SHARES_INTERVAL_MS:
             return
         self._shares_sent_ms = now_ms
-        self._usage_shares = self._own_usage.parts_of(self._total_usage, now_ms)
+        self._usage_shares = self._own_usage.shares_of(
+            self._total_usage, now_ms
+        )
         for use in self._followers:
-            shares = use.usage.parts_of(self._total_usage, now_ms)
+            shares = use.usage.shares_of(self._total_usage, now_ms)
             use.send(quota_messages.AccountParts.from_parts(shares))
 
     def parts_told(self, shares: dict[str, float]) -> None:
