--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -14,12 +14,12 @@
 from jujubewharf.forwarding import placement as placements
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import registry as registries
-from jujubewharf.leadership import account_feed
 from jujubewharf.leadership import feeds as all_feeds
 from jujubewharf.leadership import followers as all_followers
 from jujubewharf.leadership import knowledge as all_knowledge
 from jujubewharf.leadership import leader_link
 from jujubewharf.leadership import leadership
+from jujubewharf.leadership import low_accounts
 from jujubewharf.leadership import placement_server as servers
 from jujubewharf.peers import counters
 from jujubewharf.peers import link_messages
@@ -90,7 +90,7 @@
                 clock,
                 fresh_ms=leaving_within_ms * _ENDPOINTS_FRESH_SHARE,
             ),
-            account_feed.AccountFeed(clock),
+            low_accounts.AccountFeed(clock),
         )
         self.link = leader_link.LeaderLink(
             self.feeds, registry, work, knowledge, endpoints_end, clock
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -19,9 +19,9 @@
 from jujubewharf.forwarding import registry as registries
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
-from jujubewharf.leadership import account_feed
 from jujubewharf.leadership import feeds as all_feeds
 from jujubewharf.leadership import knowledge as all_knowledge
+from jujubewharf.leadership import low_accounts
 from jujubewharf.leadership import packing
 from jujubewharf.peers import crash_messages
 from jujubewharf.peers import leader_messages
@@ -55,7 +55,7 @@
 
     configurations: all_feeds.Feed[routes.RoutingConfiguration | None]
     endpoints: all_feeds.Feed[resources.Endpoint]
-    accounts: account_feed.AccountFeed
+    accounts: low_accounts.AccountFeed
 
 
 class LeaderLink:
