--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -90,7 +90,7 @@
                 clock,
                 fresh_ms=leaving_within_ms * _ENDPOINTS_FRESH_SHARE,
             ),
-            low_accounts.AccountFeed(clock),
+            low_accounts.LowAccounts(clock),
         )
         self.link = leader_link.LeaderLink(
             self.feeds, registry, work, knowledge, endpoints_end, clock
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -55,7 +55,7 @@
 
     configurations: all_feeds.Feed[routes.RoutingConfiguration | None]
     endpoints: all_feeds.Feed[resources.Endpoint]
-    accounts: low_accounts.AccountFeed
+    accounts: low_accounts.LowAccounts
 
 
 class LeaderLink:
--- a/src/jujubewharf/leadership/low_accounts.py
+++ b/src/jujubewharf/leadership/low_accounts.py
@@ -10,7 +10,7 @@
 from jujubewharf.peers import quota_messages
 
 
-class AccountFeed:
+class LowAccounts:
     """Remaining quota of the accounts that the leader reported as low.
 
     Accounts that were not reported have enough quota left. For a reported
