--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -147,7 +147,7 @@
     def _initial_units(self, name: str, quota: accounts.Quota) -> float:
         """Returns the initial units of an account in the current role."""
         feed = self._fleet.feeds.accounts
-        is_low = name in feed.low
+        is_low = name in feed.names
         if self._role is fleets.Role.LEADING:
             return feed.left(name, quota) if is_low else quota.burst
         saved = 0.0 if is_low else self._local_quota(name, quota).burst
--- a/src/jujubewharf/leadership/low_accounts.py
+++ b/src/jujubewharf/leadership/low_accounts.py
@@ -26,7 +26,7 @@
         self._buckets = quotas.QuotaBuckets()
 
     @property
-    def low(self) -> frozenset[str]:
+    def names(self) -> frozenset[str]:
         """Names of the accounts that were reported as low."""
         return self._buckets.names
 
