--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -137,7 +137,7 @@
         """Discards all data received from a leader."""
         self._feeds.configurations.begin()
         self._feeds.endpoints.begin()
-        self._feeds.accounts.begin()
+        self._feeds.accounts.reset()
 
     async def handle(
         self, peer: str, message: messages.Message
--- a/src/jujubewharf/leadership/low_accounts.py
+++ b/src/jujubewharf/leadership/low_accounts.py
@@ -30,7 +30,7 @@
         """Names of the accounts that were reported as low."""
         return self._buckets.names
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Discards what the previous leader reported."""
         self._buckets.clear()
 
