--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -162,7 +162,7 @@
                 )
                 self._feeds.configurations.take([record], message.end)
             case quota_messages.AccountsLeft(accounts=left):
-                self._feeds.accounts.told(left)
+                self._feeds.accounts.update(left)
             case quota_messages.AccountParts():
                 self.on_account_parts(message.by_account)
             case limit_messages.TermsKnown() | crash_messages.CrashesKnown():
