--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -149,7 +149,7 @@
         feed = self._fleet.feeds.accounts
         is_low = name in feed.names
         if self._role is fleets.Role.LEADING:
-            return feed.left(name, quota) if is_low else quota.burst
+            return feed.remaining(name, quota) if is_low else quota.burst
         saved = 0.0 if is_low else self._local_quota(name, quota).burst
         return saved - self._rng.random() * self._large_request_units(
             name, quota
--- a/src/jujubewharf/leadership/low_accounts.py
+++ b/src/jujubewharf/leadership/low_accounts.py
@@ -41,7 +41,7 @@
         for account in left:
             self._buckets.set_balance(account.account, account.units, now_ms)
 
-    def left(self, name: str, quota: accounts.Quota) -> float:
+    def remaining(self, name: str, quota: accounts.Quota) -> float:
         """Returns the units that a low account has left now."""
         return self._buckets.balance(name, quota, self._clock.now_ms())
 
