--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -146,7 +146,7 @@
 
     def _initial_units(self, name: str, quota: accounts.Quota) -> float:
         """Returns the initial units of an account in the current role."""
-        feed = self._fleet.feeds.accounts
+        feed = self._fleet.feeds.low_accounts
         is_low = name in feed.names
         if self._role is fleets.Role.LEADING:
             return feed.remaining(name, quota) if is_low else quota.burst
@@ -277,7 +277,7 @@
         if units <= quota.burst * _SMALL_REQUEST_SHARE:
             debt = self.tolerated.slack * _DEBT_SHARE * self._quota_share(name)
         if role is fleets.Role.FOLLOWING:
-            feed = self._fleet.feeds.accounts
+            feed = self._fleet.feeds.low_accounts
             wait_ms = feed.take(name, local_quota, units, debt=debt)
             if wait_ms <= 0.0:
                 self._unreported_units[name] += units
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -55,7 +55,7 @@
 
     configurations: all_feeds.Feed[routes.RoutingConfiguration | None]
     endpoints: all_feeds.Feed[resources.Endpoint]
-    accounts: low_accounts.LowAccounts
+    low_accounts: low_accounts.LowAccounts
 
 
 class LeaderLink:
@@ -137,7 +137,7 @@
         """Discards all data received from a leader."""
         self._feeds.configurations.begin()
         self._feeds.endpoints.begin()
-        self._feeds.accounts.reset()
+        self._feeds.low_accounts.reset()
 
     async def handle(
         self, peer: str, message: messages.Message
@@ -162,7 +162,7 @@
                 )
                 self._feeds.configurations.take([record], message.end)
             case quota_messages.AccountsLeft(accounts=left):
-                self._feeds.accounts.update(left)
+                self._feeds.low_accounts.update(left)
             case quota_messages.AccountParts():
                 self.on_account_parts(message.by_account)
             case limit_messages.TermsKnown() | crash_messages.CrashesKnown():
