--- a/src/jujubewharf/leadership/crash_services.py
+++ b/src/jujubewharf/leadership/crash_services.py
@@ -9,7 +9,7 @@
 from jujubewharf import clock as clocks
 from jujubewharf.forwarding import crashes
 from jujubewharf.leadership import crash_follower
-from jujubewharf.leadership import crash_keeper
+from jujubewharf.leadership import crash_writer
 from jujubewharf.leadership import fleet as fleets
 from jujubewharf.leadership import fleet_crashes
 from jujubewharf.platform import tables
@@ -35,7 +35,7 @@
     """
     if table is None:
         return ()
-    keeper = crash_keeper.CrashKeeper(
+    keeper = crash_writer.CrashKeeper(
         table, fleet, history, shared_crashes, clock
     )
     reader = crash_follower.new_crash_follower(
