--- a/src/jujubewharf/leadership/crash_services.py
+++ b/src/jujubewharf/leadership/crash_services.py
@@ -35,10 +35,10 @@
     """
     if table is None:
         return ()
-    keeper = crash_writer.CrashKeeper(
+    writer = crash_writer.CrashWriter(
         table, fleet, history, shared_crashes, clock
     )
     reader = crash_follower.new_crash_follower(
-        table, fleet, shared_crashes, clock, rng, on_record=keeper.found
+        table, fleet, shared_crashes, clock, rng, on_record=writer.found
     )
-    return keeper, reader
+    return writer, reader
--- a/src/jujubewharf/leadership/crash_writer.py
+++ b/src/jujubewharf/leadership/crash_writer.py
@@ -38,7 +38,7 @@
 _WRITER_ID_BYTES = 6
 
 
-class CrashKeeper(mode.Service):
+class CrashWriter(mode.Service):
     """Writes the table of crash reports.
 
     Args:
