--- a/src/jujubewharf/leadership/crash_services.py
+++ b/src/jujubewharf/leadership/crash_services.py
@@ -39,6 +39,6 @@
         table, fleet, history, shared_crashes, clock
     )
     reader = crash_follower.new_crash_follower(
-        table, fleet, shared_crashes, clock, rng, on_record=writer.found
+        table, fleet, shared_crashes, clock, rng, on_record=writer.note_record
     )
     return writer, reader
--- a/src/jujubewharf/leadership/crash_writer.py
+++ b/src/jujubewharf/leadership/crash_writer.py
@@ -81,7 +81,9 @@
         self._unwritten_ms[fingerprint] = self._clock.now_ms()
         self._changed.set()
 
-    def found(self, key: str, fingerprint: fingerprints.Fingerprint) -> None:
+    def note_record(
+        self, key: str, fingerprint: fingerprints.Fingerprint
+    ) -> None:
         """Records that the table has a record under a key."""
         self._record_keys[key] = fingerprint
 
