--- a/src/jujubewharf/leadership/crash_follower.py
+++ b/src/jujubewharf/leadership/crash_follower.py
@@ -117,4 +117,4 @@
                 self._errors.note(record.key, record.offset, error)
                 continue
             self._on_record(record.key, report.fingerprint)
-            self._shared_crashes.found(report)
+            self._shared_crashes.apply_stored(report)
--- a/src/jujubewharf/leadership/fleet_crashes.py
+++ b/src/jujubewharf/leadership/fleet_crashes.py
@@ -71,7 +71,7 @@
             if self._history.merge(report):
                 self._on_seen(report.fingerprint)
 
-    def found(self, report: crash_reports.CrashReport) -> None:
+    def apply_stored(self, report: crash_reports.CrashReport) -> None:
         """Applies a report from the store, and broadcasts it if it is new."""
         if self._history.merge(report):
             self._schedule_broadcast(report.fingerprint)
