--- a/src/jujubewharf/leadership/fleet_crashes.py
+++ b/src/jujubewharf/leadership/fleet_crashes.py
@@ -65,7 +65,7 @@
         """Grants a trial of a request that is quarantined here."""
         return self._history.begin_trial(fingerprint)
 
-    def told(self, message: crash_messages.CrashesKnown) -> None:
+    def apply_reports(self, message: crash_messages.CrashesKnown) -> None:
         """Applies a follower's reports, and broadcasts what is new."""
         for report in message.reports:
             if self._history.merge(report):
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -71,7 +71,7 @@
 class FollowerCrashes(Protocol):
     """Crash history of requests, and trials of quarantined ones."""
 
-    def told(self, message: crash_messages.CrashesKnown) -> None:
+    def apply_reports(self, message: crash_messages.CrashesKnown) -> None:
         """Applies a follower's crash reports."""
         ...
 
@@ -161,7 +161,7 @@
                 is_granted = self._crashes.grant(fingerprint)
                 return crash_messages.Trial(is_granted)
             case crash_messages.CrashesKnown():
-                self._crashes.told(message)
+                self._crashes.apply_reports(message)
             case leader_messages.CostsObserved():
                 self._on_costs_observed(peer, message)
             case quota_messages.AccountsUsed(uses=uses):
