--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -108,7 +108,7 @@
             (lambda: 0.0) if is_leading else self._rng.random
         )
 
-    def told(self, message: limit_messages.TermsKnown) -> None:
+    def apply_terms(self, message: limit_messages.TermsKnown) -> None:
         """Applies terms from a follower, and broadcasts what is new."""
         for terms in message.terms:
             if self._restraints.told(terms, is_news=message.is_news):
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -59,7 +59,7 @@
 class FollowerLimits(Protocol):
     """Counts the requests of followers to rate-limited endpoints."""
 
-    def told(self, message: limit_messages.TermsKnown) -> None:
+    def apply_terms(self, message: limit_messages.TermsKnown) -> None:
         """Applies terms from a follower."""
         ...
 
@@ -156,7 +156,7 @@
             case limit_messages.PermitAsk(endpoint=endpoint):
                 return limit_messages.Permit(self._limits.grant(endpoint))
             case limit_messages.TermsKnown():
-                self._limits.told(message)
+                self._limits.apply_terms(message)
             case crash_messages.TrialAsk(fingerprint=fingerprint):
                 is_granted = self._crashes.grant(fingerprint)
                 return crash_messages.Trial(is_granted)
