--- a/src/jujubewharf/leadership/feeds.py
+++ b/src/jujubewharf/leadership/feeds.py
@@ -50,7 +50,7 @@
     def _fresh_for_ms(self) -> float:
         return self._confirmed_ms + self._fresh_ms - self._clock.now_ms()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Discards what the previous leader sent."""
         self._records.clear()
         self._unsent_offset = None
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -135,8 +135,8 @@
 
     def forget(self) -> None:
         """Discards all data received from a leader."""
-        self._feeds.configurations.begin()
-        self._feeds.endpoints.begin()
+        self._feeds.configurations.reset()
+        self._feeds.endpoints.reset()
         self._feeds.low_accounts.reset()
 
     async def handle(
--- a/tests/leadership/test_feeds.py
+++ b/tests/leadership/test_feeds.py
@@ -124,7 +124,7 @@
 def test_data_of_previous_leader_is_discarded():
     async def test(clock, table, feed, leader_table):
         feed.take([_record(0)], 1)
-        feed.begin()
+        feed.reset()
         assert not feed.is_fresh
         feed.confirm(5, age_ms=0.0)
         assert not feed.is_fresh
