--- a/src/jujubewharf/leadership/feeds.py
+++ b/src/jujubewharf/leadership/feeds.py
@@ -71,7 +71,7 @@
             self._end_offset = end
             self._notify()
 
-    def take(self, records: Iterable[tables.TableRecord[T]], end: int) -> None:
+    def apply(self, records: Iterable[tables.TableRecord[T]], end: int) -> None:
         """Applies changed records."""
         if self._end_offset is None:
             self._confirmed_ms = self._clock.now_ms()
@@ -88,7 +88,7 @@
     def take_unsent(self, offset: int, end: int) -> None:
         """Notes a record that must be read from the store."""
         self._unsent_offset = max(offset, self._unsent_offset or 0)
-        self.take((), end)
+        self.apply((), end)
 
     def _notify(self) -> None:
         event, self._update_event = self._update_event, asyncio.Event()
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -160,7 +160,7 @@
                 record = tables.TableRecord(
                     message.key, message.offset, message.configuration
                 )
-                self._feeds.configurations.take([record], message.end)
+                self._feeds.configurations.apply([record], message.end)
             case quota_messages.AccountsLeft(accounts=left):
                 self._feeds.low_accounts.update(left)
             case quota_messages.AccountParts():
@@ -169,7 +169,7 @@
                 self._knowledge.told_by_leader(message)
             case leader_messages.EndpointNews():
                 records = [_table_record(r) for r in message.records]
-                self._feeds.endpoints.take(records, message.end)
+                self._feeds.endpoints.apply(records, message.end)
         return None
 
     def _on_heartbeat(self, seen: leader_messages.StoreSeen) -> None:
--- a/tests/leadership/test_feeds.py
+++ b/tests/leadership/test_feeds.py
@@ -29,7 +29,7 @@
 
 def test_records_from_leader_need_no_read():
     async def test(clock, table, feed, leader_table):
-        feed.take([_record(0)], 1)
+        feed.apply([_record(0)], 1)
         page = await leader_table.changes(0, wait_ms=500.0)
         assert (page.end, page.records) == (1, (_record(0),))
         assert table.reads == 0
@@ -39,12 +39,12 @@
 
 def test_new_record_ends_long_poll():
     async def test(clock, table, feed, leader_table):
-        feed.take([], 1)
+        feed.apply([], 1)
         waiting = asyncio.ensure_future(
             leader_table.changes(1, wait_ms=1_500.0)
         )
         await clock.sleep_ms(300.0)
-        feed.take([_record(1)], 2)
+        feed.apply([_record(1)], 2)
         page = await waiting
         assert clock.now_ms() < 400.0
         assert page.records == (_record(1),)
@@ -60,7 +60,7 @@
 
     async def test(clock, table, feed, leader_table):
         table.put("k", "old")
-        feed.take([_record(0, "old")], 1)
+        feed.apply([_record(0, "old")], 1)
         table.put("k", "new")
         page = await leader_table.changes(1, wait_ms=60_000.0)
         assert clock.now_ms() <= FRESH_MS + 100.0
@@ -73,7 +73,7 @@
     """The leader is connected but has not read the store recently."""
 
     async def test(clock, table, feed, leader_table):
-        feed.take([_record(0)], 1)
+        feed.apply([_record(0)], 1)
         await clock.sleep_ms(1_000.0)
         feed.confirm(1, age_ms=FRESH_MS)
         assert not feed.is_fresh
@@ -111,7 +111,7 @@
         table.is_down = True
 
         async def fetch() -> bool:
-            feed.take([_record(0, "large")], 1)
+            feed.apply([_record(0, "large")], 1)
             return True
 
         feed.fetch = fetch
@@ -123,7 +123,7 @@
 
 def test_data_of_previous_leader_is_discarded():
     async def test(clock, table, feed, leader_table):
-        feed.take([_record(0)], 1)
+        feed.apply([_record(0)], 1)
         feed.reset()
         assert not feed.is_fresh
         feed.confirm(5, age_ms=0.0)
