--- a/src/jujubewharf/leadership/feeds.py
+++ b/src/jujubewharf/leadership/feeds.py
@@ -85,7 +85,7 @@
         self._end_offset = max(end, self._end_offset or 0)
         self._notify()
 
-    def take_unsent(self, offset: int, end: int) -> None:
+    def note_unsent(self, offset: int, end: int) -> None:
         """Notes a record that must be read from the store."""
         self._unsent_offset = max(offset, self._unsent_offset or 0)
         self.apply((), end)
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -152,7 +152,7 @@
                     news = dataclasses.replace(message, packed=None)
                 await self.handle(peer, news)
             case leader_messages.ConfigurationNews(configuration=None):
-                self._feeds.configurations.take_unsent(
+                self._feeds.configurations.note_unsent(
                     message.offset, message.end
                 )
             case leader_messages.ConfigurationNews():
--- a/tests/leadership/test_feeds.py
+++ b/tests/leadership/test_feeds.py
@@ -88,7 +88,7 @@
 
     async def test(clock, table, feed, leader_table):
         table.put("k", "large")
-        feed.take_unsent(0, 1)
+        feed.note_unsent(0, 1)
         page = await leader_table.changes(0, wait_ms=500.0)
         assert [r.value for r in page.records] == ["large"]
         assert table.reads == 1
@@ -107,7 +107,7 @@
 
     async def test(clock, table, feed, leader_table):
         table.put("k", "large")
-        feed.take_unsent(0, 1)
+        feed.note_unsent(0, 1)
         table.is_down = True
 
         async def fetch() -> bool:
