--- a/src/jujubewharf/leadership/feeds.py
+++ b/src/jujubewharf/leadership/feeds.py
@@ -94,7 +94,7 @@
         event, self._update_event = self._update_event, asyncio.Event()
         event.set()
 
-    async def freshened(self, timeout_ms: float) -> None:
+    async def wait_until_fresh(self, timeout_ms: float) -> None:
         """Waits up to ``timeout_ms`` until the records are fresh."""
         deadline_ms = self._clock.now_ms() + timeout_ms
         while not self.is_fresh:
@@ -183,7 +183,7 @@
             return await self._read(from_offset, wait_ms=wait_ms)
         if self._last_read_ms is not None:
             due_ms = self._last_read_ms + self._pause_ms()
-            await self._feed.freshened(due_ms - self._clock.now_ms())
+            await self._feed.wait_until_fresh(due_ms - self._clock.now_ms())
         return await self._read(from_offset, wait_ms=0.0)
 
     async def _read_unsent(self, from_offset: int) -> tables.TablePage[T]:
