--- a/src/jujubewharf/leadership/feeds.py
+++ b/src/jujubewharf/leadership/feeds.py
@@ -103,7 +103,7 @@
                 return
             await self._wait_for_update(left_ms)
 
-    async def after(
+    async def page_after(
         self, offset: int, *, wait_ms: float
     ) -> tables.TablePage[T] | None:
         """Returns records from an offset on, waiting up to ``wait_ms`` for one.
@@ -174,7 +174,7 @@
         self, from_offset: int, *, wait_ms: float
     ) -> tables.TablePage[T]:
         """Returns later records; see ``tables.Table``."""
-        page = await self._feed.after(from_offset, wait_ms=wait_ms)
+        page = await self._feed.page_after(from_offset, wait_ms=wait_ms)
         if page is not None:
             return page
         if self._feed.is_fresh:
@@ -199,7 +199,7 @@
             fetch = self._feed.fetch
             if fetch is None or not await fetch():
                 raise
-        page = await self._feed.after(from_offset, wait_ms=0.0)
+        page = await self._feed.page_after(from_offset, wait_ms=0.0)
         return page or tables.TablePage((), from_offset)
 
     async def _read(
