--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -230,7 +230,7 @@
             self.quotas,
             self.endpoint_limits,
             self.restraints,
-            lambda: self.fleet.counts_all,
+            lambda: self.fleet.has_placed_all,
             clock,
             rng,
         )
--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -136,7 +136,7 @@
         return self.link.instances
 
     @property
-    def counts_all(self) -> bool:
+    def has_placed_all(self) -> bool:
         """Whether this instance has placed all requests that engines run now.
 
         Placements made before this instance led are unknown to it until they
