--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -242,7 +242,7 @@
                 self._settings.domain,
                 adapters.peers,
                 self.lease,
-                fleets.new_placement_server_of(
+                fleets.placement_server_factory(
                     places,
                     local,
                     self.source,
--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -229,7 +229,7 @@
 _INCARNATION_BITS = 48
 
 
-def new_placement_server_of(
+def placement_server_factory(
     places: placements.Placement,
     observations: observed.Observer,
     source: forwarder.ActiveConfiguration,
