--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -183,7 +183,7 @@
         domain: str,
         peers: ports.PeerAdapters,
         lease: leases.GroupLease,
-        new_placement_server: servers.NewPlacementServer,
+        new_placement_server: servers.PlacementServerFactory,
         rng: random.Random,
         *,
         cores: float,
@@ -238,7 +238,7 @@
     limits: servers.FollowerLimits,
     crashes: servers.FollowerCrashes,
     clock: clocks.Clock,
-) -> servers.NewPlacementServer:
+) -> servers.PlacementServerFactory:
     """Returns a function that creates the placement server of a follower."""
     return lambda peer, tell: servers.PlacementServer(
         places,
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -60,7 +60,7 @@
     def __init__(
         self,
         hello: link_messages.Hello,
-        new_placement_server: servers.NewPlacementServer,
+        new_placement_server: servers.PlacementServerFactory,
         counts: counters.PeerCounters,
         clock: clocks.Clock,
         knowledge: all_knowledge.Knowledge,
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -355,6 +355,6 @@
 
 # Creates the placement server of a follower, from the follower's name and a
 # function that sends it a message.
-NewPlacementServer = Callable[
+PlacementServerFactory = Callable[
     [str, Callable[[messages.Message], object]], PlacementServer
 ]
