--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -400,7 +400,7 @@
     ) -> None:
         for record in page.records:
             if record.value is not None and self.source.take(record.value):
-                self.quotas.forget_others()
+                self.quotas.remove_unconfigured()
                 beliefs.configuration_in_force(
                     record.value, offset=record.offset
                 )
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -260,7 +260,7 @@
         use.usage.add(account, units, now_ms)
         self._total_usage.add(account, units, now_ms)
 
-    def forget_others(self) -> None:
+    def remove_unconfigured(self) -> None:
         """Removes accounts that are no longer configured."""
         names = self._source.accounts.by_name
         self._leader_buckets.retain(names)
