--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -114,7 +114,7 @@
         self._followers: set[account_usage.FollowerUsage] = set()
         # Expiry in ms and reserved shares per lost follower.
         self._lost_followers: dict[str, tuple[float, dict[str, float]]] = {}
-        fleet.link.on_account_parts = self.parts_told
+        fleet.link.on_account_parts = self.set_usage_shares
 
     @property
     def role(self) -> fleets.Role:
@@ -382,6 +382,6 @@
             shares = use.usage.shares_of(self._total_usage, now_ms)
             use.send(quota_messages.AccountParts.from_parts(shares))
 
-    def parts_told(self, shares: dict[str, float]) -> None:
+    def set_usage_shares(self, shares: dict[str, float]) -> None:
         """Sets this instance's share of each account's use."""
         self._usage_shares = shares
