--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -249,5 +249,5 @@
         limits,
         crashes,
         clock,
-        use=quotas.follower(peer, tell),
+        use=quotas.add_follower(peer, tell),
     )
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -210,7 +210,7 @@
         self._own_usage.add(name, run.units, now_ms)
         self._total_usage.add(name, run.units, now_ms)
 
-    def follower(
+    def add_follower(
         self, peer: str, tell: Callable[[messages.Message], object]
     ) -> account_usage.FollowerUsage:
         """Starts to count the use at a follower."""
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -31,7 +31,7 @@
 class FollowerQuotas(Protocol):
     """Counts the use of accounts at followers."""
 
-    def follower(
+    def add_follower(
         self, peer: str, tell: Callable[[messages.Message], object]
     ) -> account_usage.FollowerUsage:
         """Starts to count the use at a follower."""
