--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -219,7 +219,7 @@
         self._followers.add(use)
         return use
 
-    def follower_lost(self, use: account_usage.FollowerUsage) -> None:
+    def remove_follower(self, use: account_usage.FollowerUsage) -> None:
         """Reserves the share of a follower whose link ended."""
         self._followers.discard(use)
         now_ms = self._clock.now_ms()
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -37,7 +37,7 @@
         """Starts to count the use at a follower."""
         ...
 
-    def follower_lost(self, use: account_usage.FollowerUsage) -> None:
+    def remove_follower(self, use: account_usage.FollowerUsage) -> None:
         """Reserves the share of a follower whose link ended."""
         ...
 
@@ -139,7 +139,7 @@
 
         Engines still count what the follower runs on them.
         """
-        self._quotas.follower_lost(self._usage)
+        self._quotas.remove_follower(self._usage)
         for held in list(self._held_places.values()):
             if held.task is not None:
                 held.task.cancel()
