--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -114,7 +114,7 @@
         self._followers: set[account_usage.FollowerUsage] = set()
         # Expiry in ms and reserved shares per lost follower.
         self._lost_followers: dict[str, tuple[float, dict[str, float]]] = {}
-        fleet.link.on_account_parts = self.set_usage_shares
+        fleet.link.on_usage_shares = self.set_usage_shares
 
     @property
     def role(self) -> fleets.Role:
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -73,7 +73,7 @@
     Attributes:
         instances: Number of instances under the leader, including itself;
             ``None`` before its first heartbeat.
-        on_account_parts: Called with this instance's share of each account's
+        on_usage_shares: Called with this instance's share of each account's
             use.
     """
 
@@ -88,8 +88,8 @@
     ) -> None:
         self._endpoints_end = endpoints_end
         self.instances: int | None = None
-        self.on_account_parts: Callable[[dict[str, float]], None]
-        self.on_account_parts = lambda parts: None
+        self.on_usage_shares: Callable[[dict[str, float]], None]
+        self.on_usage_shares = lambda shares: None
         self._feeds = feeds
         self._registry = registry
         self._work = work
@@ -164,7 +164,7 @@
             case quota_messages.AccountsLeft(accounts=left):
                 self._feeds.low_accounts.update(left)
             case quota_messages.AccountParts():
-                self.on_account_parts(message.by_account)
+                self.on_usage_shares(message.by_account)
             case limit_messages.TermsKnown() | crash_messages.CrashesKnown():
                 self._knowledge.told_by_leader(message)
             case leader_messages.EndpointNews():
