--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -34,7 +34,7 @@
 
 # Interval of the leader's heartbeats, and the silence after which a follower
 # closes the link and continues without a leader (three missed heartbeats).
-BEAT_MS = 500.0
+HEARTBEAT_INTERVAL_MS = 500.0
 SILENT_MS = 1_700.0
 # Interval and timeout of liveness checks while an answer is pending. They bound
 # what a waiting request loses to a frozen leader to half a second, which most
@@ -123,7 +123,9 @@
         running = asyncio.ensure_future(link.run())
         try:
             while not running.done():
-                await asyncio.wait([running], timeout=BEAT_MS / clocks.MS_PER_S)
+                await asyncio.wait(
+                    [running], timeout=HEARTBEAT_INTERVAL_MS / clocks.MS_PER_S
+                )
                 if self._clock.now_ms() - link.last_heard_ms > SILENT_MS:
                     break
         finally:
--- a/src/jujubewharf/leadership/leadership.py
+++ b/src/jujubewharf/leadership/leadership.py
@@ -168,7 +168,7 @@
         try:
             while self._lease.holds_first and not self.should_stop:
                 self._followers.beat()
-                await self._clock.sleep_ms(leader_link.BEAT_MS)
+                await self._clock.sleep_ms(leader_link.HEARTBEAT_INTERVAL_MS)
         finally:
             renewing.cancel()
             await asyncio.gather(renewing, return_exceptions=True)
