--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -35,7 +35,7 @@
 # Interval of the leader's heartbeats, and the silence after which a follower
 # closes the link and continues without a leader (three missed heartbeats).
 HEARTBEAT_INTERVAL_MS = 500.0
-SILENT_MS = 1_700.0
+LEADER_TIMEOUT_MS = 1_700.0
 # Interval and timeout of liveness checks while an answer is pending. They bound
 # what a waiting request loses to a frozen leader to half a second, which most
 # latency targets allow.
@@ -126,7 +126,10 @@
                 await asyncio.wait(
                     [running], timeout=HEARTBEAT_INTERVAL_MS / clocks.MS_PER_S
                 )
-                if self._clock.now_ms() - link.last_heard_ms > SILENT_MS:
+                if (
+                    self._clock.now_ms() - link.last_heard_ms
+                    > LEADER_TIMEOUT_MS
+                ):
                     break
         finally:
             link.close()
