--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -106,7 +106,7 @@
     async def run(self, link: links.Link) -> None:
         """Follows a leader until the link closes or heartbeats stop."""
         self._link = link
-        self.forget()
+        self.discard_received()
         link.tell(leader_messages.Following(self._endpoints_end()))
         for known in self._knowledge.greeting():
             link.tell(known)
@@ -138,7 +138,7 @@
             self._link = None
             self.instances = None
 
-    def forget(self) -> None:
+    def discard_received(self) -> None:
         """Discards all data received from a leader."""
         self._feeds.configurations.reset()
         self._feeds.endpoints.reset()
--- a/src/jujubewharf/leadership/leadership.py
+++ b/src/jujubewharf/leadership/leadership.py
@@ -160,7 +160,7 @@
         self._logger.info(
             "leading_began", generation=self._lease.share.generation
         )
-        self._leader_link.forget()
+        self._leader_link.discard_received()
         self._followers.begin_leading()
         # Renewals run beside the heartbeats: a renewal that gets no answer
         # takes longer than followers wait for a heartbeat.
