--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -65,7 +65,7 @@
             return True
         role = self._fleet.role
         if role is fleets.Role.FOLLOWING:
-            wait_ms = await self._fleet.link.permit(endpoint)
+            wait_ms = await self._fleet.link.request_permit(endpoint)
             if wait_ms is None:
                 wait_ms = _RETRY_DELAY_MS
         else:
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -205,7 +205,7 @@
         await self.handle(link.peer, news)
         return news.configuration is not None
 
-    async def permit(self, endpoint: str) -> float | None:
+    async def request_permit(self, endpoint: str) -> float | None:
         """Requests a permit for one request to a rate-limited endpoint.
 
         Returns:
