--- a/src/jujubewharf/leadership/fleet_crashes.py
+++ b/src/jujubewharf/leadership/fleet_crashes.py
@@ -58,7 +58,7 @@
         """Returns whether a trial is granted; see ``crashes.Trials``."""
         fingerprint = fingerprints.Fingerprint.from_call(call)
         if self._fleet.role is fleets.Role.FOLLOWING:
-            return await self._fleet.link.trial(fingerprint)
+            return await self._fleet.link.request_trial(fingerprint)
         return self.grant(fingerprint)
 
     def grant(self, fingerprint: fingerprints.Fingerprint) -> bool:
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -217,7 +217,9 @@
             return None
         return answer.wait_ms
 
-    async def trial(self, fingerprint: fingerprints.Fingerprint) -> bool:
+    async def request_trial(
+        self, fingerprint: fingerprints.Fingerprint
+    ) -> bool:
         """Requests a trial of a quarantined request.
 
         Returns:
