--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -121,7 +121,7 @@
         match self.role:
             case Role.LEADING:
                 assert self.followers is not None
-                self.followers.tell_all(message)
+                self.followers.broadcast(message)
             case Role.FOLLOWING:
                 self.link.tell(message)
             case Role.ALONE:
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -207,7 +207,7 @@
             self._low_accounts = quota_messages.AccountsLeft(accounts)
             self._send(self._low_accounts, self._links)
 
-    def tell_all(self, message: messages.Message) -> None:
+    def broadcast(self, message: messages.Message) -> None:
         """Sends a message to all followers."""
         self._send(message, self._links)
 
