--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -368,7 +368,7 @@
             left = self._buckets.balance(name, local_quota, now_ms)
             if left < local_quota.burst * _LOW_SHARE:
                 low.append(quota_messages.AccountLeft(name, left))
-        self._fleet.followers.tell_left(tuple(low))
+        self._fleet.followers.broadcast_low_accounts(tuple(low))
 
     def _send_shares(self) -> None:
         now_ms = self._clock.now_ms()
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -199,7 +199,7 @@
         for link in list(self._links):
             link.close(link_messages.Farewell(reason))
 
-    def tell_left(
+    def broadcast_low_accounts(
         self, accounts: tuple[quota_messages.AccountLeft, ...]
     ) -> None:
         """Sends all followers the accounts that are low."""
