--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -211,7 +211,7 @@
         """Sends a message to all followers."""
         self._send(message, self._links)
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Sends all followers a heartbeat with the store's read offsets."""
         self._send(self._heartbeat(), self._links)
 
--- a/src/jujubewharf/leadership/leadership.py
+++ b/src/jujubewharf/leadership/leadership.py
@@ -167,7 +167,7 @@
         renewing = asyncio.ensure_future(self._renew())
         try:
             while self._lease.holds_first and not self.should_stop:
-                self._followers.beat()
+                self._followers.send_heartbeat()
                 await self._clock.sleep_ms(leader_link.HEARTBEAT_INTERVAL_MS)
         finally:
             renewing.cancel()
