--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -405,7 +405,7 @@
                     record.value, offset=record.offset
                 )
         if self.fleet.followers is not None:
-            self.fleet.followers.configurations_read(page.records, page.end)
+            self.fleet.followers.publish_configurations(page.records, page.end)
 
     def _on_endpoints(
         self, page: tables.TablePage[resources.Endpoint], is_whole: bool
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -215,7 +215,7 @@
         """Sends all followers a heartbeat with the store's read offsets."""
         self._send(self._heartbeat(), self._links)
 
-    def configurations_read(
+    def publish_configurations(
         self,
         records: Iterable[
             tables.TableRecord[routes.RoutingConfiguration | None]
