--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -420,6 +420,6 @@
         else:
             self.registry.apply(records)
         if self.fleet.followers is not None:
-            self.fleet.followers.endpoints_read(
+            self.fleet.followers.publish_endpoints(
                 page.records, page.end, is_whole=is_whole
             )
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -263,7 +263,7 @@
         for link in to:
             link.tell_encoded(data)
 
-    def endpoints_read(
+    def publish_endpoints(
         self,
         records: Iterable[tables.TableRecord[resources.Endpoint]],
         end: int,
