--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -146,7 +146,7 @@
         stay_ms = self._work.memory_hold_ms
         if self.followers is None or stay_ms is None:
             return False
-        return self.followers.led_ms > stay_ms * _ENDED_AFTER_MEAN_STAYS
+        return self.followers.leading_for_ms > stay_ms * _ENDED_AFTER_MEAN_STAYS
 
     def retry_share(self, window_ms: float) -> float:
         """Returns the share, 0 to 1, of the fleet's retries for this instance.
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -104,7 +104,7 @@
         return 1 + len(present | set(self._lost_at_ms))
 
     @property
-    def led_ms(self) -> float:
+    def leading_for_ms(self) -> float:
         """Time in ms for which this instance has led; 0 if it doesn't lead."""
         if not self.is_leading:
             return 0.0
