--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -122,7 +122,7 @@
         self.registry = registry.Registry(clock, self.restraints.is_leaving)
         self.restraints.on_leaving = self.registry.handle_drain_notice
         self.restraints.is_registered = self.registry.is_registered
-        adapters.backends.listen(self.restraints.heard)
+        adapters.backends.listen(self.restraints.apply_notice)
         self.share = sharing.FleetShare(
             adapters.group, clock, default_share=_ISOLATED_SHARE
         )
--- a/src/jujubewharf/forwarding/restraints.py
+++ b/src/jujubewharf/forwarding/restraints.py
@@ -71,7 +71,7 @@
         self._clock = clock
         self._by_name: dict[str, _EndpointState] = {}
 
-    def heard(
+    def apply_notice(
         self, endpoint: resources.Endpoint, notice: notices.Notice
     ) -> None:
         """Applies a notice from an answer to this instance."""
--- a/tests/forwarding/test_restraints.py
+++ b/tests/forwarding/test_restraints.py
@@ -28,12 +28,12 @@
     """An answer to a request sent before the limit must not end the limit."""
 
     async def test(known, clock):
-        known.heard(ENDPOINT, _notice(clock, rate_limit_per_s=1.5))
+        known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=1.5))
         await clock.sleep_ms(100.0)
         old = _notice(clock, asked_ago_ms=200.0, ends_limit=True)
-        known.heard(ENDPOINT, old)
+        known.apply_notice(ENDPOINT, old)
         assert known.rate_limit_per_s("s1") == 1.5
-        known.heard(ENDPOINT, _notice(clock, ends_limit=True))
+        known.apply_notice(ENDPOINT, _notice(clock, ends_limit=True))
         assert known.rate_limit_per_s("s1") is None
 
     _run(test)
@@ -43,18 +43,18 @@
     """Answers can arrive out of order."""
 
     async def test(known, clock):
-        known.heard(ENDPOINT, _notice(clock, rate_limit_per_s=1.5))
+        known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=1.5))
         await clock.sleep_ms(100.0)
         old = _notice(clock, asked_ago_ms=200.0, rate_limit_per_s=6.0)
-        known.heard(ENDPOINT, old)
+        known.apply_notice(ENDPOINT, old)
         assert known.rate_limit_per_s("s1") == 1.5
-        known.heard(
+        known.apply_notice(
             ENDPOINT,
             _notice(clock, asked_ago_ms=200.0, rate_limit_per_s=1.0),
         )
         assert known.rate_limit_per_s("s1") == 1.0
         await clock.sleep_ms(100.0)
-        known.heard(ENDPOINT, _notice(clock, rate_limit_per_s=6.0))
+        known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=6.0))
         assert known.rate_limit_per_s("s1") == 6.0
 
     _run(test)
@@ -62,9 +62,9 @@
 
 def test_a_refusal_without_a_limit_does_not_end_it():
     async def test(known, clock):
-        known.heard(ENDPOINT, _notice(clock, rate_limit_per_s=1.5))
+        known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=1.5))
         await clock.sleep_ms(100.0)
-        known.heard(ENDPOINT, _notice(clock))
+        known.apply_notice(ENDPOINT, _notice(clock))
         assert known.rate_limit_per_s("s1") == 1.5
 
     _run(test)
@@ -74,7 +74,7 @@
     """After a partition either instance may have the newer terms."""
 
     async def test(known, clock):
-        known.heard(ENDPOINT, _notice(clock, rate_limit_per_s=3.0))
+        known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=3.0))
         known.told(notices.Terms("s1", 1.5), is_news=False)
         assert known.rate_limit_per_s("s1") == 1.5
         known.told(notices.Terms("s1", 4.0), is_news=False)
@@ -87,7 +87,7 @@
 
 def test_news_of_another_instance_count_as_they_are():
     async def test(known, clock):
-        known.heard(ENDPOINT, _notice(clock, rate_limit_per_s=3.0))
+        known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=3.0))
         assert known.told(notices.Terms("s1", 4.0), is_news=True)
         assert not known.told(notices.Terms("s1", 4.0), is_news=True)
         assert known.rate_limit_per_s("s1") == 4.0
@@ -99,12 +99,12 @@
 
 def test_a_new_limit_ends_the_wait_that_the_former_one_asked_for():
     async def test(known, clock):
-        known.heard(ENDPOINT, _notice(clock, rate_limit_per_s=0.2))
+        known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=0.2))
         known.defer("s1", 5_000.0)
         assert known.wait_ms(["s1"]) == 5_000.0
         assert known.wait_ms(["s1", "s2"]) is None
         await clock.sleep_ms(100.0)
-        known.heard(ENDPOINT, _notice(clock, rate_limit_per_s=50.0))
+        known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=50.0))
         assert not known.must_wait("s1")
 
     _run(test)
@@ -115,9 +115,9 @@
         told = []
         known.on_news = told.append
         for limit in (1.5, 1.5, 2.0):
-            known.heard(ENDPOINT, _notice(clock, rate_limit_per_s=limit))
+            known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=limit))
             await clock.sleep_ms(100.0)
-        known.heard(ENDPOINT, _notice(clock, backoff_ms=100.0))
+        known.apply_notice(ENDPOINT, _notice(clock, backoff_ms=100.0))
         assert told == [notices.Terms("s1", 1.5), notices.Terms("s1", 2.0)]
 
     _run(test)
