--- a/src/jujubewharf/forwarding/restraints.py
+++ b/src/jujubewharf/forwarding/restraints.py
@@ -95,7 +95,7 @@
         if is_changed:
             self.on_news(terms)
 
-    def told(self, terms: notices.Terms, *, is_news: bool) -> bool:
+    def apply_terms(self, terms: notices.Terms, *, is_news: bool) -> bool:
         """Applies terms that another instance has sent.
 
         Args:
--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -111,7 +111,7 @@
     def apply_terms(self, message: limit_messages.TermsKnown) -> None:
         """Applies terms from a follower, and broadcasts what is new."""
         for terms in message.terms:
-            if self._restraints.told(terms, is_news=message.is_news):
+            if self._restraints.apply_terms(terms, is_news=message.is_news):
                 self._broadcast(terms)
 
     def _broadcast(self, terms: notices.Terms) -> None:
--- a/src/jujubewharf/leadership/knowledge.py
+++ b/src/jujubewharf/leadership/knowledge.py
@@ -36,7 +36,7 @@
         match message:
             case limit_messages.TermsKnown():
                 for terms in message.terms:
-                    self.restraints.told(terms, is_news=message.is_news)
+                    self.restraints.apply_terms(terms, is_news=message.is_news)
             case crash_messages.CrashesKnown():
                 for report in message.reports:
                     self.history.merge(report)
--- a/tests/forwarding/test_restraints.py
+++ b/tests/forwarding/test_restraints.py
@@ -75,11 +75,11 @@
 
     async def test(known, clock):
         known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=3.0))
-        known.told(notices.Terms("s1", 1.5), is_news=False)
+        known.apply_terms(notices.Terms("s1", 1.5), is_news=False)
         assert known.rate_limit_per_s("s1") == 1.5
-        known.told(notices.Terms("s1", 4.0), is_news=False)
+        known.apply_terms(notices.Terms("s1", 4.0), is_news=False)
         assert known.rate_limit_per_s("s1") == 1.5
-        known.told(notices.Terms("s1", None), is_news=False)
+        known.apply_terms(notices.Terms("s1", None), is_news=False)
         assert known.rate_limit_per_s("s1") == 1.5
 
     _run(test)
@@ -88,10 +88,10 @@
 def test_news_of_another_instance_count_as_they_are():
     async def test(known, clock):
         known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=3.0))
-        assert known.told(notices.Terms("s1", 4.0), is_news=True)
-        assert not known.told(notices.Terms("s1", 4.0), is_news=True)
+        assert known.apply_terms(notices.Terms("s1", 4.0), is_news=True)
+        assert not known.apply_terms(notices.Terms("s1", 4.0), is_news=True)
         assert known.rate_limit_per_s("s1") == 4.0
-        known.told(notices.Terms("s1"), is_news=True)
+        known.apply_terms(notices.Terms("s1"), is_news=True)
         assert known.terms == ()
 
     _run(test)
