--- a/src/jujubewharf/forwarding/restraints.py
+++ b/src/jujubewharf/forwarding/restraints.py
@@ -65,7 +65,7 @@
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
-        self.on_news: Callable[[notices.Terms], None] = _ignore
+        self.on_terms_changed: Callable[[notices.Terms], None] = _ignore
         self.on_leaving: Callable[[], None] = lambda: None
         self.is_registered: Callable[[str], bool] = lambda name: True
         self._clock = clock
@@ -93,7 +93,7 @@
             self._set_terms(state, terms)
             _log(terms, told_by="answer", backoff_ms=notice.backoff_ms)
         if is_changed:
-            self.on_news(terms)
+            self.on_terms_changed(terms)
 
     def apply_terms(self, terms: notices.Terms, *, is_news: bool) -> bool:
         """Applies terms that another instance has sent.
--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -57,7 +57,7 @@
         self._rng = rng
         self._role = fleets.Role.ALONE
         self._limiter = limits.EndpointRateLimiter(rng.random)
-        restraints.on_news = self._broadcast
+        restraints.on_terms_changed = self._broadcast
 
     async def take(self, endpoint: str) -> bool:
         """Takes a permit for one request; see ``limits.Permits``."""
--- a/tests/forwarding/test_restraints.py
+++ b/tests/forwarding/test_restraints.py
@@ -113,7 +113,7 @@
 def test_only_news_are_told_on():
     async def test(known, clock):
         told = []
-        known.on_news = told.append
+        known.on_terms_changed = told.append
         for limit in (1.5, 1.5, 2.0):
             known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=limit))
             await clock.sleep_ms(100.0)
