--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -120,7 +120,7 @@
         self.source = forwarder.ActiveConfiguration()
         self.restraints = restraints.Restraints(clock)
         self.registry = registry.Registry(clock, self.restraints.is_leaving)
-        self.restraints.on_leaving = self.registry.handle_drain_notice
+        self.restraints.on_drain_notice = self.registry.handle_drain_notice
         self.restraints.is_registered = self.registry.is_registered
         adapters.backends.listen(self.restraints.apply_notice)
         self.share = sharing.FleetShare(
--- a/src/jujubewharf/forwarding/restraints.py
+++ b/src/jujubewharf/forwarding/restraints.py
@@ -66,7 +66,7 @@
 
     def __init__(self, clock: clocks.Clock) -> None:
         self.on_terms_changed: Callable[[notices.Terms], None] = _ignore
-        self.on_leaving: Callable[[], None] = lambda: None
+        self.on_drain_notice: Callable[[], None] = lambda: None
         self.is_registered: Callable[[str], bool] = lambda name: True
         self._clock = clock
         self._by_name: dict[str, _EndpointState] = {}
@@ -244,7 +244,7 @@
             self._remove_unregistered()
         self._by_name[terms.endpoint] = state
         if begins_to_leave:
-            self.on_leaving()
+            self.on_drain_notice()
 
     def _remove_unregistered(self) -> None:
         oldest_ms = self._clock.now_ms() - _RETENTION_MS
