--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -244,7 +244,7 @@
 
     async def _accepts_prefill(self, reader: resources.Endpoint) -> bool:
         """Returns whether an engine accepts a prefill request at the moment."""
-        if self._restraints.must_wait(reader.name):
+        if self._restraints.is_deferred(reader.name):
             return False
         if not await self._limits.take(reader.name):
             return False
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -314,7 +314,7 @@
         """Returns whether an endpoint accepts no requests at the moment."""
         if not self.registry.takes_work(name):
             return True
-        return self.restraints.must_wait(name)
+        return self.restraints.is_deferred(name)
 
     def _limit_share(self) -> float:
         """Returns this instance's share of rate limits without a leader."""
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -210,7 +210,7 @@
         for engine in engines:
             if engine.can_decode:
                 standing = self._standing(engine, tokens)
-                if self._restraints.must_wait(engine.name):
+                if self._restraints.is_deferred(engine.name):
                     standing = Availability.DEFERRED
                 names_by_standing.setdefault(standing.value, []).append(
                     engine.name
--- a/src/jujubewharf/forwarding/restraints.py
+++ b/src/jujubewharf/forwarding/restraints.py
@@ -139,7 +139,7 @@
 
     def waiting_names(self) -> frozenset[str]:
         """Returns the endpoints that must not be called now."""
-        return frozenset(filter(self.must_wait, self._by_name))
+        return frozenset(filter(self.is_deferred, self._by_name))
 
     def is_leaving(self, name: str) -> bool:
         """Returns whether an endpoint has sent a drain notice."""
@@ -177,7 +177,7 @@
         state.deferred_until_ms = self._clock.now_ms() + wait_ms
         state.deferred_for_ms = wait_ms
 
-    def must_wait(self, name: str) -> bool:
+    def is_deferred(self, name: str) -> bool:
         """Returns whether an endpoint must not be called now."""
         return self._wait_ms(name) > 0.0
 
--- a/tests/forwarding/test_restraints.py
+++ b/tests/forwarding/test_restraints.py
@@ -105,7 +105,7 @@
         assert known.wait_ms(["s1", "s2"]) is None
         await clock.sleep_ms(100.0)
         known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=50.0))
-        assert not known.must_wait("s1")
+        assert not known.is_deferred("s1")
 
     _run(test)
 
