--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -169,7 +169,7 @@
         """
         # Looked up once per call: most fleets have none, while hundreds of
         # engines are ranked for each request.
-        waiting = self._restraints.waiting_names()
+        waiting = self._restraints.deferred_names()
         limited = self._restraints.limited_names()
         candidates = [
             engine
@@ -227,7 +227,7 @@
             preferred_domain: Failure domain of the engine that will fetch the
                 result; transfers within a domain are faster and cheaper.
         """
-        waiting = self._restraints.waiting_names()
+        waiting = self._restraints.deferred_names()
         candidates = [
             engine
             for engine in engines
--- a/src/jujubewharf/forwarding/restraints.py
+++ b/src/jujubewharf/forwarding/restraints.py
@@ -137,7 +137,7 @@
         """Returns the endpoints that have a rate limit."""
         return frozenset(filter(self.is_limited, self._by_name))
 
-    def waiting_names(self) -> frozenset[str]:
+    def deferred_names(self) -> frozenset[str]:
         """Returns the endpoints that must not be called now."""
         return frozenset(filter(self.is_deferred, self._by_name))
 
