--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -133,7 +133,7 @@
         after_ms = self._come_back.next_retry_after_ms(
             run.service,
             free_in_ms=wait_ms,
-            interval_ms=self._restraints.apart_ms(names),
+            interval_ms=self._restraints.request_interval_ms(names),
             max_ms=patience_ms * retry_after.MAX_TIMEOUT_SHARE,
         )
         return run.failure("all endpoints deferred", retry_after_ms=after_ms)
--- a/src/jujubewharf/forwarding/restraints.py
+++ b/src/jujubewharf/forwarding/restraints.py
@@ -190,7 +190,7 @@
         first_ms = min(map(self._wait_ms, names), default=0.0)
         return first_ms if first_ms > 0.0 else None
 
-    def apart_ms(self, names: Iterable[str]) -> float:
+    def request_interval_ms(self, names: Iterable[str]) -> float:
         """Returns the mean interval of requests to endpoints with rate limits.
 
         Each endpoint accepts about one request per deferral; 0 if none is
