--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -88,7 +88,7 @@
         budget: budgets.FleetRetryBudget,
         observations: observed.Observer,
         limits: all_limits.Permits,
-        restraints: all_restraints.Restraints,
+        restraints: all_restraints.Backpressure,
         clock: clocks.Clock,
     ) -> None:
         self._limits = limits
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -118,7 +118,7 @@
         self._leadership: leadership.Leadership | None = None
         self.admission = shutdown.AdmissionState()
         self.source = forwarder.ActiveConfiguration()
-        self.restraints = restraints.Restraints(clock)
+        self.restraints = restraints.Backpressure(clock)
         self.registry = registry.Registry(clock, self.restraints.is_leaving)
         self.restraints.on_drain_notice = self.registry.handle_drain_notice
         self.restraints.is_registered = self.registry.is_registered
--- a/src/jujubewharf/forwarding/limits.py
+++ b/src/jujubewharf/forwarding/limits.py
@@ -31,7 +31,7 @@
         """Takes a permit for one request.
 
         Returns:
-            Whether a permit was available. If not, ``restraints.Restraints``
+            Whether a permit was available. If not, ``restraints.Backpressure``
             defers the endpoint until a retry is worthwhile.
         """
         ...
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -100,7 +100,7 @@
         lengths: margins.ResponseLengths,
         quotas: all_quotas.Quotas,
         limits: all_limits.Permits,
-        restraints: all_restraints.Restraints,
+        restraints: all_restraints.Backpressure,
         counts_all: Callable[[], bool],
         clock: clocks.Clock,
         rng: random.Random,
@@ -231,7 +231,7 @@
     def _available_in_ms(self, run: runs.Run) -> float | None:
         """Returns the time until an engine may be asked, or ``None`` for now.
 
-        Covers rate limits and backoffs; see ``Restraints``.
+        Covers rate limits and backoffs; see ``Backpressure``.
         """
         if not run.backoff_until_ms and not self._restraints.has_any:
             return None
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -56,7 +56,7 @@
         chooser: plain_endpoints.EndpointChooser,
         budget: budgets.FleetRetryBudget,
         limits: all_limits.Permits,
-        restraints: all_restraints.Restraints,
+        restraints: all_restraints.Backpressure,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -107,7 +107,7 @@
     def __init__(
         self,
         cost_estimates: costs.CostEstimates,
-        restraints: all_restraints.Restraints,
+        restraints: all_restraints.Backpressure,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
--- a/src/jujubewharf/forwarding/restraints.py
+++ b/src/jujubewharf/forwarding/restraints.py
@@ -47,7 +47,7 @@
     """Default callback that does nothing."""
 
 
-class Restraints:
+class Backpressure:
     """Stores the restraints of endpoints and tells which must not be called.
 
     A drain notice is never withdrawn: the next start of the endpoint is a
--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -45,7 +45,7 @@
     def __init__(
         self,
         fleet: fleets.Fleet,
-        restraints: all_restraints.Restraints,
+        restraints: all_restraints.Backpressure,
         share: Callable[[], float],
         clock: clocks.Clock,
         rng: random.Random,
--- a/src/jujubewharf/leadership/knowledge.py
+++ b/src/jujubewharf/leadership/knowledge.py
@@ -20,7 +20,7 @@
         history: Engines that crashed while running which requests.
     """
 
-    restraints: restraints.Restraints
+    restraints: restraints.Backpressure
     history: crashes.CrashHistory
 
     def greeting(self) -> tuple[messages.Message, ...]:
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -22,7 +22,7 @@
         clock = clocks.Clock(wall_origin_ms=0.0)
         pool = pools.EnginePool(
             costs.CostEstimates(),
-            restraints.Restraints(clock),
+            restraints.Backpressure(clock),
             clock,
             random.Random(1),
         )
--- a/tests/forwarding/test_restraints.py
+++ b/tests/forwarding/test_restraints.py
@@ -15,7 +15,7 @@
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         await clock.sleep_ms(1_000.0)
-        await test(restraints.Restraints(clock), clock)
+        await test(restraints.Backpressure(clock), clock)
 
     virtual_time.run(main())
 
