--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -13,6 +13,7 @@
 from jujubewharf import clock as clocks
 from jujubewharf.configuration import resources
 from jujubewharf.engines import client
+from jujubewharf.forwarding import backpressure as all_restraints
 from jujubewharf.forwarding import budget as budgets
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import decisions
@@ -21,7 +22,6 @@
 from jujubewharf.forwarding import places as all_places
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import registry as registries
-from jujubewharf.forwarding import restraints as all_restraints
 from jujubewharf.forwarding import runs
 
 # Maximum number of prefill engines tried per request. If all fail, the decode
@@ -88,11 +88,11 @@
         budget: budgets.FleetRetryBudget,
         observations: observed.Observer,
         limits: all_limits.Permits,
-        restraints: all_restraints.Backpressure,
+        backpressure: all_restraints.Backpressure,
         clock: clocks.Clock,
     ) -> None:
         self._limits = limits
-        self._restraints = restraints
+        self._restraints = backpressure
         self._backends = backends
         self._registry = registry
         self._places = places
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -29,7 +29,7 @@
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import quarantine
 from jujubewharf.forwarding import registry
-from jujubewharf.forwarding import restraints
+from jujubewharf.forwarding import backpressure
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import settings as all_settings
 from jujubewharf.forwarding import sharing
@@ -118,11 +118,11 @@
         self._leadership: leadership.Leadership | None = None
         self.admission = shutdown.AdmissionState()
         self.source = forwarder.ActiveConfiguration()
-        self.restraints = restraints.Backpressure(clock)
-        self.registry = registry.Registry(clock, self.restraints.is_leaving)
-        self.restraints.on_drain_notice = self.registry.handle_drain_notice
-        self.restraints.is_registered = self.registry.is_registered
-        adapters.backends.listen(self.restraints.apply_notice)
+        self.backpressure = backpressure.Backpressure(clock)
+        self.registry = registry.Registry(clock, self.backpressure.is_leaving)
+        self.backpressure.on_drain_notice = self.registry.handle_drain_notice
+        self.backpressure.is_registered = self.registry.is_registered
+        adapters.backends.listen(self.backpressure.apply_notice)
         self.share = sharing.FleetShare(
             adapters.group, clock, default_share=_ISOLATED_SHARE
         )
@@ -139,7 +139,7 @@
         self.fleet = fleets.Fleet(
             self.registry,
             self.work,
-            knowledge.Knowledge(self.restraints, self.crashes),
+            knowledge.Knowledge(self.backpressure, self.crashes),
             lambda: self._endpoints.offset,
             clock,
             in_force_within_ms=settings.store.in_force_within_ms,
@@ -147,7 +147,7 @@
             count_within_ms=settings.retries.window_s * clocks.MS_PER_S,
         )
         self.endpoint_limits = fleet_limits.FleetLimits(
-            self.fleet, self.restraints, self._limit_share, clock, rng
+            self.fleet, self.backpressure, self._limit_share, clock, rng
         )
         self.fleet_crashes = fleet_crashes.FleetCrashes(
             self.fleet, self.crashes, clock
@@ -204,10 +204,10 @@
             self._settings.domain,
             clock,
             is_leaving=self._rejects_work,
-            is_limited=self.restraints.is_limited,
+            is_limited=self.backpressure.is_limited,
         )
         self.registry.listen(chooser.set_endpoints)
-        engines = pool.EnginePool(self.work, self.restraints, clock, rng)
+        engines = pool.EnginePool(self.work, self.backpressure, clock, rng)
         lengths = margins.ResponseLengths()
         self.registry.listen(engines.update_engines)
         self._orders = ordering.RoleOrders(
@@ -219,7 +219,7 @@
             self._services,
             clock,
             on_accepted=engines.record_role_change,
-            is_backing_off=self.restraints.is_backing_off,
+            is_backing_off=self.backpressure.is_backing_off,
         )
         places = placement.Placement(
             backends,
@@ -229,7 +229,7 @@
             lengths,
             self.quotas,
             self.endpoint_limits,
-            self.restraints,
+            self.backpressure,
             lambda: self.fleet.has_placed_all,
             clock,
             rng,
@@ -272,7 +272,7 @@
             self.budget,
             observed,
             self.endpoint_limits,
-            self.restraints,
+            self.backpressure,
             clock,
         )
         return forwarder.Forwarder(
@@ -283,7 +283,7 @@
                 chooser,
                 self.budget,
                 self.endpoint_limits,
-                self.restraints,
+                self.backpressure,
                 clock,
                 rng,
             ),
@@ -314,7 +314,7 @@
         """Returns whether an endpoint accepts no requests at the moment."""
         if not self.registry.takes_work(name):
             return True
-        return self.restraints.is_deferred(name)
+        return self.backpressure.is_deferred(name)
 
     def _limit_share(self) -> float:
         """Returns this instance's share of rate limits without a leader."""
--- a/src/jujubewharf/forwarding/limits.py
+++ b/src/jujubewharf/forwarding/limits.py
@@ -31,8 +31,9 @@
         """Takes a permit for one request.
 
         Returns:
-            Whether a permit was available. If not, ``restraints.Backpressure``
-            defers the endpoint until a retry is worthwhile.
+            Whether a permit was available. If not,
+            ``backpressure.Backpressure`` defers the endpoint until a retry is
+            worthwhile.
         """
         ...
 
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -19,6 +19,7 @@
 from jujubewharf import errors
 from jujubewharf.configuration import resources
 from jujubewharf.engines import client
+from jujubewharf.forwarding import backpressure as all_restraints
 from jujubewharf.forwarding import costs
 from jujubewharf.forwarding import decisions
 from jujubewharf.forwarding import limits as all_limits
@@ -28,7 +29,6 @@
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import quotas as all_quotas
 from jujubewharf.forwarding import registry as registries
-from jujubewharf.forwarding import restraints as all_restraints
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
 from jujubewharf.forwarding import wait_policy
@@ -100,7 +100,7 @@
         lengths: margins.ResponseLengths,
         quotas: all_quotas.Quotas,
         limits: all_limits.Permits,
-        restraints: all_restraints.Backpressure,
+        backpressure: all_restraints.Backpressure,
         counts_all: Callable[[], bool],
         clock: clocks.Clock,
         rng: random.Random,
@@ -112,7 +112,7 @@
         self._lengths = lengths
         self._quotas = quotas
         self._limits = limits
-        self._restraints = restraints
+        self._restraints = backpressure
         self._counts_all = counts_all
         self._clock = clock
         self._rng = rng
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -18,7 +18,7 @@
 from jujubewharf.forwarding import limits as all_limits
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import registry as registries
-from jujubewharf.forwarding import restraints as all_restraints
+from jujubewharf.forwarding import backpressure as all_restraints
 from jujubewharf.forwarding import retry_after
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
@@ -56,7 +56,7 @@
         chooser: plain_endpoints.EndpointChooser,
         budget: budgets.FleetRetryBudget,
         limits: all_limits.Permits,
-        restraints: all_restraints.Backpressure,
+        backpressure: all_restraints.Backpressure,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -66,7 +66,7 @@
         self._chooser = chooser
         self._budget = budget
         self._limits = limits
-        self._restraints = restraints
+        self._restraints = backpressure
         self._clock = clock
 
     async def begin(
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -13,8 +13,8 @@
 from jujubewharf import clock as clocks
 from jujubewharf.configuration import resources
 from jujubewharf.engines import client
+from jujubewharf.forwarding import backpressure as all_restraints
 from jujubewharf.forwarding import costs
-from jujubewharf.forwarding import restraints as all_restraints
 from jujubewharf.routing import breaker as breakers
 
 # Time for which an engine is skipped after it refused a request because it has
@@ -107,12 +107,12 @@
     def __init__(
         self,
         cost_estimates: costs.CostEstimates,
-        restraints: all_restraints.Backpressure,
+        backpressure: all_restraints.Backpressure,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
         self._cost_estimates = cost_estimates
-        self._restraints = restraints
+        self._restraints = backpressure
         self._clock = clock
         self._rng = rng
         self._states: dict[str, EngineState] = {}
--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -18,9 +18,9 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf.engines import notices
+from jujubewharf.forwarding import backpressure as all_restraints
 from jujubewharf.forwarding import beliefs
 from jujubewharf.forwarding import limits
-from jujubewharf.forwarding import restraints as all_restraints
 from jujubewharf.leadership import fleet as fleets
 from jujubewharf.peers import limit_messages
 
@@ -45,19 +45,19 @@
     def __init__(
         self,
         fleet: fleets.Fleet,
-        restraints: all_restraints.Backpressure,
+        backpressure: all_restraints.Backpressure,
         share: Callable[[], float],
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
         self._fleet = fleet
-        self._restraints = restraints
+        self._restraints = backpressure
         self._share = share
         self._clock = clock
         self._rng = rng
         self._role = fleets.Role.ALONE
         self._limiter = limits.EndpointRateLimiter(rng.random)
-        restraints.on_terms_changed = self._broadcast
+        backpressure.on_terms_changed = self._broadcast
 
     async def take(self, endpoint: str) -> bool:
         """Takes a permit for one request; see ``limits.Permits``."""
--- a/src/jujubewharf/leadership/knowledge.py
+++ b/src/jujubewharf/leadership/knowledge.py
@@ -4,8 +4,8 @@
 
 import dataclasses
 
+from jujubewharf.forwarding import backpressure
 from jujubewharf.forwarding import crashes
-from jujubewharf.forwarding import restraints
 from jujubewharf.peers import crash_messages
 from jujubewharf.peers import limit_messages
 from jujubewharf.peers import messages
@@ -20,12 +20,14 @@
         history: Engines that crashed while running which requests.
     """
 
-    restraints: restraints.Backpressure
+    backpressure: backpressure.Backpressure
     history: crashes.CrashHistory
 
     def greeting(self) -> tuple[messages.Message, ...]:
         """Returns the messages that each side of a new link sends first."""
-        terms = limit_messages.TermsKnown(self.restraints.terms, is_news=False)
+        terms = limit_messages.TermsKnown(
+            self.backpressure.terms, is_news=False
+        )
         reports = self.history.reports()
         if not reports:
             return (terms,)
@@ -36,7 +38,9 @@
         match message:
             case limit_messages.TermsKnown():
                 for terms in message.terms:
-                    self.restraints.apply_terms(terms, is_news=message.is_news)
+                    self.backpressure.apply_terms(
+                        terms, is_news=message.is_news
+                    )
             case crash_messages.CrashesKnown():
                 for report in message.reports:
                     self.history.merge(report)
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -341,7 +341,7 @@
         self, number: int, run: runs.Run
     ) -> leader_messages.PlaceAsk:
         work = run.call.work
-        backoffs_ms = self._knowledge.restraints.backoffs_ms()
+        backoffs_ms = self._knowledge.backpressure.backoffs_ms()
         return leader_messages.PlaceAsk(
             number=number,
             request_id=run.call.request_id,
--- a/tests/forwarding/test_restraints.py
+++ b/tests/forwarding/test_backpressure.py
@@ -5,7 +5,7 @@
 from jujubewharf import clock as clocks
 from jujubewharf.engines import notices
 from jujubewharf.experiments import virtual_time
-from jujubewharf.forwarding import restraints
+from jujubewharf.forwarding import backpressure
 from tests.forwarding import deployments
 
 ENDPOINT = deployments.shop("s1").endpoint
@@ -15,7 +15,7 @@
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         await clock.sleep_ms(1_000.0)
-        await test(restraints.Backpressure(clock), clock)
+        await test(backpressure.Backpressure(clock), clock)
 
     virtual_time.run(main())
 
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -7,9 +7,9 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf.experiments import virtual_time
+from jujubewharf.forwarding import backpressure
 from jujubewharf.forwarding import costs
 from jujubewharf.forwarding import pool as pools
-from jujubewharf.forwarding import restraints
 from tests.forwarding import deployments
 
 MEMORY = 40_000
@@ -22,7 +22,7 @@
         clock = clocks.Clock(wall_origin_ms=0.0)
         pool = pools.EnginePool(
             costs.CostEstimates(),
-            restraints.Backpressure(clock),
+            backpressure.Backpressure(clock),
             clock,
             random.Random(1),
         )
--- a/tests/leadership/test_backoff.py
+++ b/tests/leadership/test_backoff.py
@@ -109,7 +109,7 @@
             follower = next(n for n in NAMES if n != world.leader)
             # The follower received a backoff for its own request.
             instance = world.instances[follower]
-            instance.restraints.apply_notice(
+            instance.backpressure.apply_notice(
                 backends[1].endpoint,
                 notices.Notice(world.clock.now_ms(), backoff_ms=BACKOFF_MS),
             )
