--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -16,6 +16,7 @@
 from jujubewharf.forwarding import budget
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import costs
+from jujubewharf.forwarding import crash_detection
 from jujubewharf.forwarding import crashes
 from jujubewharf.forwarding import following
 from jujubewharf.forwarding import forwarder
@@ -34,7 +35,6 @@
 from jujubewharf.forwarding import settings as all_settings
 from jujubewharf.forwarding import sharing
 from jujubewharf.forwarding import stream
-from jujubewharf.forwarding import watched_backends
 from jujubewharf.forwarding import watched_places
 from jujubewharf.leadership import crash_services
 from jujubewharf.leadership import fleet as fleets
@@ -258,7 +258,7 @@
         request_quarantine = quarantine.Quarantine(
             self.crashes, self.fleet_crashes
         )
-        crash_detecting_backends = watched_backends.WatchedBackends(
+        crash_detecting_backends = crash_detection.WatchedBackends(
             backends, self.crashes
         )
         sender = attempts.StreamAttempts(
