--- a/src/jujubewharf/forwarding/crash_detection.py
+++ b/src/jujubewharf/forwarding/crash_detection.py
@@ -14,7 +14,7 @@
 from jujubewharf.forwarding import ports
 
 
-class WatchedBackends:
+class CrashDetectingBackends:
     """Wraps a ``ports.Backends`` to record crashes.
 
     All requests of callers pass through this class, so that each crash is
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -258,7 +258,7 @@
         request_quarantine = quarantine.Quarantine(
             self.crashes, self.fleet_crashes
         )
-        crash_detecting_backends = crash_detection.WatchedBackends(
+        crash_detecting_backends = crash_detection.CrashDetectingBackends(
             backends, self.crashes
         )
         sender = attempts.StreamAttempts(
