--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -29,13 +29,13 @@
 from jujubewharf.forwarding import pool
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import quarantine
+from jujubewharf.forwarding import quarantine_waits
 from jujubewharf.forwarding import registry
 from jujubewharf.forwarding import backpressure
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import settings as all_settings
 from jujubewharf.forwarding import sharing
 from jujubewharf.forwarding import stream
-from jujubewharf.forwarding import watched_places
 from jujubewharf.leadership import crash_services
 from jujubewharf.leadership import fleet as fleets
 from jujubewharf.leadership import fleet_crashes
@@ -264,7 +264,7 @@
         sender = attempts.StreamAttempts(
             crash_detecting_backends,
             self.registry,
-            watched_places.WatchedPlaces(
+            quarantine_waits.WatchedPlaces(
                 led.FleetPlaces(self.fleet.link, places),
                 request_quarantine,
                 self.crashes,
