--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -264,7 +264,7 @@
         sender = attempts.StreamAttempts(
             crash_detecting_backends,
             self.registry,
-            quarantine_waits.WatchedPlaces(
+            quarantine_waits.QuarantineAwarePlaces(
                 led.FleetPlaces(self.fleet.link, places),
                 request_quarantine,
                 self.crashes,
--- a/src/jujubewharf/forwarding/quarantine_waits.py
+++ b/src/jujubewharf/forwarding/quarantine_waits.py
@@ -14,7 +14,7 @@
 from jujubewharf.forwarding import runs
 
 
-class WatchedPlaces:
+class QuarantineAwarePlaces:
     """Wraps a ``places.Places`` to end the wait of quarantined requests.
 
     A request may wait in the queue for seconds while other tries of it crash
