--- a/tests/forwarding/test_refusals.py
+++ b/tests/forwarding/test_error_responses.py
@@ -5,12 +5,12 @@
 import pytest
 
 from jujubewharf import errors
-from jujubewharf.forwarding import refusals
+from jujubewharf.forwarding import error_responses
 
 
 @pytest.mark.parametrize("kind", list(errors.ErrorKind))
 @pytest.mark.parametrize("ran", list(errors.Ran))
 def test_promises_are_kept(kind, ran):
-    status = refusals.status_of(errors.WharfError(kind, ran=ran))
-    if status in refusals.NOT_RUN_STATUSES:
+    status = error_responses.status_of(errors.WharfError(kind, ran=ran))
+    if status in error_responses.NOT_RUN_STATUSES:
         assert ran is errors.Ran.NO
--- a/tests/leadership/test_crashing_requests.py
+++ b/tests/leadership/test_crashing_requests.py
@@ -13,7 +13,7 @@
 import pytest
 
 from jujubewharf import errors
-from jujubewharf.forwarding import refusals
+from jujubewharf.forwarding import error_responses
 from tests.forwarding import deployments
 
 shop = deployments.shop
@@ -129,8 +129,8 @@
                 assert answer.error is not None
                 assert answer.error.kind is errors.ErrorKind.QUARANTINED
                 assert answer.error.ran is not errors.Ran.NO
-                assert refusals.status_of(answer.error) == 500
-                assert refusals.headers_of(answer.error) == {}
+                assert error_responses.status_of(answer.error) == 500
+                assert error_responses.headers_of(answer.error) == {}
                 assert answer.took_ms < 50.0
 
     deployments.run(main())
