--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -18,7 +18,6 @@
 from jujubewharf.forwarding import costs
 from jujubewharf.forwarding import crash_detection
 from jujubewharf.forwarding import crashes
-from jujubewharf.forwarding import following
 from jujubewharf.forwarding import forwarder
 from jujubewharf.forwarding import lease as leases
 from jujubewharf.forwarding import margins
@@ -35,6 +34,7 @@
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import settings as all_settings
 from jujubewharf.forwarding import sharing
+from jujubewharf.forwarding import store_followers
 from jujubewharf.forwarding import stream
 from jujubewharf.leadership import crash_services
 from jujubewharf.leadership import fleet as fleets
@@ -177,7 +177,7 @@
             else leases.GroupLease(peers.leaders, clock, name="leaders")
         )
         self._forwarder = self._make_forwarder(adapters, rng)
-        self._configurations = following.configurations(
+        self._configurations = store_followers.configurations(
             adapters.configurations,
             self.fleet,
             settings.store,
@@ -185,7 +185,7 @@
             rng,
             on_page=self._on_configurations,
         )
-        self._endpoints = following.endpoints(
+        self._endpoints = store_followers.endpoints(
             adapters.endpoints,
             self.fleet,
             settings.store,
