--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -177,7 +177,7 @@
             else leases.GroupLease(peers.leaders, clock, name="leaders")
         )
         self._forwarder = self._make_forwarder(adapters, rng)
-        self._configurations = store_followers.configurations(
+        self._configurations = store_followers.new_configuration_follower(
             adapters.configurations,
             self.fleet,
             settings.store,
--- a/src/jujubewharf/forwarding/store_followers.py
+++ b/src/jujubewharf/forwarding/store_followers.py
@@ -31,7 +31,7 @@
 _LEADER_ENDPOINT_PAUSE_SHARE = 0.2
 
 
-def configurations(
+def new_configuration_follower(
     table: tables.Table[_Configuration],
     fleet: fleets.Fleet,
     store: all_settings.StoreSettings,
