--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -185,7 +185,7 @@
             rng,
             on_page=self._on_configurations,
         )
-        self._endpoints = store_followers.endpoints(
+        self._endpoints = store_followers.new_endpoint_follower(
             adapters.endpoints,
             self.fleet,
             settings.store,
--- a/src/jujubewharf/forwarding/store_followers.py
+++ b/src/jujubewharf/forwarding/store_followers.py
@@ -66,7 +66,7 @@
     )
 
 
-def endpoints(
+def new_endpoint_follower(
     table: tables.Table[resources.Endpoint],
     fleet: fleets.Fleet,
     store: all_settings.StoreSettings,
