--- a/src/jujubewharf/forwarding/follower.py
+++ b/src/jujubewharf/forwarding/follower.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pace:
+class PollIntervals:
     """Polling parameters of a table.
 
     Attributes:
@@ -64,7 +64,7 @@
         self,
         name: str,
         table: tables.Table[T],
-        pace: Pace,
+        pace: PollIntervals,
         clock: clocks.Clock,
         rng: random.Random,
         *,
--- a/src/jujubewharf/forwarding/store_followers.py
+++ b/src/jujubewharf/forwarding/store_followers.py
@@ -51,7 +51,7 @@
         on_page: Called with each page and whether it is the whole table.
     """
     feed = fleet.feeds.configurations
-    pace = follower.Pace(
+    pace = follower.PollIntervals(
         wait_ms=store.in_force_within_ms * _CONFIGURATION_WAIT_SHARE,
         pause_ms=0.0,
     )
@@ -97,7 +97,7 @@
         )
         return store.leaving_within_ms * share
 
-    pace = follower.Pace(
+    pace = follower.PollIntervals(
         wait_ms=store.leaving_within_ms * _ENDPOINT_PAUSE_SHARE, pause_ms=0.0
     )
     return follower.TableFollower(
--- a/src/jujubewharf/leadership/crash_follower.py
+++ b/src/jujubewharf/leadership/crash_follower.py
@@ -53,7 +53,7 @@
     return follower.TableFollower(
         _TABLE,
         _TableWithoutLeader(table, fleet, clock),
-        follower.Pace(wait_ms=_LONG_POLL_MS, pause_ms=0.0),
+        follower.PollIntervals(wait_ms=_LONG_POLL_MS, pause_ms=0.0),
         clock,
         rng,
         on_page=_ReportReader(shared_crashes, clock, on_record).take,
--- a/tests/forwarding/test_follower.py
+++ b/tests/forwarding/test_follower.py
@@ -9,7 +9,7 @@
 from jujubewharf.forwarding import follower
 from jujubewharf.standins import tables
 
-PACE = follower.Pace(wait_ms=500.0, pause_ms=50.0)
+PACE = follower.PollIntervals(wait_ms=500.0, pause_ms=50.0)
 
 
 def _following(test):
