--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -61,7 +61,7 @@
         is_fetched: Whether a decode engine has fetched the result.
     """
 
-    source: calls.Source | None = None
+    source: calls.PrefillSource | None = None
     engine: resources.Endpoint | None = None
     is_fetched: bool = False
 
@@ -273,7 +273,7 @@
 
     async def _prefill(
         self, run: runs.Run, engine: resources.Endpoint
-    ) -> calls.Source:
+    ) -> calls.PrefillSource:
         assert run.call.work is not None
         tokens = run.call.work.prompt_tokens
         left_ms = run.left_ms(self._clock)
--- a/src/jujubewharf/forwarding/calls.py
+++ b/src/jujubewharf/forwarding/calls.py
@@ -96,7 +96,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Source:
+class PrefillSource:
     """Handle of a prefill result that waits on an engine to be fetched.
 
     Attributes:
@@ -125,6 +125,6 @@
     call: Call
     left_ms: float
     priority: int | None = None
-    source: Source | None = None
+    source: PrefillSource | None = None
     hold: str | None = None
     after_event: int | None = None
--- a/src/jujubewharf/forwarding/crash_detection.py
+++ b/src/jujubewharf/forwarding/crash_detection.py
@@ -78,7 +78,7 @@
 
     async def prefill(
         self, endpoint: resources.Endpoint, sending: calls.Sending
-    ) -> calls.Source:
+    ) -> calls.PrefillSource:
         """Runs prefill; see ``ports.Backends``.
 
         Raises:
--- a/src/jujubewharf/forwarding/ports.py
+++ b/src/jujubewharf/forwarding/ports.py
@@ -67,12 +67,12 @@
 
     async def prefill(
         self, endpoint: resources.Endpoint, sending: calls.Sending
-    ) -> calls.Source:
+    ) -> calls.PrefillSource:
         """Runs prefill only; the engine keeps the result for a short time."""
         ...
 
     async def drop_source(
-        self, endpoint: resources.Endpoint, source: calls.Source
+        self, endpoint: resources.Endpoint, source: calls.PrefillSource
     ) -> None:
         """Frees a prefill result that will not be fetched."""
         ...
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -164,7 +164,7 @@
 
     async def prefill(
         self, endpoint: resources.Endpoint, sending: calls.Sending
-    ) -> calls.Source:
+    ) -> calls.PrefillSource:
         """Reads a prompt; see ``ports.Backends``."""
         backend = self._reached(endpoint)
         if backend.endpoint.role is not resources.Role.PREFILL:
@@ -182,10 +182,10 @@
             raise backend.error(client.EngineFault.LOST, "lost")
         handle = self._name("source")
         self._sources.add(handle)
-        return calls.Source(endpoint.address, handle)
+        return calls.PrefillSource(endpoint.address, handle)
 
     async def drop_source(
-        self, endpoint: resources.Endpoint, source: calls.Source
+        self, endpoint: resources.Endpoint, source: calls.PrefillSource
     ) -> None:
         """Frees a prefill result; see ``ports.Backends``."""
         self._reached(endpoint)
--- a/tests/users_platform/test_engines.py
+++ b/tests/users_platform/test_engines.py
@@ -62,7 +62,7 @@
     sending = calls.Sending(
         engine_calls.call(),
         500.0,
-        source=calls.Source("10.0.0.1:80", "h1"),
+        source=calls.PrefillSource("10.0.0.1:80", "h1"),
         hold="hold1",
         after_event=12,
     )
