--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -121,7 +121,7 @@
             prefilled = await exit_stack.enter_async_context(
                 self._prefill_result(run, place)
             )
-            sending = calls.Sending(
+            sending = calls.OutboundRequest(
                 run.call,
                 run.left_ms(self._clock),
                 source=prefilled.source,
@@ -149,9 +149,9 @@
         self,
         run: runs.Run,
         error: client.EngineError,
-        sending: calls.Sending,
+        sending: calls.OutboundRequest,
         prefilled: _Prefilled,
-    ) -> calls.Sending:
+    ) -> calls.OutboundRequest:
         """Returns a replacement for a request that the engine refused.
 
         An engine that refuses despite its reservation is either changing roles
@@ -287,7 +287,7 @@
         )
         try:
             source = await self._backends.prefill(
-                engine, calls.Sending(run.call, left_ms)
+                engine, calls.OutboundRequest(run.call, left_ms)
             )
         except client.EngineError as error:
             self._record_failure(error)
@@ -328,7 +328,7 @@
         exit_stack: contextlib.AsyncExitStack,
         run: runs.Run,
         engine: resources.Endpoint,
-        sending: calls.Sending,
+        sending: calls.OutboundRequest,
     ) -> calls.Reply:
         if not self._registry.takes_work(engine.name):
             # The engine started to drain during prefill.
--- a/src/jujubewharf/forwarding/calls.py
+++ b/src/jujubewharf/forwarding/calls.py
@@ -109,7 +109,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sending:
+class OutboundRequest:
     """One request to one engine or endpoint.
 
     Attributes:
--- a/src/jujubewharf/forwarding/crash_detection.py
+++ b/src/jujubewharf/forwarding/crash_detection.py
@@ -42,7 +42,7 @@
 
     @contextlib.asynccontextmanager
     async def send(
-        self, endpoint: resources.Endpoint, sending: calls.Sending
+        self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
     ) -> AsyncIterator[calls.Reply]:
         """Sends a request; see ``ports.Backends``.
 
@@ -77,7 +77,7 @@
             raise
 
     async def prefill(
-        self, endpoint: resources.Endpoint, sending: calls.Sending
+        self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
     ) -> calls.PrefillSource:
         """Runs prefill; see ``ports.Backends``.
 
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -190,7 +190,7 @@
         endpoint: resources.Endpoint,
         timeout_ms: float | None,
     ) -> calls.Reply:
-        sending = calls.Sending(
+        sending = calls.OutboundRequest(
             run.call,
             run.left_ms(self._clock),
             after_event=run.call.last_event,
--- a/src/jujubewharf/forwarding/ports.py
+++ b/src/jujubewharf/forwarding/ports.py
@@ -60,13 +60,13 @@
         ...
 
     def send(
-        self, endpoint: resources.Endpoint, sending: calls.Sending
+        self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
     ) -> contextlib.AbstractAsyncContextManager[calls.Reply]:
         """Sends a request; leaving the context cancels it on the engine."""
         ...
 
     async def prefill(
-        self, endpoint: resources.Endpoint, sending: calls.Sending
+        self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
     ) -> calls.PrefillSource:
         """Runs prefill only; the engine keeps the result for a short time."""
         ...
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -83,7 +83,7 @@
 
     @contextlib.asynccontextmanager
     async def send(
-        self, endpoint: resources.Endpoint, sending: calls.Sending
+        self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
     ) -> AsyncIterator[calls.Reply]:
         """Runs a request; see ``ports.Backends``."""
         backend = self._reached(endpoint)
@@ -132,7 +132,9 @@
             backend.held.pop(slot, None)
 
     def _check_takes_run(
-        self, backend: backend_state.StandInBackend, sending: calls.Sending
+        self,
+        backend: backend_state.StandInBackend,
+        sending: calls.OutboundRequest,
     ) -> None:
         if backend.is_changing:
             raise backend.error(client.EngineFault.REFUSED_FULL)
@@ -146,7 +148,9 @@
         self._sources.discard(handle)
 
     async def _events(
-        self, backend: backend_state.StandInBackend, sending: calls.Sending
+        self,
+        backend: backend_state.StandInBackend,
+        sending: calls.OutboundRequest,
     ) -> AsyncIterator[bytes]:
         first = (sending.after_event or 0) + 1
         for number in range(first, backend.events + 1):
@@ -163,7 +167,7 @@
                 await self._clock.sleep_ms(_ENDLESS_MS)
 
     async def prefill(
-        self, endpoint: resources.Endpoint, sending: calls.Sending
+        self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
     ) -> calls.PrefillSource:
         """Reads a prompt; see ``ports.Backends``."""
         backend = self._reached(endpoint)
@@ -296,7 +300,9 @@
         return backend
 
     def _asked(
-        self, backend: backend_state.StandInBackend, sending: calls.Sending
+        self,
+        backend: backend_state.StandInBackend,
+        sending: calls.OutboundRequest,
     ) -> float:
         """Notes that a request reached a backend, which may refuse it."""
         now_ms = self._clock.now_ms()
--- a/tests/users_platform/test_endpoint_notices.py
+++ b/tests/users_platform/test_endpoint_notices.py
@@ -19,7 +19,7 @@
     async with raw_server.serving(lambda _: [answer]) as (_, address):
         async with engine_calls.connected() as backends:
             backends.listen(lambda _, notice: told.append(notice))
-            sending = calls.Sending(engine_calls.call(), 1_000.0)
+            sending = calls.OutboundRequest(engine_calls.call(), 1_000.0)
             with contextlib.suppress(client.EngineError):
                 async with backends.send(
                     engine_calls.endpoint(address), sending
--- a/tests/users_platform/test_engines.py
+++ b/tests/users_platform/test_engines.py
@@ -21,7 +21,7 @@
 
 async def _send(script, sending=None, *, count: int = 1):
     """Sends a request; returns the server, and answers or faults."""
-    sending = sending or calls.Sending(engine_calls.call(), 1_234.9)
+    sending = sending or calls.OutboundRequest(engine_calls.call(), 1_234.9)
     found = []
     async with raw_server.serving(script) as (server, address):
         async with engine_calls.connected() as backends:
@@ -59,7 +59,7 @@
 
 
 async def test_what_the_system_sets():
-    sending = calls.Sending(
+    sending = calls.OutboundRequest(
         engine_calls.call(),
         500.0,
         source=calls.PrefillSource("10.0.0.1:80", "h1"),
@@ -74,7 +74,7 @@
 
 
 async def test_an_engine_is_told_the_account():
-    sending = calls.Sending(engine_calls.call(account="huka"), 500.0)
+    sending = calls.OutboundRequest(engine_calls.call(account="huka"), 500.0)
     server, _ = await _send(lambda r: [engine_calls.good()], sending)
     assert server.received[0].headers["tenant"] == "huka"
 
@@ -155,7 +155,7 @@
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE", "POST"])
 async def test_a_closed_connection_is_never_sent_to_twice(method):
-    sending = calls.Sending(engine_calls.call(method=method), 500.0)
+    sending = calls.OutboundRequest(engine_calls.call(method=method), 500.0)
     server, found = await _send(lambda r: [raw_server.RESET], sending)
     assert found == [FAULT.LOST]
     assert len(server.received) == 1
@@ -166,7 +166,7 @@
         pass
     async with engine_calls.connected() as backends:
         found = await _one(
-            backends, address, calls.Sending(engine_calls.call(), 500.0)
+            backends, address, calls.OutboundRequest(engine_calls.call(), 500.0)
         )
     assert found is FAULT.UNREACHABLE
 
@@ -176,7 +176,7 @@
         lambda r: [engine_calls.good(length=False), raw_server.SILENCE]
     ) as (server, address):
         async with engine_calls.connected() as backends:
-            sending = calls.Sending(engine_calls.call(), 500.0)
+            sending = calls.OutboundRequest(engine_calls.call(), 500.0)
             async with backends.send(
                 engine_calls.endpoint(address), sending
             ) as reply:
@@ -196,7 +196,9 @@
     answer = raw_server.answer(body=b'{"kvHandle":"h7","tokens":5}')
     found, received = await _ask(
         answer,
-        lambda b, e: b.prefill(e, calls.Sending(engine_calls.call(), 900.0)),
+        lambda b, e: b.prefill(
+            e, calls.OutboundRequest(engine_calls.call(), 900.0)
+        ),
     )
     assert found.handle == "h7"
     assert received.headers["stage"] == "prefill"
@@ -295,7 +297,7 @@
 
     async with raw_server.serving(script) as (_, address):
         async with engine_calls.connected() as backends:
-            sending = calls.Sending(engine_calls.call(), 2_000.0)
+            sending = calls.OutboundRequest(engine_calls.call(), 2_000.0)
             body = b""
             with pytest.raises(client.EngineError) as raised:
                 async with backends.send(
@@ -371,7 +373,7 @@
     One of them failed beside a full machine: with the daemon's bound on a
     connect, a pause of 0.3 s in it looks like an engine that isn't there.
     """
-    sending = calls.Sending(engine_calls.call(), 1_234.9)
+    sending = calls.OutboundRequest(engine_calls.call(), 1_234.9)
     async with raw_server.serving(lambda r: [engine_calls.good()]) as (
         _,
         address,
