--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -13,7 +13,7 @@
 from jujubewharf import clock as clocks
 from jujubewharf.configuration import resources
 from jujubewharf.engines import client
-from jujubewharf.forwarding import backpressure as all_restraints
+from jujubewharf.forwarding import backpressure as all_backpressure
 from jujubewharf.forwarding import budget as budgets
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import decisions
@@ -88,11 +88,11 @@
         budget: budgets.FleetRetryBudget,
         observations: observed.Observer,
         limits: all_limits.Permits,
-        backpressure: all_restraints.Backpressure,
+        backpressure: all_backpressure.Backpressure,
         clock: clocks.Clock,
     ) -> None:
         self._limits = limits
-        self._restraints = backpressure
+        self._backpressure = backpressure
         self._backends = backends
         self._registry = registry
         self._places = places
@@ -164,7 +164,7 @@
         """
         if error.fault is not client.EngineFault.REFUSED_FULL:
             raise error
-        if self._restraints.is_backing_off(error.engine):
+        if self._backpressure.is_backing_off(error.engine):
             raise error
         engine = self._registry.get(error.engine)
         if engine is None or await self._is_changing(engine):
@@ -244,11 +244,11 @@
 
     async def _accepts_prefill(self, reader: resources.Endpoint) -> bool:
         """Returns whether an engine accepts a prefill request at the moment."""
-        if self._restraints.is_deferred(reader.name):
+        if self._backpressure.is_deferred(reader.name):
             return False
         if not await self._limits.take(reader.name):
             return False
-        if self._restraints.is_backing_off(reader.name):
+        if self._backpressure.is_backing_off(reader.name):
             return False
         return self._registry.takes_work(reader.name)
 
@@ -320,7 +320,7 @@
         """
         name = place.engine.name
         has_permit = place.has_permit or await self._limits.take(name)
-        if not has_permit or self._restraints.is_backing_off(name):
+        if not has_permit or self._backpressure.is_backing_off(name):
             raise client.EngineError(client.EngineFault.DEFERRED, name)
 
     async def _send(
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -12,6 +12,7 @@
 from jujubewharf import clock as clocks
 from jujubewharf.configuration import resources
 from jujubewharf.forwarding import attempts
+from jujubewharf.forwarding import backpressure
 from jujubewharf.forwarding import beliefs
 from jujubewharf.forwarding import budget
 from jujubewharf.forwarding import calls
@@ -30,7 +31,6 @@
 from jujubewharf.forwarding import quarantine
 from jujubewharf.forwarding import quarantine_waits
 from jujubewharf.forwarding import registry
-from jujubewharf.forwarding import backpressure
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import settings as all_settings
 from jujubewharf.forwarding import sharing
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -19,7 +19,7 @@
 from jujubewharf import errors
 from jujubewharf.configuration import resources
 from jujubewharf.engines import client
-from jujubewharf.forwarding import backpressure as all_restraints
+from jujubewharf.forwarding import backpressure as all_backpressure
 from jujubewharf.forwarding import costs
 from jujubewharf.forwarding import decisions
 from jujubewharf.forwarding import limits as all_limits
@@ -100,7 +100,7 @@
         lengths: margins.ResponseLengths,
         quotas: all_quotas.Quotas,
         limits: all_limits.Permits,
-        backpressure: all_restraints.Backpressure,
+        backpressure: all_backpressure.Backpressure,
         counts_all: Callable[[], bool],
         clock: clocks.Clock,
         rng: random.Random,
@@ -112,7 +112,7 @@
         self._lengths = lengths
         self._quotas = quotas
         self._limits = limits
-        self._restraints = backpressure
+        self._backpressure = backpressure
         self._counts_all = counts_all
         self._clock = clock
         self._rng = rng
@@ -233,12 +233,12 @@
 
         Covers rate limits and backoffs; see ``Backpressure``.
         """
-        if not run.backoff_until_ms and not self._restraints.has_any:
+        if not run.backoff_until_ms and not self._backpressure.has_any:
             return None
         now_ms = self._clock.now_ms()
         waits = [
             max(
-                self._restraints.wait_ms([engine.name]) or 0.0,
+                self._backpressure.wait_ms([engine.name]) or 0.0,
                 run.backoff_until_ms.get(engine.name, now_ms) - now_ms,
             )
             for engine in self._registry.of_service(run.service)
@@ -299,7 +299,7 @@
         for engine in candidates[:max_engines]:
             # One permit covers the reservation and the run that uses it.
             # Without a permit the engine isn't asked at all.
-            is_limited = self._restraints.is_limited(engine.name)
+            is_limited = self._backpressure.is_limited(engine.name)
             if is_limited and not await self._limits.take(engine.name):
                 continue
             if not self._registry.takes_work(engine.name):
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -12,13 +12,13 @@
 from jujubewharf import errors
 from jujubewharf.configuration import resources
 from jujubewharf.engines import client
+from jujubewharf.forwarding import backpressure as all_backpressure
 from jujubewharf.forwarding import budget as budgets
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import decisions
 from jujubewharf.forwarding import limits as all_limits
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import registry as registries
-from jujubewharf.forwarding import backpressure as all_restraints
 from jujubewharf.forwarding import retry_after
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
@@ -56,7 +56,7 @@
         chooser: plain_endpoints.EndpointChooser,
         budget: budgets.FleetRetryBudget,
         limits: all_limits.Permits,
-        backpressure: all_restraints.Backpressure,
+        backpressure: all_backpressure.Backpressure,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -66,7 +66,7 @@
         self._chooser = chooser
         self._budget = budget
         self._limits = limits
-        self._restraints = backpressure
+        self._backpressure = backpressure
         self._clock = clock
 
     async def begin(
@@ -126,14 +126,14 @@
     def _no_endpoint_error(self, run: runs.Run) -> errors.WharfError:
         """Returns the error for a request that no endpoint accepts."""
         names = [e.name for e in self._registry.of_service(run.service)]
-        wait_ms = self._restraints.wait_ms(names)
+        wait_ms = self._backpressure.wait_ms(names)
         if wait_ms is None:
             return run.failure()
         patience_ms = run.call.patience_ms or run.left_ms(self._clock)
         after_ms = self._come_back.next_retry_after_ms(
             run.service,
             free_in_ms=wait_ms,
-            interval_ms=self._restraints.request_interval_ms(names),
+            interval_ms=self._backpressure.request_interval_ms(names),
             max_ms=patience_ms * retry_after.MAX_TIMEOUT_SHARE,
         )
         return run.failure("all endpoints deferred", retry_after_ms=after_ms)
--- a/src/jujubewharf/forwarding/pool.py
+++ b/src/jujubewharf/forwarding/pool.py
@@ -13,7 +13,7 @@
 from jujubewharf import clock as clocks
 from jujubewharf.configuration import resources
 from jujubewharf.engines import client
-from jujubewharf.forwarding import backpressure as all_restraints
+from jujubewharf.forwarding import backpressure as all_backpressure
 from jujubewharf.forwarding import costs
 from jujubewharf.routing import breaker as breakers
 
@@ -107,12 +107,12 @@
     def __init__(
         self,
         cost_estimates: costs.CostEstimates,
-        backpressure: all_restraints.Backpressure,
+        backpressure: all_backpressure.Backpressure,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
         self._cost_estimates = cost_estimates
-        self._restraints = backpressure
+        self._backpressure = backpressure
         self._clock = clock
         self._rng = rng
         self._states: dict[str, EngineState] = {}
@@ -169,8 +169,8 @@
         """
         # Looked up once per call: most fleets have none, while hundreds of
         # engines are ranked for each request.
-        waiting = self._restraints.deferred_names()
-        limited = self._restraints.limited_names()
+        waiting = self._backpressure.deferred_names()
+        limited = self._backpressure.limited_names()
         candidates = [
             engine
             for engine in engines
@@ -210,7 +210,7 @@
         for engine in engines:
             if engine.can_decode:
                 standing = self._standing(engine, tokens)
-                if self._restraints.is_deferred(engine.name):
+                if self._backpressure.is_deferred(engine.name):
                     standing = Availability.DEFERRED
                 names_by_standing.setdefault(standing.value, []).append(
                     engine.name
@@ -227,7 +227,7 @@
             preferred_domain: Failure domain of the engine that will fetch the
                 result; transfers within a domain are faster and cheaper.
         """
-        waiting = self._restraints.deferred_names()
+        waiting = self._backpressure.deferred_names()
         candidates = [
             engine
             for engine in engines
@@ -235,7 +235,7 @@
             and engine.name not in waiting
             and self._standing(engine) is Availability.AVAILABLE
         ]
-        limited = self._restraints.limited_names()
+        limited = self._backpressure.limited_names()
         return sorted(
             candidates,
             key=lambda e: self._prefill_rank(e, preferred_domain, limited),
--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -18,7 +18,7 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf.engines import notices
-from jujubewharf.forwarding import backpressure as all_restraints
+from jujubewharf.forwarding import backpressure as all_backpressure
 from jujubewharf.forwarding import beliefs
 from jujubewharf.forwarding import limits
 from jujubewharf.leadership import fleet as fleets
@@ -45,13 +45,13 @@
     def __init__(
         self,
         fleet: fleets.Fleet,
-        backpressure: all_restraints.Backpressure,
+        backpressure: all_backpressure.Backpressure,
         share: Callable[[], float],
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
         self._fleet = fleet
-        self._restraints = backpressure
+        self._backpressure = backpressure
         self._share = share
         self._clock = clock
         self._rng = rng
@@ -61,7 +61,7 @@
 
     async def take(self, endpoint: str) -> bool:
         """Takes a permit for one request; see ``limits.Permits``."""
-        if self._restraints.rate_limit_per_s(endpoint) is None:
+        if self._backpressure.rate_limit_per_s(endpoint) is None:
             return True
         role = self._fleet.role
         if role is fleets.Role.FOLLOWING:
@@ -72,7 +72,7 @@
             wait_ms = self.grant(endpoint)
         is_granted = wait_ms <= 0.0
         if not is_granted:
-            self._restraints.defer(endpoint, wait_ms)
+            self._backpressure.defer(endpoint, wait_ms)
         beliefs.permit_asked(is_granted=is_granted, counted_by=role.value)
         return is_granted
 
@@ -82,7 +82,7 @@
         Returns:
             0 if granted; otherwise the time in ms until a retry can succeed.
         """
-        limit_per_s = self._restraints.rate_limit_per_s(endpoint)
+        limit_per_s = self._backpressure.rate_limit_per_s(endpoint)
         if limit_per_s is None:
             return 0.0
         role = self._fleet.role
@@ -111,7 +111,7 @@
     def apply_terms(self, message: limit_messages.TermsKnown) -> None:
         """Applies terms from a follower, and broadcasts what is new."""
         for terms in message.terms:
-            if self._restraints.apply_terms(terms, is_news=message.is_news):
+            if self._backpressure.apply_terms(terms, is_news=message.is_news):
                 self._broadcast(terms)
 
     def _broadcast(self, terms: notices.Terms) -> None:
