--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -210,7 +210,7 @@
         engines = pool.EnginePool(self.work, self.backpressure, clock, rng)
         lengths = margins.ResponseLengths()
         self.registry.listen(engines.update_engines)
-        self._orders = ordering.RoleOrders(
+        self._orders = ordering.RoleController(
             self._settings.instance,
             backends,
             self.registry,
--- a/src/jujubewharf/forwarding/ordering.py
+++ b/src/jujubewharf/forwarding/ordering.py
@@ -56,7 +56,7 @@
     was_probed: bool = False
 
 
-class RoleOrders(mode.Service):
+class RoleController(mode.Service):
     """Orders role changes while this instance holds the fleet's lease.
 
     Args:
