--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -23,7 +23,6 @@
 from jujubewharf.forwarding import lease as leases
 from jujubewharf.forwarding import margins
 from jujubewharf.forwarding import observations
-from jujubewharf.forwarding import ordering
 from jujubewharf.forwarding import placement
 from jujubewharf.forwarding import plain
 from jujubewharf.forwarding import pool
@@ -31,6 +30,7 @@
 from jujubewharf.forwarding import quarantine
 from jujubewharf.forwarding import quarantine_waits
 from jujubewharf.forwarding import registry
+from jujubewharf.forwarding import role_controller
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import settings as all_settings
 from jujubewharf.forwarding import sharing
@@ -210,7 +210,7 @@
         engines = pool.EnginePool(self.work, self.backpressure, clock, rng)
         lengths = margins.ResponseLengths()
         self.registry.listen(engines.update_engines)
-        self._orders = ordering.RoleController(
+        self._orders = role_controller.RoleController(
             self._settings.instance,
             backends,
             self.registry,
