--- a/src/jujubewharf/forwarding/role_controller.py
+++ b/src/jujubewharf/forwarding/role_controller.py
@@ -122,7 +122,7 @@
             self._wanted_since_ms.pop(service, None)
             return
         estimates = self._cost_estimates()
-        changes = role_plan.changes(
+        changes = role_plan.plan_changes(
             self._registry.of_service(service),
             prefill_ms=estimates.prefill_ms,
             decode_ms=estimates.decode_ms,
--- a/src/jujubewharf/forwarding/role_plan.py
+++ b/src/jujubewharf/forwarding/role_plan.py
@@ -27,7 +27,7 @@
     role: resources.Role
 
 
-def changes(
+def plan_changes(
     engines: Sequence[resources.Endpoint],
     *,
     prefill_ms: float | None,
--- a/tests/forwarding/test_role_plan.py
+++ b/tests/forwarding/test_role_plan.py
@@ -44,7 +44,9 @@
     prefill_count, decode_count, decode_ms, expected
 ):
     engines = _engines(prefill_count, decode_count)
-    changes = role_plan.changes(engines, prefill_ms=90.0, decode_ms=decode_ms)
+    changes = role_plan.plan_changes(
+        engines, prefill_ms=90.0, decode_ms=decode_ms
+    )
     more = sum(c.role is PREFILL for c in changes)
     less = sum(c.role is DECODE for c in changes)
     assert prefill_count + more - less == expected
@@ -58,7 +60,7 @@
         deployments.reader("p3", "b").endpoint,
         *(deployments.writer(f"d{i}", "c").endpoint for i in range(3)),
     ]
-    found = role_plan.changes(engines, prefill_ms=90.0, decode_ms=480.0)
+    found = role_plan.plan_changes(engines, prefill_ms=90.0, decode_ms=480.0)
     assert [change.engine.domain for change in found] == ["a", "a"]
     assert {change.role for change in found} == {DECODE}
 
@@ -71,7 +73,7 @@
     prefill_count, decode_count, expected
 ):
     engines = _engines(prefill_count, decode_count)
-    changes = role_plan.changes(engines, prefill_ms=None, decode_ms=400.0)
+    changes = role_plan.plan_changes(engines, prefill_ms=None, decode_ms=400.0)
     more = sum(c.role is PREFILL for c in changes)
     less = sum(c.role is DECODE for c in changes)
     assert prefill_count + more - less == expected
