--- a/src/jujubewharf/forwarding/role_controller.py
+++ b/src/jujubewharf/forwarding/role_controller.py
@@ -43,7 +43,7 @@
 class _PendingOrder:
     """An order whose effect hasn't been observed yet."""
 
-    change: role_plan.Change
+    change: role_plan.RoleChange
     until_ms: float
 
 
@@ -225,7 +225,7 @@
         return now_ms - since_ms >= _SETTLING_MS
 
     async def _send_order(
-        self, change: role_plan.Change, traits: routes.EngineTraits
+        self, change: role_plan.RoleChange, traits: routes.EngineTraits
     ) -> None:
         fence = self._lease.fence
         if fence is None:
--- a/src/jujubewharf/forwarding/role_plan.py
+++ b/src/jujubewharf/forwarding/role_plan.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Change:
+class RoleChange:
     """An engine that should get another role."""
 
     engine: resources.Endpoint
@@ -32,7 +32,7 @@
     *,
     prefill_ms: float | None,
     decode_ms: float | None,
-) -> list[Change]:
+) -> list[RoleChange]:
     """Returns role changes that balance the load of both pools.
 
     Args:
@@ -61,7 +61,7 @@
             reverse=True,
         )
         return [
-            Change(engine, resources.Role.DECODE)
+            RoleChange(engine, resources.Role.DECODE)
             for engine in surplus[: len(prefill_engines) - target]
         ]
     if target > len(prefill_engines):
@@ -69,7 +69,7 @@
             decode_engines, key=lambda e: _domain_count(e, prefill_engines)
         )
         return [
-            Change(engine, resources.Role.PREFILL)
+            RoleChange(engine, resources.Role.PREFILL)
             for engine in candidates[: target - len(prefill_engines)]
         ]
     return []
