--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -19,6 +19,7 @@
 from jujubewharf.forwarding import costs
 from jujubewharf.forwarding import crash_detection
 from jujubewharf.forwarding import crashes
+from jujubewharf.forwarding import fleet_share
 from jujubewharf.forwarding import forwarder
 from jujubewharf.forwarding import lease as leases
 from jujubewharf.forwarding import margins
@@ -33,7 +34,6 @@
 from jujubewharf.forwarding import role_controller
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import settings as all_settings
-from jujubewharf.forwarding import sharing
 from jujubewharf.forwarding import store_followers
 from jujubewharf.forwarding import stream
 from jujubewharf.leadership import crash_services
@@ -123,7 +123,7 @@
         self.backpressure.on_drain_notice = self.registry.handle_drain_notice
         self.backpressure.is_registered = self.registry.is_registered
         adapters.backends.listen(self.backpressure.apply_notice)
-        self.share = sharing.FleetShare(
+        self.share = fleet_share.FleetShare(
             adapters.group, clock, default_share=_ISOLATED_SHARE
         )
         self.work = costs.CostEstimates()
--- a/tests/forwarding/test_sharing.py
+++ b/tests/forwarding/test_fleet_share.py
@@ -4,7 +4,7 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf.experiments import virtual_time
-from jujubewharf.forwarding import sharing
+from jujubewharf.forwarding import fleet_share
 from jujubewharf.standins import tables
 
 
@@ -13,7 +13,7 @@
         clock = clocks.Clock(wall_origin_ms=0.0)
         groups = tables.StandInGroups(clock)
         members = {
-            name: sharing.FleetShare(
+            name: fleet_share.FleetShare(
                 groups.member(name), clock, default_share=0.01
             )
             for name in "abc"
