--- a/src/jujubewharf/forwarding/lease.py
+++ b/src/jujubewharf/forwarding/lease.py
@@ -54,7 +54,7 @@
         return self._share
 
     @property
-    def holds_first(self) -> bool:
+    def holds_first_part(self) -> bool:
         """Whether this member holds the first part under a valid lease."""
         return self.is_current and self._holds_first_since_ms is not None
 
--- a/src/jujubewharf/forwarding/role_controller.py
+++ b/src/jujubewharf/forwarding/role_controller.py
@@ -114,7 +114,10 @@
         # Tracked without the lease as well, so that the wait for an engine's
         # return doesn't start over when this instance acquires it.
         self._track_missing(service)
-        if self._registry.is_store_unavailable or not self._lease.holds_first:
+        if (
+            self._registry.is_store_unavailable
+            or not self._lease.holds_first_part
+        ):
             self._wanted_since_ms.pop(service, None)
             return
         self._drop_settled_orders()
--- a/src/jujubewharf/leadership/leadership.py
+++ b/src/jujubewharf/leadership/leadership.py
@@ -105,7 +105,7 @@
         """Resigns for good, so that another instance can lead at once."""
         self._is_resigning = True
         was_leading = self._followers.is_leading
-        if self._lease.holds_first or was_leading:
+        if self._lease.holds_first_part or was_leading:
             await self._lease.leave()
         self._followers.stop_leading()
 
@@ -150,7 +150,7 @@
         if self._is_resigning:
             await self._lease.leave()
             return False
-        if not self._lease.holds_first:
+        if not self._lease.holds_first_part:
             await self._lease.leave()
             return False
         await self._lead()
@@ -166,7 +166,7 @@
         # takes longer than followers wait for a heartbeat.
         renewing = asyncio.ensure_future(self._renew())
         try:
-            while self._lease.holds_first and not self.should_stop:
+            while self._lease.holds_first_part and not self.should_stop:
                 self._followers.send_heartbeat()
                 await self._clock.sleep_ms(leader_link.HEARTBEAT_INTERVAL_MS)
         finally:
