--- a/src/jujubewharf/forwarding/lease.py
+++ b/src/jujubewharf/forwarding/lease.py
@@ -74,7 +74,7 @@
             return None
         return self._share.generation
 
-    def fenced(self, fence: int) -> None:
+    def reject_fence(self, fence: int) -> None:
         """Records that a fencing token was rejected in favor of a newer one.
 
         The token is not used again; the member waits for a later generation.
--- a/src/jujubewharf/forwarding/role_controller.py
+++ b/src/jujubewharf/forwarding/role_controller.py
@@ -248,7 +248,7 @@
             if error.fault is client.EngineFault.LOST:
                 timeout_ms = _UNACKNOWLEDGED_MS
             if error.fault is client.EngineFault.REFUSED_FENCE:
-                self._lease.fenced(fence)
+                self._lease.reject_fence(fence)
         until_ms = self._clock.now_ms() + timeout_ms
         self._pending[change.engine.name] = _PendingOrder(change, until_ms)
         beliefs.ordered(
--- a/tests/forwarding/test_fleet_share.py
+++ b/tests/forwarding/test_fleet_share.py
@@ -83,7 +83,7 @@
     async def test(clock, groups, members):
         await clock.sleep_ms(8_000.0)
         fence = members["a"].lease.fence
-        members["a"].lease.fenced(fence)
+        members["a"].lease.reject_fence(fence)
         assert members["a"].lease.fence is None
 
     _with_members(test)
