--- a/src/jujubewharf/forwarding/fleet_share.py
+++ b/src/jujubewharf/forwarding/fleet_share.py
@@ -47,7 +47,7 @@
         """Share of the fleet's total that belongs to this instance, 0 to 1."""
         share = self.lease.share
         last_fraction = len(share.parts) / self._group.part_count
-        if self.lease.is_current:
+        if self.lease.is_valid:
             return last_fraction
         if share.generation == 0:
             return self._default_share
--- a/src/jujubewharf/forwarding/lease.py
+++ b/src/jujubewharf/forwarding/lease.py
@@ -44,7 +44,7 @@
         self._logger = structlog.get_logger(group=name)
 
     @property
-    def is_current(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether the lease is still valid."""
         return self._clock.awake_ms() < self._expires_at_ms
 
@@ -56,7 +56,7 @@
     @property
     def holds_first_part(self) -> bool:
         """Whether this member holds the first part under a valid lease."""
-        return self.is_current and self._holds_first_since_ms is not None
+        return self.is_valid and self._holds_first_since_ms is not None
 
     @property
     def fence(self) -> int | None:
@@ -66,7 +66,7 @@
         calls of the previous holder can no longer be in flight.
         """
         since_ms = self._holds_first_since_ms
-        if not self.is_current or since_ms is None:
+        if not self.is_valid or since_ms is None:
             return None
         if self._clock.now_ms() - since_ms < self._group.ttl_ms:
             return None
@@ -93,7 +93,7 @@
         if self._has_left:
             # The member left while the call was in flight.
             return
-        if not self.is_current:
+        if not self.is_valid:
             # The lease had expired, so another member may have held the part.
             self._holds_first_since_ms = None
         # Measured from before the call: the group counts from its arrival.
--- a/src/jujubewharf/leadership/leadership.py
+++ b/src/jujubewharf/leadership/leadership.py
@@ -174,7 +174,7 @@
             await asyncio.gather(renewing, return_exceptions=True)
         self._logger.info("leading_ended", followers=len(self._followers))
         self._followers.stop_leading()
-        if not self._is_resigning and self._lease.is_current:
+        if not self._is_resigning and self._lease.is_valid:
             # Another member was assigned the first part. Members that don't
             # lead leave, since each join or leave reassigns the parts.
             await self._lease.leave()
--- a/tests/forwarding/test_fleet_share.py
+++ b/tests/forwarding/test_fleet_share.py
@@ -74,7 +74,7 @@
         groups.cut_off.add("a")
         await clock.sleep_ms(4_000.0)
         assert members["a"].fraction == 0.01
-        assert not members["a"].lease.is_current
+        assert not members["a"].lease.is_valid
 
     _with_members(test)
 
@@ -115,7 +115,7 @@
         back_ms = None
         for _ in range(100):
             await clock.sleep_ms(100.0)
-            if members["a"].lease.is_current and back_ms is None:
+            if members["a"].lease.is_valid and back_ms is None:
                 back_ms = clock.now_ms()
             if members["a"].lease.fence is not None:
                 break
@@ -137,7 +137,7 @@
             member._default_share = 0.9
         groups.cut_off.update("abc")
         await clock.sleep_ms(10_000.0)
-        assert not any(m.lease.is_current for m in members.values())
+        assert not any(m.lease.is_valid for m in members.values())
         assert sum(m.fraction for m in members.values()) <= 1.0
 
     _with_members(test)
