--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -92,7 +92,7 @@
     run.deferred_log_lines.clear()
 
 
-def refused(
+def log_refusal(
     request_id: str, error: errors.WharfError, *, route: str, held_ms: float
 ) -> None:
     """Logs a request that this system refused itself."""
--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -150,7 +150,7 @@
         try:
             run = self._new_run(call)
         except errors.WharfError as error:
-            decisions.refused(call.request_id, error, route="", held_ms=0.0)
+            decisions.log_refusal(call.request_id, error, route="", held_ms=0.0)
             raise
         outcome = decisions.CANCELLED
         try:
@@ -172,7 +172,7 @@
         except errors.WharfError as error:
             held_ms = self._clock.now_ms() - call.arrived_ms
             outcome = error.kind.value
-            decisions.refused(
+            decisions.log_refusal(
                 call.request_id, error, route=run.route.name, held_ms=held_ms
             )
             raise
