--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -278,7 +278,7 @@
         tokens = run.call.work.prompt_tokens
         left_ms = run.left_ms(self._clock)
         began_ms = self._clock.now_ms()
-        decisions.sent(
+        decisions.log_attempt(
             run,
             engine.name,
             stage="prefill",
@@ -336,7 +336,7 @@
             raise client.EngineError(fault, engine.name)
         began_ms = self._clock.now_ms()
         before = run.record_attempt(engine.name)
-        decisions.sent(
+        decisions.log_attempt(
             run,
             engine.name,
             stage="decode",
--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -112,7 +112,7 @@
     )
 
 
-def sent(
+def log_attempt(
     run: runs.Run, engine: str, *, stage: str, left_ms: float, age_ms: float
 ) -> None:
     """Logs an attempt to send a request to an engine.
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -161,7 +161,7 @@
     ) -> calls.Reply:
         began_ms = self._clock.now_ms()
         before = run.record_attempt(endpoint.name)
-        decisions.sent(
+        decisions.log_attempt(
             run,
             endpoint.name,
             stage="plain",
--- a/tests/forwarding/test_decisions.py
+++ b/tests/forwarding/test_decisions.py
@@ -37,7 +37,9 @@
         await clock.sleep_ms(1.0)
         run = _run(request_id)
         decisions.placed(run, "d1", tokens=7, free_tokens=0, waited_ms=3.0)
-        decisions.sent(run, "d1", stage="decode", left_ms=9.0, age_ms=4.0)
+        decisions.log_attempt(
+            run, "d1", stage="decode", left_ms=9.0, age_ms=4.0
+        )
         fault = client.EngineError(client.EngineFault.LOST, "d1")
         decisions.engine_failed(run, fault, stage="decode", took_ms=1.0)
         decisions.ended(run, outcome, took_ms=5.0)
