--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -180,7 +180,7 @@
             client.EngineFault.KV_GONE, prefilled.engine.name
         )
         self._observations.record_failure(expired)
-        decisions.engine_failed(run, expired, stage="fetch", took_ms=0.0)
+        decisions.log_engine_failure(run, expired, stage="fetch", took_ms=0.0)
         left = self._budget.remaining(run.service)
         if not self._budget.take(run.service):
             decisions.not_retried(run, "kv_gone", budget_left=left)
@@ -292,7 +292,7 @@
         except client.EngineError as error:
             self._record_failure(error)
             took_ms = self._clock.now_ms() - began_ms
-            decisions.engine_failed(
+            decisions.log_engine_failure(
                 run, error, stage="prefill", took_ms=took_ms
             )
             raise
@@ -351,7 +351,9 @@
             run.record_failure(error, before=before)
             self._record_failure(error)
             took_ms = self._clock.now_ms() - began_ms
-            decisions.engine_failed(run, error, stage="decode", took_ms=took_ms)
+            decisions.log_engine_failure(
+                run, error, stage="decode", took_ms=took_ms
+            )
             raise
         self._observations.record_response_start(engine.name)
         return reply
--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -135,7 +135,7 @@
     )
 
 
-def engine_failed(
+def log_engine_failure(
     run: runs.Run, error: client.EngineError, *, stage: str, took_ms: float
 ) -> None:
     """Logs a failed call to an engine."""
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -332,7 +332,7 @@
             return
         if error.fault is client.EngineFault.REFUSED_IDENTITY:
             self._registry.remove_replaced(error.engine)
-        decisions.engine_failed(run, error, stage="reserve", took_ms=0.0)
+        decisions.log_engine_failure(run, error, stage="reserve", took_ms=0.0)
         if error.fault is client.EngineFault.LOST:
             # Treated as unreachable, which opens the circuit breaker: each
             # further call to a silent engine would stall the wait queue for a
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -180,7 +180,9 @@
             if error.fault is not client.EngineFault.REFUSED_FULL:
                 self._chooser.failed(endpoint.name)
             took_ms = self._clock.now_ms() - began_ms
-            decisions.engine_failed(run, error, stage="plain", took_ms=took_ms)
+            decisions.log_engine_failure(
+                run, error, stage="plain", took_ms=took_ms
+            )
             raise
 
     async def _exchange(
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -132,7 +132,7 @@
         """
         run.lost_by.add(error.engine)
         self._observations.record_failure(error)
-        decisions.engine_failed(run, error, stage="stream", took_ms=0.0)
+        decisions.log_engine_failure(run, error, stage="stream", took_ms=0.0)
         upstream = await self._attempt_elsewhere(run, error, last)
         if not upstream.reply.is_success:
             await upstream.exit_stack.aclose()
--- a/tests/forwarding/test_decisions.py
+++ b/tests/forwarding/test_decisions.py
@@ -41,7 +41,7 @@
             run, "d1", stage="decode", left_ms=9.0, age_ms=4.0
         )
         fault = client.EngineError(client.EngineFault.LOST, "d1")
-        decisions.engine_failed(run, fault, stage="decode", took_ms=1.0)
+        decisions.log_engine_failure(run, fault, stage="decode", took_ms=1.0)
         decisions.ended(run, outcome, took_ms=5.0)
 
     with structlog.testing.capture_logs() as lines:
