--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -185,7 +185,7 @@
         if not self._budget.take(run.service):
             decisions.not_retried(run, "kv_gone", budget_left=left)
             raise run.failure() from error
-        decisions.retried(run, "kv_gone", budget_left=left)
+        decisions.log_retry(run, "kv_gone", budget_left=left)
         return dataclasses.replace(
             sending, source=None, left_ms=run.left_ms(self._clock)
         )
@@ -268,7 +268,7 @@
         if not self._budget.take(run.service):
             decisions.not_retried(run, "prefill_failed", budget_left=left)
             return False
-        decisions.retried(run, "prefill_failed", budget_left=left)
+        decisions.log_retry(run, "prefill_failed", budget_left=left)
         return True
 
     async def _prefill(
--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -152,7 +152,7 @@
     )
 
 
-def retried(run: runs.Run, reason: str, *, budget_left: float) -> None:
+def log_retry(run: runs.Run, reason: str, *, budget_left: float) -> None:
     """Logs a retry of a request."""
     _RETRIES.add(1, {"reason": reason})
     _logger.info(
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -148,7 +148,7 @@
         if not self._budget.take(run.service):
             decisions.not_retried(run, reason, budget_left=left)
             return False
-        decisions.retried(run, reason, budget_left=left)
+        decisions.log_retry(run, reason, budget_left=left)
         return True
 
     async def _attempt(
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -96,7 +96,7 @@
         if run.tried and not self._budget.take(run.service):
             decisions.not_retried(run, reason, budget_left=left)
             raise run.failure() from error
-        decisions.retried(run, reason, budget_left=left)
+        decisions.log_retry(run, reason, budget_left=left)
 
     async def _relay(
         self, run: runs.Run, upstream: attempts.Upstream
