--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -183,7 +183,7 @@
         decisions.log_engine_failure(run, expired, stage="fetch", took_ms=0.0)
         left = self._budget.remaining(run.service)
         if not self._budget.take(run.service):
-            decisions.not_retried(run, "kv_gone", budget_left=left)
+            decisions.log_denied_retry(run, "kv_gone", budget_left=left)
             raise run.failure() from error
         decisions.log_retry(run, "kv_gone", budget_left=left)
         return dataclasses.replace(
@@ -266,7 +266,7 @@
             self._observations.record_prefill_refusal(error.engine)
         left = self._budget.remaining(run.service)
         if not self._budget.take(run.service):
-            decisions.not_retried(run, "prefill_failed", budget_left=left)
+            decisions.log_denied_retry(run, "prefill_failed", budget_left=left)
             return False
         decisions.log_retry(run, "prefill_failed", budget_left=left)
         return True
--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -164,7 +164,7 @@
     )
 
 
-def not_retried(run: runs.Run, reason: str, *, budget_left: float) -> None:
+def log_denied_retry(run: runs.Run, reason: str, *, budget_left: float) -> None:
     """Logs that a request is not retried, with the reason."""
     _RETRIES.add(1, {"reason": f"denied_{reason}"})
     _logger.info(
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -146,7 +146,7 @@
         if not run.may_run_again or not run.has_attempts_left:
             return False
         if not self._budget.take(run.service):
-            decisions.not_retried(run, reason, budget_left=left)
+            decisions.log_denied_retry(run, reason, budget_left=left)
             return False
         decisions.log_retry(run, reason, budget_left=left)
         return True
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -91,10 +91,10 @@
         left = self._budget.remaining(run.service)
         reason = error.fault.value
         if not run.may_run_again or not run.has_attempts_left:
-            decisions.not_retried(run, reason, budget_left=left)
+            decisions.log_denied_retry(run, reason, budget_left=left)
             raise run.failure() from error
         if run.tried and not self._budget.take(run.service):
-            decisions.not_retried(run, reason, budget_left=left)
+            decisions.log_denied_retry(run, reason, budget_left=left)
             raise run.failure() from error
         decisions.log_retry(run, reason, budget_left=left)
 
@@ -153,7 +153,9 @@
             is_allowed = run.route.repeat is routes.Repeat.CONTINUE
             may_run_again = is_allowed and run.has_attempts_left
             if not may_run_again or not self._budget.take(run.service):
-                decisions.not_retried(run, "stream_broken", budget_left=left)
+                decisions.log_denied_retry(
+                    run, "stream_broken", budget_left=left
+                )
                 raise _broken_error() from error
             try:
                 return await self._attempts.attempt(run, after_event=last)
