--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -177,7 +177,7 @@
     )
 
 
-def placed(
+def log_placement(
     run: runs.Run,
     engine: str,
     *,
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -203,7 +203,7 @@
                 queue.wake_after(waiter)
                 if place is not None:
                     waited_ms = self._clock.now_ms() - started_ms
-                    decisions.placed(
+                    decisions.log_placement(
                         run,
                         place.engine.name,
                         tokens=demand.tokens,
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -293,7 +293,7 @@
                         run, "unknown_engine", leader=link.peer
                     )
                     return None
-                decisions.placed(
+                decisions.log_placement(
                     run,
                     answer.engine,
                     tokens=answer.tokens,
--- a/tests/forwarding/test_decisions.py
+++ b/tests/forwarding/test_decisions.py
@@ -36,7 +36,9 @@
         clock = clocks.Clock(wall_origin_ms=0.0)
         await clock.sleep_ms(1.0)
         run = _run(request_id)
-        decisions.placed(run, "d1", tokens=7, free_tokens=0, waited_ms=3.0)
+        decisions.log_placement(
+            run, "d1", tokens=7, free_tokens=0, waited_ms=3.0
+        )
         decisions.log_attempt(
             run, "d1", stage="decode", left_ms=9.0, age_ms=4.0
         )
