--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -197,7 +197,7 @@
     )
 
 
-def not_placed(
+def log_failed_placement(
     run: runs.Run,
     *,
     tokens: int,
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -377,7 +377,7 @@
         self, run: runs.Run, demand: _MemoryDemand
     ) -> errors.WharfError:
         engines = self._registry.of_service(run.service)
-        decisions.not_placed(
+        decisions.log_failed_placement(
             run,
             tokens=demand.tokens,
             free_tokens=demand.free_tokens,
