--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -218,7 +218,7 @@
     )
 
 
-def placed_alone(run: runs.Run, reason: str, *, leader: str) -> None:
+def log_local_placement(run: runs.Run, reason: str, *, leader: str) -> None:
     """Logs that this instance places a request that the leader couldn't."""
     _logger.info(
         "request_placed_alone",
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -280,7 +280,9 @@
         try:
             answer = await self._await_answer(link, number, run)
         except network.PeerError as error:
-            decisions.placed_alone(run, error.fault.value, leader=error.peer)
+            decisions.log_local_placement(
+                run, error.fault.value, leader=error.peer
+            )
             return None
         waited_ms = self._clock.now_ms() - started_ms
         match answer:
@@ -289,7 +291,7 @@
                 run.is_counted = True
                 place = self._to_place(number, answer)
                 if place is None:
-                    decisions.placed_alone(
+                    decisions.log_local_placement(
                         run, "unknown_engine", leader=link.peer
                     )
                     return None
@@ -304,7 +306,9 @@
             case leader_messages.NotPlaced():
                 raise self._refusal(run, answer, waited_ms, leader=link.peer)
             case _:
-                decisions.placed_alone(run, "not_understood", leader=link.peer)
+                decisions.log_local_placement(
+                    run, "not_understood", leader=link.peer
+                )
                 return None
 
     async def _await_answer(
