--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -228,7 +228,7 @@
     )
 
 
-def refused_by_leader(
+def log_leader_refusal(
     run: runs.Run,
     *,
     leader: str,
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -399,7 +399,7 @@
         *,
         leader: str,
     ) -> errors.WharfError:
-        decisions.refused_by_leader(
+        decisions.log_leader_refusal(
             run,
             leader=leader,
             waited_ms=waited_ms,
