--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -247,7 +247,7 @@
     )
 
 
-def over_quota(
+def log_exhausted_quota(
     run: runs.Run, account: str, *, wait_ms: float, counted_by: str
 ) -> None:
     """Logs that an account has exhausted its quota.
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -322,7 +322,7 @@
     def _refusal(
         self, run: runs.Run, account: str, wait_ms: float
     ) -> errors.WharfError:
-        decisions.over_quota(
+        decisions.log_exhausted_quota(
             run, account, wait_ms=wait_ms, counted_by=self._role.value
         )
         return errors.WharfError(
