--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -269,7 +269,7 @@
     )
 
 
-def resumed(run: runs.Run, engine: str, *, after_event: int) -> None:
+def log_resumption(run: runs.Run, engine: str, *, after_event: int) -> None:
     """Logs that a stream was resumed at another engine."""
     _RETRIES.add(1, {"reason": "resumed"})
     _logger.info(
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -137,7 +137,9 @@
         if not upstream.reply.is_success:
             await upstream.exit_stack.aclose()
             raise _broken_error()
-        decisions.resumed(run, upstream.engine.name, after_event=last or 0)
+        decisions.log_resumption(
+            run, upstream.engine.name, after_event=last or 0
+        )
         return upstream
 
     async def _attempt_elsewhere(
