--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -280,7 +280,7 @@
     )
 
 
-def answer_begun(run: runs.Run, *, status: int, took_ms: float) -> None:
+def log_response_start(run: runs.Run, *, status: int, took_ms: float) -> None:
     """Logs the start of a response from an engine."""
     _FIRST_RESPONSE_MS.record(took_ms, {"service": run.service})
     _log_routine(
--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -162,7 +162,7 @@
                 reply = await self._begin(stack, run)
                 self._quotas.record_admitted(run)
                 held_ms = self._clock.now_ms() - call.arrived_ms
-                decisions.answer_begun(
+                decisions.log_response_start(
                     run, status=reply.status, took_ms=held_ms
                 )
                 yield reply
