--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -291,7 +291,7 @@
     )
 
 
-def let_through(run: runs.Run) -> None:
+def log_quarantine_trial(run: runs.Run) -> None:
     """Logs that a quarantined request is sent to one more engine."""
     _logger.info("quarantine_trial", request=run.call.request_id)
 
--- a/src/jujubewharf/forwarding/quarantine.py
+++ b/src/jujubewharf/forwarding/quarantine.py
@@ -44,6 +44,6 @@
         if not self._history.is_quarantined(run.call):
             return
         if not run.call.is_trial and await self._trials.take(run.call):
-            decisions.let_through(run)
+            decisions.log_quarantine_trial(run)
             run.call = dataclasses.replace(run.call, is_trial=True)
         self._history.check(run.call)
