--- a/src/jujubewharf/forwarding/decisions.py
+++ b/src/jujubewharf/forwarding/decisions.py
@@ -296,7 +296,7 @@
     _logger.info("quarantine_trial", request=run.call.request_id)
 
 
-def ended(run: runs.Run, outcome: str, *, took_ms: float) -> None:
+def log_end(run: runs.Run, outcome: str, *, took_ms: float) -> None:
     """Logs the end of a request."""
     _ENDED.add(1, {"service": run.service, "outcome": outcome})
     _COMPLETION_MS.record(took_ms, {"service": run.service})
--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -180,7 +180,7 @@
             if not run.may_have_run:
                 self._quotas.refund(run)
             took_ms = self._clock.now_ms() - call.arrived_ms
-            decisions.ended(run, outcome, took_ms=took_ms)
+            decisions.log_end(run, outcome, took_ms=took_ms)
 
     def _new_run(self, call: calls.Call) -> runs.Run:
         route = self._source.match(call.host, call.path)
--- a/tests/forwarding/test_decisions.py
+++ b/tests/forwarding/test_decisions.py
@@ -44,7 +44,7 @@
         )
         fault = client.EngineError(client.EngineFault.LOST, "d1")
         decisions.log_engine_failure(run, fault, stage="decode", took_ms=1.0)
-        decisions.ended(run, outcome, took_ms=5.0)
+        decisions.log_end(run, outcome, took_ms=5.0)
 
     with structlog.testing.capture_logs() as lines:
         virtual_time.run(main())
