--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -16,12 +16,12 @@
 from jujubewharf.forwarding import backpressure as all_backpressure
 from jujubewharf.forwarding import budget as budgets
 from jujubewharf.forwarding import calls
-from jujubewharf.forwarding import decisions
 from jujubewharf.forwarding import limits as all_limits
 from jujubewharf.forwarding import observations as observed
 from jujubewharf.forwarding import places as all_places
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import registry as registries
+from jujubewharf.forwarding import request_log
 from jujubewharf.forwarding import runs
 
 # Maximum number of prefill engines tried per request. If all fail, the decode
@@ -180,12 +180,12 @@
             client.EngineFault.KV_GONE, prefilled.engine.name
         )
         self._observations.record_failure(expired)
-        decisions.log_engine_failure(run, expired, stage="fetch", took_ms=0.0)
+        request_log.log_engine_failure(run, expired, stage="fetch", took_ms=0.0)
         left = self._budget.remaining(run.service)
         if not self._budget.take(run.service):
-            decisions.log_denied_retry(run, "kv_gone", budget_left=left)
+            request_log.log_denied_retry(run, "kv_gone", budget_left=left)
             raise run.failure() from error
-        decisions.log_retry(run, "kv_gone", budget_left=left)
+        request_log.log_retry(run, "kv_gone", budget_left=left)
         return dataclasses.replace(
             sending, source=None, left_ms=run.left_ms(self._clock)
         )
@@ -266,9 +266,11 @@
             self._observations.record_prefill_refusal(error.engine)
         left = self._budget.remaining(run.service)
         if not self._budget.take(run.service):
-            decisions.log_denied_retry(run, "prefill_failed", budget_left=left)
+            request_log.log_denied_retry(
+                run, "prefill_failed", budget_left=left
+            )
             return False
-        decisions.log_retry(run, "prefill_failed", budget_left=left)
+        request_log.log_retry(run, "prefill_failed", budget_left=left)
         return True
 
     async def _prefill(
@@ -278,7 +280,7 @@
         tokens = run.call.work.prompt_tokens
         left_ms = run.left_ms(self._clock)
         began_ms = self._clock.now_ms()
-        decisions.log_attempt(
+        request_log.log_attempt(
             run,
             engine.name,
             stage="prefill",
@@ -292,7 +294,7 @@
         except client.EngineError as error:
             self._record_failure(error)
             took_ms = self._clock.now_ms() - began_ms
-            decisions.log_engine_failure(
+            request_log.log_engine_failure(
                 run, error, stage="prefill", took_ms=took_ms
             )
             raise
@@ -336,7 +338,7 @@
             raise client.EngineError(fault, engine.name)
         began_ms = self._clock.now_ms()
         before = run.record_attempt(engine.name)
-        decisions.log_attempt(
+        request_log.log_attempt(
             run,
             engine.name,
             stage="decode",
@@ -351,7 +353,7 @@
             run.record_failure(error, before=before)
             self._record_failure(error)
             took_ms = self._clock.now_ms() - began_ms
-            decisions.log_engine_failure(
+            request_log.log_engine_failure(
                 run, error, stage="decode", took_ms=took_ms
             )
             raise
--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -15,10 +15,10 @@
 from jujubewharf.forwarding import budget as budgets
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import crashes
-from jujubewharf.forwarding import decisions
 from jujubewharf.forwarding import plain
 from jujubewharf.forwarding import quarantine as quarantines
 from jujubewharf.forwarding import quotas as all_quotas
+from jujubewharf.forwarding import request_log
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
 from jujubewharf.forwarding import stream
@@ -150,9 +150,11 @@
         try:
             run = self._new_run(call)
         except errors.WharfError as error:
-            decisions.log_refusal(call.request_id, error, route="", held_ms=0.0)
+            request_log.log_refusal(
+                call.request_id, error, route="", held_ms=0.0
+            )
             raise
-        outcome = decisions.CANCELLED
+        outcome = request_log.CANCELLED
         try:
             async with (
                 self._with_deadline(run),
@@ -162,17 +164,17 @@
                 reply = await self._begin(stack, run)
                 self._quotas.record_admitted(run)
                 held_ms = self._clock.now_ms() - call.arrived_ms
-                decisions.log_response_start(
+                request_log.log_response_start(
                     run, status=reply.status, took_ms=held_ms
                 )
                 yield reply
-            outcome = decisions.FINISHED
+            outcome = request_log.FINISHED
             if reply.is_success:
                 self._history.record_success(run.call)
         except errors.WharfError as error:
             held_ms = self._clock.now_ms() - call.arrived_ms
             outcome = error.kind.value
-            decisions.log_refusal(
+            request_log.log_refusal(
                 call.request_id, error, route=run.route.name, held_ms=held_ms
             )
             raise
@@ -180,7 +182,7 @@
             if not run.may_have_run:
                 self._quotas.refund(run)
             took_ms = self._clock.now_ms() - call.arrived_ms
-            decisions.log_end(run, outcome, took_ms=took_ms)
+            request_log.log_end(run, outcome, took_ms=took_ms)
 
     def _new_run(self, call: calls.Call) -> runs.Run:
         route = self._source.match(call.host, call.path)
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -21,7 +21,6 @@
 from jujubewharf.engines import client
 from jujubewharf.forwarding import backpressure as all_backpressure
 from jujubewharf.forwarding import costs
-from jujubewharf.forwarding import decisions
 from jujubewharf.forwarding import limits as all_limits
 from jujubewharf.forwarding import margins
 from jujubewharf.forwarding import places
@@ -29,6 +28,7 @@
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import quotas as all_quotas
 from jujubewharf.forwarding import registry as registries
+from jujubewharf.forwarding import request_log
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
 from jujubewharf.forwarding import wait_policy
@@ -203,7 +203,7 @@
                 queue.wake_after(waiter)
                 if place is not None:
                     waited_ms = self._clock.now_ms() - started_ms
-                    decisions.log_placement(
+                    request_log.log_placement(
                         run,
                         place.engine.name,
                         tokens=demand.tokens,
@@ -332,7 +332,7 @@
             return
         if error.fault is client.EngineFault.REFUSED_IDENTITY:
             self._registry.remove_replaced(error.engine)
-        decisions.log_engine_failure(run, error, stage="reserve", took_ms=0.0)
+        request_log.log_engine_failure(run, error, stage="reserve", took_ms=0.0)
         if error.fault is client.EngineFault.LOST:
             # Treated as unreachable, which opens the circuit breaker: each
             # further call to a silent engine would stall the wait queue for a
@@ -377,7 +377,7 @@
         self, run: runs.Run, demand: _MemoryDemand
     ) -> errors.WharfError:
         engines = self._registry.of_service(run.service)
-        decisions.log_failed_placement(
+        request_log.log_failed_placement(
             run,
             tokens=demand.tokens,
             free_tokens=demand.free_tokens,
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -15,10 +15,10 @@
 from jujubewharf.forwarding import backpressure as all_backpressure
 from jujubewharf.forwarding import budget as budgets
 from jujubewharf.forwarding import calls
-from jujubewharf.forwarding import decisions
 from jujubewharf.forwarding import limits as all_limits
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import registry as registries
+from jujubewharf.forwarding import request_log
 from jujubewharf.forwarding import retry_after
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
@@ -146,9 +146,9 @@
         if not run.may_run_again or not run.has_attempts_left:
             return False
         if not self._budget.take(run.service):
-            decisions.log_denied_retry(run, reason, budget_left=left)
+            request_log.log_denied_retry(run, reason, budget_left=left)
             return False
-        decisions.log_retry(run, reason, budget_left=left)
+        request_log.log_retry(run, reason, budget_left=left)
         return True
 
     async def _attempt(
@@ -161,7 +161,7 @@
     ) -> calls.Reply:
         began_ms = self._clock.now_ms()
         before = run.record_attempt(endpoint.name)
-        decisions.log_attempt(
+        request_log.log_attempt(
             run,
             endpoint.name,
             stage="plain",
@@ -180,7 +180,7 @@
             if error.fault is not client.EngineFault.REFUSED_FULL:
                 self._chooser.failed(endpoint.name)
             took_ms = self._clock.now_ms() - began_ms
-            decisions.log_engine_failure(
+            request_log.log_engine_failure(
                 run, error, stage="plain", took_ms=took_ms
             )
             raise
--- a/src/jujubewharf/forwarding/quarantine.py
+++ b/src/jujubewharf/forwarding/quarantine.py
@@ -7,7 +7,7 @@
 
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import crashes
-from jujubewharf.forwarding import decisions
+from jujubewharf.forwarding import request_log
 from jujubewharf.forwarding import runs
 
 
@@ -44,6 +44,6 @@
         if not self._history.is_quarantined(run.call):
             return
         if not run.call.is_trial and await self._trials.take(run.call):
-            decisions.log_quarantine_trial(run)
+            request_log.log_quarantine_trial(run)
             run.call = dataclasses.replace(run.call, is_trial=True)
         self._history.check(run.call)
--- a/src/jujubewharf/forwarding/stream.py
+++ b/src/jujubewharf/forwarding/stream.py
@@ -17,9 +17,9 @@
 from jujubewharf.forwarding import attempts
 from jujubewharf.forwarding import budget as budgets
 from jujubewharf.forwarding import calls
-from jujubewharf.forwarding import decisions
 from jujubewharf.forwarding import events
 from jujubewharf.forwarding import observations as observed
+from jujubewharf.forwarding import request_log
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
 
@@ -91,12 +91,12 @@
         left = self._budget.remaining(run.service)
         reason = error.fault.value
         if not run.may_run_again or not run.has_attempts_left:
-            decisions.log_denied_retry(run, reason, budget_left=left)
+            request_log.log_denied_retry(run, reason, budget_left=left)
             raise run.failure() from error
         if run.tried and not self._budget.take(run.service):
-            decisions.log_denied_retry(run, reason, budget_left=left)
+            request_log.log_denied_retry(run, reason, budget_left=left)
             raise run.failure() from error
-        decisions.log_retry(run, reason, budget_left=left)
+        request_log.log_retry(run, reason, budget_left=left)
 
     async def _relay(
         self, run: runs.Run, upstream: attempts.Upstream
@@ -132,12 +132,12 @@
         """
         run.lost_by.add(error.engine)
         self._observations.record_failure(error)
-        decisions.log_engine_failure(run, error, stage="stream", took_ms=0.0)
+        request_log.log_engine_failure(run, error, stage="stream", took_ms=0.0)
         upstream = await self._attempt_elsewhere(run, error, last)
         if not upstream.reply.is_success:
             await upstream.exit_stack.aclose()
             raise _broken_error()
-        decisions.log_resumption(
+        request_log.log_resumption(
             run, upstream.engine.name, after_event=last or 0
         )
         return upstream
@@ -155,7 +155,7 @@
             is_allowed = run.route.repeat is routes.Repeat.CONTINUE
             may_run_again = is_allowed and run.has_attempts_left
             if not may_run_again or not self._budget.take(run.service):
-                decisions.log_denied_retry(
+                request_log.log_denied_retry(
                     run, "stream_broken", budget_left=left
                 )
                 raise _broken_error() from error
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -27,9 +27,9 @@
 from jujubewharf import clock as clocks
 from jujubewharf import errors
 from jujubewharf.forwarding import accounts
-from jujubewharf.forwarding import decisions
 from jujubewharf.forwarding import forwarder
 from jujubewharf.forwarding import quotas
+from jujubewharf.forwarding import request_log
 from jujubewharf.forwarding import runs
 from jujubewharf.forwarding import settings
 from jujubewharf.leadership import account_usage
@@ -322,7 +322,7 @@
     def _refusal(
         self, run: runs.Run, account: str, wait_ms: float
     ) -> errors.WharfError:
-        decisions.log_exhausted_quota(
+        request_log.log_exhausted_quota(
             run, account, wait_ms=wait_ms, counted_by=self._role.value
         )
         return errors.WharfError(
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -13,10 +13,10 @@
 from jujubewharf import errors
 from jujubewharf.configuration import resources
 from jujubewharf.forwarding import costs
-from jujubewharf.forwarding import decisions
 from jujubewharf.forwarding import fingerprints
 from jujubewharf.forwarding import places as all_places
 from jujubewharf.forwarding import registry as registries
+from jujubewharf.forwarding import request_log
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
 from jujubewharf.leadership import feeds as all_feeds
@@ -280,7 +280,7 @@
         try:
             answer = await self._await_answer(link, number, run)
         except network.PeerError as error:
-            decisions.log_local_placement(
+            request_log.log_local_placement(
                 run, error.fault.value, leader=error.peer
             )
             return None
@@ -291,11 +291,11 @@
                 run.is_counted = True
                 place = self._to_place(number, answer)
                 if place is None:
-                    decisions.log_local_placement(
+                    request_log.log_local_placement(
                         run, "unknown_engine", leader=link.peer
                     )
                     return None
-                decisions.log_placement(
+                request_log.log_placement(
                     run,
                     answer.engine,
                     tokens=answer.tokens,
@@ -306,7 +306,7 @@
             case leader_messages.NotPlaced():
                 raise self._refusal(run, answer, waited_ms, leader=link.peer)
             case _:
-                decisions.log_local_placement(
+                request_log.log_local_placement(
                     run, "not_understood", leader=link.peer
                 )
                 return None
@@ -399,7 +399,7 @@
         *,
         leader: str,
     ) -> errors.WharfError:
-        decisions.log_leader_refusal(
+        request_log.log_leader_refusal(
             run,
             leader=leader,
             waited_ms=waited_ms,
--- a/tests/forwarding/test_decisions.py
+++ b/tests/forwarding/test_request_log.py
@@ -13,7 +13,7 @@
 from jujubewharf import errors
 from jujubewharf.engines import client
 from jujubewharf.experiments import virtual_time
-from jujubewharf.forwarding import decisions
+from jujubewharf.forwarding import request_log
 from jujubewharf.forwarding import runs
 from tests.forwarding import deployments
 
@@ -28,7 +28,7 @@
 
 def _id(*, is_sampled: bool) -> str:
     numbers = (f"r{n}" for n in range(1_000))
-    return next(i for i in numbers if decisions.is_sampled(i) is is_sampled)
+    return next(i for i in numbers if request_log.is_sampled(i) is is_sampled)
 
 
 def _events(request_id: str, outcome: str) -> list[str]:
@@ -36,15 +36,15 @@
         clock = clocks.Clock(wall_origin_ms=0.0)
         await clock.sleep_ms(1.0)
         run = _run(request_id)
-        decisions.log_placement(
+        request_log.log_placement(
             run, "d1", tokens=7, free_tokens=0, waited_ms=3.0
         )
-        decisions.log_attempt(
+        request_log.log_attempt(
             run, "d1", stage="decode", left_ms=9.0, age_ms=4.0
         )
         fault = client.EngineError(client.EngineFault.LOST, "d1")
-        decisions.log_engine_failure(run, fault, stage="decode", took_ms=1.0)
-        decisions.log_end(run, outcome, took_ms=5.0)
+        request_log.log_engine_failure(run, fault, stage="decode", took_ms=1.0)
+        request_log.log_end(run, outcome, took_ms=5.0)
 
     with structlog.testing.capture_logs() as lines:
         virtual_time.run(main())
@@ -68,13 +68,13 @@
 
 
 def test_one_request_in_sixteen_is_sampled():
-    sampled = sum(decisions.is_sampled(f"id-{n}") for n in range(16_000))
+    sampled = sum(request_log.is_sampled(f"id-{n}") for n in range(16_000))
     assert 800 < sampled < 1_200
 
 
 def test_every_event_is_documented():
     """Every log event must be documented for operators."""
-    source = pathlib.Path(decisions.__file__).parent
+    source = pathlib.Path(request_log.__file__).parent
     said = set()
     for path in source.glob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
