--- a/src/jujubewharf/forwarding/beliefs.py
+++ b/src/jujubewharf/forwarding/beliefs.py
@@ -33,7 +33,7 @@
 _logger = structlog.get_logger()
 
 
-def configuration_in_force(
+def log_active_configuration(
     configuration: routes.RoutingConfiguration, *, offset: int
 ) -> None:
     """Logs that a configuration version was activated."""
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -401,7 +401,7 @@
         for record in page.records:
             if record.value is not None and self.source.take(record.value):
                 self.quotas.remove_unconfigured()
-                beliefs.configuration_in_force(
+                beliefs.log_active_configuration(
                     record.value, offset=record.offset
                 )
         if self.fleet.followers is not None:
