--- a/src/jujubewharf/forwarding/beliefs.py
+++ b/src/jujubewharf/forwarding/beliefs.py
@@ -47,7 +47,7 @@
     )
 
 
-def ordered(
+def log_role_order(
     engine: str,
     *,
     role: str,
--- a/src/jujubewharf/forwarding/role_controller.py
+++ b/src/jujubewharf/forwarding/role_controller.py
@@ -251,7 +251,7 @@
                 self._lease.reject_fence(fence)
         until_ms = self._clock.now_ms() + timeout_ms
         self._pending[change.engine.name] = _PendingOrder(change, until_ms)
-        beliefs.ordered(
+        beliefs.log_role_order(
             change.engine.name,
             role=change.role.value,
             fence=fence,
