--- a/src/jujubewharf/forwarding/beliefs.py
+++ b/src/jujubewharf/forwarding/beliefs.py
@@ -71,7 +71,7 @@
     )
 
 
-def costs_known(fleet: costs.FleetCosts, *, reports: int) -> None:
+def log_known_costs(fleet: costs.FleetCosts, *, reports: int) -> None:
     """Logs that the leader's cost estimates are sufficient for orders."""
     _logger.info(
         "costs_known",
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -251,7 +251,9 @@
         self._fleet_costs.add_report(peer, _cost_report(message))
         fleet = self._fleet_costs.fleet
         if fleet.is_known and not was_known:
-            beliefs.costs_known(fleet, reports=self._fleet_costs.report_count)
+            beliefs.log_known_costs(
+                fleet, reports=self._fleet_costs.report_count
+            )
 
     def _on_place_ended(self, message: leader_messages.PlaceEnded) -> None:
         held = self._held_places.get(message.number)
