--- a/src/jujubewharf/forwarding/beliefs.py
+++ b/src/jujubewharf/forwarding/beliefs.py
@@ -81,7 +81,9 @@
     )
 
 
-def vanished(engine: str, *, answers: bool, registry_age_ms: float) -> None:
+def log_missing_engine(
+    engine: str, *, answers: bool, registry_age_ms: float
+) -> None:
     """Logs an entry that disappeared without an announced drain.
 
     An engine that still answers is shutting down.
--- a/src/jujubewharf/forwarding/role_controller.py
+++ b/src/jujubewharf/forwarding/role_controller.py
@@ -191,7 +191,7 @@
                 continue
             missing_engine.was_probed = True
             is_reachable = await self._is_reachable(missing_engine.engine)
-            beliefs.vanished(
+            beliefs.log_missing_engine(
                 missing_engine.engine.name,
                 answers=is_reachable,
                 registry_age_ms=self._registry.age_ms,
