--- a/src/jujubewharf/forwarding/backpressure.py
+++ b/src/jujubewharf/forwarding/backpressure.py
@@ -256,7 +256,7 @@
 def _log(
     terms: notices.Terms, *, told_by: str, backoff_ms: float = 0.0
 ) -> None:
-    beliefs.endpoint_said(
+    beliefs.log_endpoint_notice(
         terms.endpoint,
         rate_limit_per_s=terms.rate_limit_per_s,
         is_leaving=terms.is_leaving,
--- a/src/jujubewharf/forwarding/beliefs.py
+++ b/src/jujubewharf/forwarding/beliefs.py
@@ -96,7 +96,7 @@
     )
 
 
-def endpoint_said(
+def log_endpoint_notice(
     endpoint: str,
     *,
     rate_limit_per_s: float | None,
