--- a/src/jujubewharf/forwarding/beliefs.py
+++ b/src/jujubewharf/forwarding/beliefs.py
@@ -131,7 +131,7 @@
     )
 
 
-def engine_crashed(
+def log_engine_crash(
     request: str, engine: str, *, stage: str, crashes: int, label: str
 ) -> None:
     """Logs an engine that crashed while it processed a request.
--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -129,7 +129,7 @@
         is_new = engine not in record.crashes_ms
         record.crashes_ms.setdefault(engine, self._clock.now_ms())
         record.remove_expired(self._clock.now_ms() - RETENTION_MS)
-        beliefs.engine_crashed(
+        beliefs.log_engine_crash(
             call.request_id,
             engine,
             stage=stage,
