--- a/src/jujubewharf/forwarding/beliefs.py
+++ b/src/jujubewharf/forwarding/beliefs.py
@@ -155,7 +155,7 @@
     )
 
 
-def permit_asked(*, is_granted: bool, counted_by: str) -> None:
+def count_permit_request(*, is_granted: bool, counted_by: str) -> None:
     """Counts a permit requested for an endpoint with a rate limit."""
     outcome = "granted" if is_granted else "denied"
     _PERMITS.add(1, {"outcome": outcome, "counted_by": counted_by})
--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -73,7 +73,9 @@
         is_granted = wait_ms <= 0.0
         if not is_granted:
             self._backpressure.defer(endpoint, wait_ms)
-        beliefs.permit_asked(is_granted=is_granted, counted_by=role.value)
+        beliefs.count_permit_request(
+            is_granted=is_granted, counted_by=role.value
+        )
         return is_granted
 
     def grant(self, endpoint: str) -> float:
