--- a/src/jujubewharf/forwarding/backpressure.py
+++ b/src/jujubewharf/forwarding/backpressure.py
@@ -14,7 +14,7 @@
 from jujubewharf import clock as clocks
 from jujubewharf.configuration import resources
 from jujubewharf.engines import notices
-from jujubewharf.forwarding import beliefs
+from jujubewharf.forwarding import state_log
 
 # Retention for endpoints that are not registered. Their entry may be missing
 # because of an outage of the store and return later.
@@ -256,7 +256,7 @@
 def _log(
     terms: notices.Terms, *, told_by: str, backoff_ms: float = 0.0
 ) -> None:
-    beliefs.log_endpoint_notice(
+    state_log.log_endpoint_notice(
         terms.endpoint,
         rate_limit_per_s=terms.rate_limit_per_s,
         is_leaving=terms.is_leaving,
--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -16,10 +16,10 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf import errors
-from jujubewharf.forwarding import beliefs
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import crash_reports
 from jujubewharf.forwarding import fingerprints
+from jujubewharf.forwarding import state_log
 
 # Number of crashes that quarantines a request. One or two can be coincidence.
 QUARANTINE_CRASHES = 3
@@ -129,7 +129,7 @@
         is_new = engine not in record.crashes_ms
         record.crashes_ms.setdefault(engine, self._clock.now_ms())
         record.remove_expired(self._clock.now_ms() - RETENTION_MS)
-        beliefs.log_engine_crash(
+        state_log.log_engine_crash(
             call.request_id,
             engine,
             stage=stage,
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -13,7 +13,6 @@
 from jujubewharf.configuration import resources
 from jujubewharf.forwarding import attempts
 from jujubewharf.forwarding import backpressure
-from jujubewharf.forwarding import beliefs
 from jujubewharf.forwarding import budget
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import costs
@@ -34,6 +33,7 @@
 from jujubewharf.forwarding import role_controller
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import settings as all_settings
+from jujubewharf.forwarding import state_log
 from jujubewharf.forwarding import store_followers
 from jujubewharf.forwarding import stream
 from jujubewharf.leadership import crash_services
@@ -401,7 +401,7 @@
         for record in page.records:
             if record.value is not None and self.source.take(record.value):
                 self.quotas.remove_unconfigured()
-                beliefs.log_active_configuration(
+                state_log.log_active_configuration(
                     record.value, offset=record.offset
                 )
         if self.fleet.followers is not None:
--- a/src/jujubewharf/forwarding/role_controller.py
+++ b/src/jujubewharf/forwarding/role_controller.py
@@ -10,13 +10,13 @@
 from jujubewharf import clock as clocks
 from jujubewharf.configuration import resources
 from jujubewharf.engines import client
-from jujubewharf.forwarding import beliefs
 from jujubewharf.forwarding import costs
 from jujubewharf.forwarding import lease as leases
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import registry as registries
 from jujubewharf.forwarding import role_plan
 from jujubewharf.forwarding import routes
+from jujubewharf.forwarding import state_log
 
 _CHECK_INTERVAL_MS = 500.0
 # Time for which an engine gets no further order after one that wasn't
@@ -191,7 +191,7 @@
                 continue
             missing_engine.was_probed = True
             is_reachable = await self._is_reachable(missing_engine.engine)
-            beliefs.log_missing_engine(
+            state_log.log_missing_engine(
                 missing_engine.engine.name,
                 answers=is_reachable,
                 registry_age_ms=self._registry.age_ms,
@@ -251,7 +251,7 @@
                 self._lease.reject_fence(fence)
         until_ms = self._clock.now_ms() + timeout_ms
         self._pending[change.engine.name] = _PendingOrder(change, until_ms)
-        beliefs.log_role_order(
+        state_log.log_role_order(
             change.engine.name,
             role=change.role.value,
             fence=fence,
--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -19,8 +19,8 @@
 from jujubewharf import clock as clocks
 from jujubewharf.engines import notices
 from jujubewharf.forwarding import backpressure as all_backpressure
-from jujubewharf.forwarding import beliefs
 from jujubewharf.forwarding import limits
+from jujubewharf.forwarding import state_log
 from jujubewharf.leadership import fleet as fleets
 from jujubewharf.peers import limit_messages
 
@@ -73,7 +73,7 @@
         is_granted = wait_ms <= 0.0
         if not is_granted:
             self._backpressure.defer(endpoint, wait_ms)
-        beliefs.count_permit_request(
+        state_log.count_permit_request(
             is_granted=is_granted, counted_by=role.value
         )
         return is_granted
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -11,7 +11,6 @@
 from jujubewharf import clock as clocks
 from jujubewharf import errors
 from jujubewharf.engines import client
-from jujubewharf.forwarding import beliefs
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import costs
 from jujubewharf.forwarding import fingerprints
@@ -20,6 +19,7 @@
 from jujubewharf.forwarding import placement as placements
 from jujubewharf.forwarding import places as all_places
 from jujubewharf.forwarding import runs
+from jujubewharf.forwarding import state_log
 from jujubewharf.leadership import account_usage
 from jujubewharf.peers import crash_messages
 from jujubewharf.peers import leader_messages
@@ -251,7 +251,7 @@
         self._fleet_costs.add_report(peer, _cost_report(message))
         fleet = self._fleet_costs.fleet
         if fleet.is_known and not was_known:
-            beliefs.log_known_costs(
+            state_log.log_known_costs(
                 fleet, reports=self._fleet_costs.report_count
             )
 
