--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -41,9 +41,9 @@
 from jujubewharf.leadership import fleet_crashes
 from jujubewharf.leadership import fleet_limits
 from jujubewharf.leadership import fleet_quotas
-from jujubewharf.leadership import knowledge
 from jujubewharf.leadership import leadership
 from jujubewharf.leadership import led
+from jujubewharf.leadership import shared_state
 from jujubewharf.leaving import shutdown
 from jujubewharf.platform import groups
 from jujubewharf.platform import tables
@@ -139,7 +139,7 @@
         self.fleet = fleets.Fleet(
             self.registry,
             self.work,
-            knowledge.Knowledge(self.backpressure, self.crashes),
+            shared_state.Knowledge(self.backpressure, self.crashes),
             lambda: self._endpoints.offset,
             clock,
             in_force_within_ms=settings.store.in_force_within_ms,
--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -16,11 +16,11 @@
 from jujubewharf.forwarding import registry as registries
 from jujubewharf.leadership import feeds as all_feeds
 from jujubewharf.leadership import followers as all_followers
-from jujubewharf.leadership import knowledge as all_knowledge
 from jujubewharf.leadership import leader_link
 from jujubewharf.leadership import leadership
 from jujubewharf.leadership import low_accounts
 from jujubewharf.leadership import placement_server as servers
+from jujubewharf.leadership import shared_state
 from jujubewharf.peers import counters
 from jujubewharf.peers import link_messages
 from jujubewharf.peers import messages
@@ -69,7 +69,7 @@
         self,
         registry: registries.Registry,
         work: costs.CostEstimates,
-        knowledge: all_knowledge.Knowledge,
+        knowledge: shared_state.Knowledge,
         endpoints_end: Callable[[], int],
         clock: clocks.Clock,
         *,
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -10,9 +10,9 @@
 from jujubewharf.configuration import resources
 from jujubewharf.forwarding import registration
 from jujubewharf.forwarding import routes
-from jujubewharf.leadership import knowledge as all_knowledge
 from jujubewharf.leadership import packing
 from jujubewharf.leadership import placement_server as servers
+from jujubewharf.leadership import shared_state
 from jujubewharf.peers import codec
 from jujubewharf.peers import counters
 from jujubewharf.peers import handshake
@@ -63,7 +63,7 @@
         new_placement_server: servers.PlacementServerFactory,
         counts: counters.PeerCounters,
         clock: clocks.Clock,
-        knowledge: all_knowledge.Knowledge,
+        knowledge: shared_state.Knowledge,
         *,
         count_within_ms: float,
     ) -> None:
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -20,9 +20,9 @@
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
 from jujubewharf.leadership import feeds as all_feeds
-from jujubewharf.leadership import knowledge as all_knowledge
 from jujubewharf.leadership import low_accounts
 from jujubewharf.leadership import packing
+from jujubewharf.leadership import shared_state
 from jujubewharf.peers import crash_messages
 from jujubewharf.peers import leader_messages
 from jujubewharf.peers import limit_messages
@@ -82,7 +82,7 @@
         feeds: Feeds,
         registry: registries.Registry,
         work: costs.CostEstimates,
-        knowledge: all_knowledge.Knowledge,
+        knowledge: shared_state.Knowledge,
         endpoints_end: Callable[[], int],
         clock: clocks.Clock,
     ) -> None:
