--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -139,7 +139,7 @@
         self.fleet = fleets.Fleet(
             self.registry,
             self.work,
-            shared_state.Knowledge(self.backpressure, self.crashes),
+            shared_state.SharedState(self.backpressure, self.crashes),
             lambda: self._endpoints.offset,
             clock,
             in_force_within_ms=settings.store.in_force_within_ms,
--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -49,7 +49,7 @@
     Args:
         registry: Known engines by name.
         work: Costs observed by this instance.
-        knowledge: State that all instances share.
+        state: State that all instances share.
         endpoints_end: Returns the offset up to which this instance has read the
             endpoints.
         clock: Clock.
@@ -69,7 +69,7 @@
         self,
         registry: registries.Registry,
         work: costs.CostEstimates,
-        knowledge: shared_state.Knowledge,
+        state: shared_state.SharedState,
         endpoints_end: Callable[[], int],
         clock: clocks.Clock,
         *,
@@ -79,7 +79,7 @@
     ) -> None:
         self._clock = clock
         self._work = work
-        self._knowledge = knowledge
+        self._state = state
         self._count_within_ms = count_within_ms
         self.feeds = leader_link.Feeds(
             all_feeds.Feed(
@@ -93,7 +93,7 @@
             low_accounts.LowAccounts(clock),
         )
         self.link = leader_link.LeaderLink(
-            self.feeds, registry, work, knowledge, endpoints_end, clock
+            self.feeds, registry, work, state, endpoints_end, clock
         )
         self.feeds.configurations.fetch = self.link.fetch_configuration
         self.followers: all_followers.Followers | None = None
@@ -208,7 +208,7 @@
             new_placement_server,
             counts,
             self._clock,
-            self._knowledge,
+            self._state,
             count_within_ms=self._count_within_ms,
         )
         return leadership.Leadership(
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -49,7 +49,7 @@
         new_placement_server: Creates the placement server of one follower.
         counts: Counters of links.
         clock: Clock.
-        knowledge: State that all instances share.
+        state: State that all instances share.
         count_within_ms: Time in ms for which a follower is counted after its
             link ended.
 
@@ -63,7 +63,7 @@
         new_placement_server: servers.PlacementServerFactory,
         counts: counters.PeerCounters,
         clock: clocks.Clock,
-        knowledge: shared_state.Knowledge,
+        state: shared_state.SharedState,
         *,
         count_within_ms: float,
     ) -> None:
@@ -75,7 +75,7 @@
         self._new_placement_server = new_placement_server
         self._counts = counts
         self._clock = clock
-        self._knowledge = knowledge
+        self._state = state
         self._links: set[links.Link] = set()
         # Offset up to which each follower has read the endpoints, for followers
         # that have not been sent the later changes yet.
@@ -173,7 +173,7 @@
                 self._send_configuration(self._configuration, [link])
             link.tell(self._heartbeat())
             link.tell(self._low_accounts)
-            for known in self._knowledge.greeting():
+            for known in self._state.greeting():
                 link.tell(known)
             await link.run()
         finally:
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -65,7 +65,7 @@
         feeds: Store the data received from the leader.
         registry: Known engines by name.
         work: Costs observed by this instance.
-        knowledge: State that all instances share.
+        state: State that all instances share.
         endpoints_end: Returns the offset up to which this instance has read the
             endpoints.
         clock: Clock.
@@ -82,7 +82,7 @@
         feeds: Feeds,
         registry: registries.Registry,
         work: costs.CostEstimates,
-        knowledge: shared_state.Knowledge,
+        state: shared_state.SharedState,
         endpoints_end: Callable[[], int],
         clock: clocks.Clock,
     ) -> None:
@@ -93,7 +93,7 @@
         self._feeds = feeds
         self._registry = registry
         self._work = work
-        self._knowledge = knowledge
+        self._state = state
         self._clock = clock
         self._link: links.Link | None = None
         self._sequence = itertools.count(1)
@@ -108,7 +108,7 @@
         self._link = link
         self.discard_received()
         link.tell(leader_messages.Following(self._endpoints_end()))
-        for known in self._knowledge.greeting():
+        for known in self._state.greeting():
             link.tell(known)
         report = self._work.report()
         if report.sample_size:
@@ -171,7 +171,7 @@
             case quota_messages.AccountParts():
                 self.on_usage_shares(message.by_account)
             case limit_messages.TermsKnown() | crash_messages.CrashesKnown():
-                self._knowledge.told_by_leader(message)
+                self._state.told_by_leader(message)
             case leader_messages.EndpointNews():
                 records = [_table_record(r) for r in message.records]
                 self._feeds.endpoints.apply(records, message.end)
@@ -345,7 +345,7 @@
         self, number: int, run: runs.Run
     ) -> leader_messages.PlaceAsk:
         work = run.call.work
-        backoffs_ms = self._knowledge.backpressure.backoffs_ms()
+        backoffs_ms = self._state.backpressure.backoffs_ms()
         return leader_messages.PlaceAsk(
             number=number,
             request_id=run.call.request_id,
--- a/src/jujubewharf/leadership/shared_state.py
+++ b/src/jujubewharf/leadership/shared_state.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Knowledge:
+class SharedState:
     """State that an instance shares with its leader or followers.
 
     Attributes:
