--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -173,7 +173,7 @@
                 self._send_configuration(self._configuration, [link])
             link.tell(self._heartbeat())
             link.tell(self._low_accounts)
-            for known in self._state.greeting():
+            for known in self._state.initial_messages():
                 link.tell(known)
             await link.run()
         finally:
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -108,7 +108,7 @@
         self._link = link
         self.discard_received()
         link.tell(leader_messages.Following(self._endpoints_end()))
-        for known in self._state.greeting():
+        for known in self._state.initial_messages():
             link.tell(known)
         report = self._work.report()
         if report.sample_size:
--- a/src/jujubewharf/leadership/shared_state.py
+++ b/src/jujubewharf/leadership/shared_state.py
@@ -23,7 +23,7 @@
     backpressure: backpressure.Backpressure
     history: crashes.CrashHistory
 
-    def greeting(self) -> tuple[messages.Message, ...]:
+    def initial_messages(self) -> tuple[messages.Message, ...]:
         """Returns the messages that each side of a new link sends first."""
         terms = limit_messages.TermsKnown(
             self.backpressure.terms, is_news=False
