--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -171,7 +171,7 @@
             case quota_messages.AccountParts():
                 self.on_usage_shares(message.by_account)
             case limit_messages.TermsKnown() | crash_messages.CrashesKnown():
-                self._state.told_by_leader(message)
+                self._state.apply(message)
             case leader_messages.EndpointNews():
                 records = [_table_record(r) for r in message.records]
                 self._feeds.endpoints.apply(records, message.end)
--- a/src/jujubewharf/leadership/shared_state.py
+++ b/src/jujubewharf/leadership/shared_state.py
@@ -33,7 +33,7 @@
             return (terms,)
         return (terms, crash_messages.CrashesKnown(reports))
 
-    def told_by_leader(self, message: messages.Message) -> None:
+    def apply(self, message: messages.Message) -> None:
         """Applies a message from the leader."""
         match message:
             case limit_messages.TermsKnown():
