--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -22,7 +22,7 @@
 from jujubewharf.configuration import changes
 from jujubewharf.configuration import follower
 from jujubewharf.engines import endpoint_client
-from jujubewharf.leaving import departures
+from jujubewharf.leaving import leaving_endpoints
 from jujubewharf.leaving import shutdown
 from jujubewharf.membership import facts
 from jujubewharf.membership import membership as memberships
@@ -163,7 +163,7 @@
             ),
             owns=ownership.Ownership(self.membership).owns,
         )
-        self.departures = departures.Departures(
+        self.departures = leaving_endpoints.Departures(
             self.facts,
             self.membership.listed_endpoints,
             self.fleet.leaving_engines,
