--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -163,7 +163,7 @@
             ),
             owns=ownership.Ownership(self.membership).owns,
         )
-        self.departures = leaving_endpoints.Departures(
+        self.departures = leaving_endpoints.LeavingEndpoints(
             self.facts,
             self.membership.listed_endpoints,
             self.fleet.leaving_engines,
--- a/src/jujubewharf/leaving/leaving_endpoints.py
+++ b/src/jujubewharf/leaving/leaving_endpoints.py
@@ -44,7 +44,7 @@
 SayLeaving = Callable[[], Iterable[str]]
 
 
-class Departures(mode.Service):
+class LeavingEndpoints(mode.Service):
     """Endpoints that get no new work because some source reports them leaving.
 
     Drains by operators are not included: they are part of the configuration,
