--- a/src/jujubewharf/leaving/leaving_endpoints.py
+++ b/src/jujubewharf/leaving/leaving_endpoints.py
@@ -41,7 +41,7 @@
 
 
 ListedEndpoints = Callable[[], Iterable[live_list.LiveMember]]
-SayLeaving = Callable[[], Iterable[str]]
+SelfReportedEndpoints = Callable[[], Iterable[str]]
 
 
 class LeavingEndpoints(mode.Service):
@@ -65,7 +65,7 @@
         self,
         facts: all_facts.Facts,
         listed: ListedEndpoints,
-        self_reported: SayLeaving,
+        self_reported: SelfReportedEndpoints,
         clock: clocks.Clock,
     ) -> None:
         super().__init__()
