--- a/src/jujubewharf/leaving/process.py
+++ b/src/jujubewharf/leaving/process.py
@@ -110,5 +110,5 @@
     def _on_signal(self) -> None:
         if self._shutdown is not None:
             structlog.get_logger().warning("shutdown_hastened")
-            self._shutdown.hasten()
+            self._shutdown.force()
         self._signalled.set()
--- a/src/jujubewharf/leaving/shutdown.py
+++ b/src/jujubewharf/leaving/shutdown.py
@@ -107,15 +107,15 @@
         self._clock = clock
         self._grace_ms = grace_ms
         self._drain_ms = drain_ms
-        self._hastened = asyncio.Event()
+        self._forced = asyncio.Event()
         self._logger = structlog.get_logger()
 
-    def hasten(self) -> None:
+    def force(self) -> None:
         """Skips the rest of the wait; requests in flight are cut off."""
-        self._hastened.set()
+        self._forced.set()
 
     async def run(self) -> Summary:
-        """Waits until the instance is idle, the limit passes or ``hasten``."""
+        """Waits until the instance is idle, the limit passes or ``force``."""
         started_ms = self._clock.now_ms()
         deadline_ms = started_ms + self._drain_ms
         self._logger.info("shutdown_began", in_flight=self._in_flight())
@@ -124,7 +124,7 @@
         await self._wait_until_ms(min(started_ms + self._grace_ms, deadline_ms))
         self._admission.is_accepting = False
         while self._in_flight() and self._clock.now_ms() < deadline_ms:
-            if self._hastened.is_set():
+            if self._forced.is_set():
                 break
             await self._wait_until_ms(self._clock.now_ms() + _POLL_MS)
         summary = Summary(self._in_flight(), self._clock.now_ms() - started_ms)
@@ -139,4 +139,4 @@
         timeout_ms = at_ms - self._clock.now_ms()
         with contextlib.suppress(TimeoutError):
             async with self._clock.timeout_ms(timeout_ms):
-                await self._hastened.wait()
+                await self._forced.wait()
--- a/tests/scenarios/test_shutdown.py
+++ b/tests/scenarios/test_shutdown.py
@@ -102,7 +102,7 @@
             task = asyncio.create_task(leaving.run())
             if hasten_after_s is not None:
                 await self.bench.clock.sleep_ms(hasten_after_s * 1_000)
-                leaving.hasten()
+                leaving.force()
             self.summary = await task
 
         self.run(drain())
--- a/tests/users_platform/test_program.py
+++ b/tests/users_platform/test_program.py
@@ -152,7 +152,7 @@
             ready = f"http://{settings.readiness}{edge.READY_PATH}"
             async with session.get(ready) as answer:
                 assert answer.status == 503
-            shutdown.hasten()
+            shutdown.force()
             assert (await draining).cut == 0
 
 
