--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -364,7 +364,7 @@
     def apply_settings(self, settings: all_settings.ForwardingSettings) -> None:
         """Applies settings that can change while the process runs."""
         self._settings = settings
-        self.quotas.tolerated = settings.quotas
+        self.quotas.quota_settings = settings.quotas
         self.budget.change(
             ratio=settings.retries.ratio,
             slack=settings.retries.slack,
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -74,7 +74,7 @@
         source: The configured accounts.
         share: Returns this instance's share of the fleet, 0 to 1, for use
             without a leader.
-        tolerated: What may be used beyond quotas.
+        quota_settings: What may be used beyond quotas.
         clock: Clock.
         rng: Random jitter of admissions after the leader was lost.
     """
@@ -84,12 +84,12 @@
         fleet: fleets.Fleet,
         source: forwarder.ActiveConfiguration,
         share: Callable[[], float],
-        tolerated: settings.QuotaSettings,
+        quota_settings: settings.QuotaSettings,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
         super().__init__()
-        self.tolerated = tolerated
+        self.quota_settings = quota_settings
         self._fleet = fleet
         self._source = source
         self._share = share
@@ -275,7 +275,11 @@
         local_quota = self._local_quota(name, quota)
         debt = 0.0
         if units <= quota.burst * _SMALL_REQUEST_SHARE:
-            debt = self.tolerated.slack * _DEBT_SHARE * self._quota_share(name)
+            debt = (
+                self.quota_settings.slack
+                * _DEBT_SHARE
+                * self._quota_share(name)
+            )
         if role is fleets.Role.FOLLOWING:
             feed = self._fleet.feeds.low_accounts
             wait_ms = feed.take(name, local_quota, units, debt=debt)
--- a/tests/leadership/test_fleet_quotas.py
+++ b/tests/leadership/test_fleet_quotas.py
@@ -257,7 +257,9 @@
         ) as world:
             await _started(world, ("hot", USUAL))
             for instance in world.instances.values():
-                instance.quotas.tolerated = settings.QuotaSettings(slack=SLACK)
+                instance.quotas.quota_settings = settings.QuotaSettings(
+                    slack=SLACK
+                )
             streams = asyncio.ensure_future(
                 _flood(
                     world,
