--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -19,14 +19,14 @@
 
     Args:
         leader: The link to the leader.
-        alone: Local placement, for the leader and without a leader.
+        local: Local placement, for the leader and without a leader.
     """
 
     def __init__(
-        self, leader: leader_link.LeaderLink, alone: placements.Placement
+        self, leader: leader_link.LeaderLink, local: placements.Placement
     ) -> None:
         self._leader = leader
-        self._alone = alone
+        self._local = local
 
     @contextlib.asynccontextmanager
     async def place(self, run: runs.Run) -> AsyncIterator[all_places.Place]:
@@ -43,10 +43,10 @@
                     stack.push_async_exit(leader_context)
             is_led = place is not None
             if place is None:
-                place = await stack.enter_async_context(self._alone.place(run))
+                place = await stack.enter_async_context(self._local.place(run))
             yield place
             if is_led:
-                self._alone.learn_stay(place)
+                self._local.learn_stay(place)
 
 
 class FleetObservations:
