--- a/src/jujubewharf/engines/client.py
+++ b/src/jujubewharf/engines/client.py
@@ -86,7 +86,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PrefillDone:
+class PrefillResult:
     """Result of a prefill; it expires if no engine imports it in time.
 
     Attributes:
@@ -235,7 +235,7 @@
         """Reserves a decode slot for an attempt; idempotent."""
         ...
 
-    async def prefill(self, attempt: Attempt, job: PrefillJob) -> PrefillDone:
+    async def prefill(self, attempt: Attempt, job: PrefillJob) -> PrefillResult:
         """Prefills a prompt; the engine keeps the result for ``import_kv``."""
         ...
 
--- a/src/jujubewharf/engines/http.py
+++ b/src/jujubewharf/engines/http.py
@@ -59,11 +59,11 @@
 
     async def prefill(
         self, attempt: client.Attempt, job: client.PrefillJob
-    ) -> client.PrefillDone:
+    ) -> client.PrefillResult:
         """Prefills a prompt; see ``client.EngineClient``."""
         body = _attempt(attempt) | dataclasses.asdict(job)
         done = await self._call("prefill", body, _PREFILL_TIMEOUT_MS)
-        return client.PrefillDone(**done)
+        return client.PrefillResult(**done)
 
     async def import_kv(
         self, attempt: client.Attempt, source_address: str
--- a/src/jujubewharf/experiments/remote_engine.py
+++ b/src/jujubewharf/experiments/remote_engine.py
@@ -63,7 +63,7 @@
 
     async def prefill(
         self, attempt: client.Attempt, job: client.PrefillJob
-    ) -> client.PrefillDone:
+    ) -> client.PrefillResult:
         """Reads a prompt; see ``client.EngineClient``."""
         return await self._call(
             lambda: self._engine.prefill(attempt, job),
--- a/src/jujubewharf/requests/attempt.py
+++ b/src/jujubewharf/requests/attempt.py
@@ -168,7 +168,7 @@
 
     async def _prefill_while_reserving(
         self, choice: jobs.Choice, placements: contextlib.AsyncExitStack
-    ) -> tuple[client.PrefillDone, resources.Endpoint]:
+    ) -> tuple[client.PrefillResult, resources.Endpoint]:
         """Runs the prefill while the reservation waits for a free slot."""
         assert choice.prefill is not None
         assert choice.decode is not None
@@ -206,7 +206,7 @@
 
     async def _prefill(
         self, prefill: resources.Endpoint, at_ms: float
-    ) -> client.PrefillDone:
+    ) -> client.PrefillResult:
         await self._clock.sleep_until_ms(at_ms)
         view = self._view(prefill)
         self._used_endpoints.append(prefill)
@@ -226,7 +226,7 @@
         self._waste_cause = request_counters.WasteCause.ENGINE_FAILED
         return done
 
-    def _kv_expires_ms(self, done: client.PrefillDone) -> float:
+    def _kv_expires_ms(self, done: client.PrefillResult) -> float:
         return self._clock.now_ms() + done.survives_ms
 
     async def _find_slot(
@@ -263,7 +263,7 @@
         self,
         prefill: resources.Endpoint,
         decode: resources.Endpoint,
-        done: client.PrefillDone,
+        done: client.PrefillResult,
         placements: contextlib.AsyncExitStack,
         expires_ms: float,
     ) -> resources.Endpoint:
@@ -286,7 +286,7 @@
         self,
         prefill: resources.Endpoint,
         decode: resources.Endpoint,
-        done: client.PrefillDone,
+        done: client.PrefillResult,
     ) -> None:
         self._waste_cause = request_counters.WasteCause.TRANSFER_FAILED
         rate = min(prefill.link_bytes_per_s, decode.link_bytes_per_s)
--- a/src/jujubewharf/standins/engine.py
+++ b/src/jujubewharf/standins/engine.py
@@ -81,7 +81,7 @@
         self._prefilled = prefill_results.PrefillResults(
             clock, self.counts, self.ledger
         )
-        self._prefills: dict[str, asyncio.Task[client.PrefillDone]] = {}
+        self._prefills: dict[str, asyncio.Task[client.PrefillResult]] = {}
         self._running = 0
         self._queued_tokens = 0
         self._turns = turns.Turns()
@@ -112,7 +112,7 @@
 
     async def prefill(
         self, attempt: client.Attempt, job: client.PrefillJob
-    ) -> client.PrefillDone:
+    ) -> client.PrefillResult:
         """Reads a prompt; see ``client.EngineClient``."""
         self._check_alive()
         self._check_model(job.model)
@@ -297,7 +297,7 @@
 
     async def _read_prompt(
         self, attempt: client.Attempt, job: client.PrefillJob
-    ) -> client.PrefillDone:
+    ) -> client.PrefillResult:
         tokens = len(prefixes.tokens_of(job.prompt))
         priority = job.priority if self.spec.capabilities.priorities else 0
         self._queued_tokens += tokens
@@ -322,7 +322,7 @@
                 tokens,
             )
         )
-        return client.PrefillDone(tokens, cached, kv_bytes, survives_ms)
+        return client.PrefillResult(tokens, cached, kv_bytes, survives_ms)
 
     async def _read(self, attempt_id: str, tokens: int) -> None:
         await readings.read(
