--- a/src/jujubewharf/engines/notices.py
+++ b/src/jujubewharf/engines/notices.py
@@ -40,7 +40,7 @@
 Listener = Callable[[resources.Endpoint, Notice], None]
 
 
-def nobody_listens(endpoint: resources.Endpoint, notice: Notice) -> None:
+def ignore_notice(endpoint: resources.Endpoint, notice: Notice) -> None:
     """Default listener; ignores the notice."""
 
 
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -64,7 +64,7 @@
         self._sources: set[str] = set()
         self._numbers = itertools.count(1)
         self._checked: list[str] = []
-        self._listener: notices.Listener = notices.nobody_listens
+        self._listener: notices.Listener = notices.ignore_notice
 
     @property
     def checks(self) -> int:
