--- a/src/jujubewharf/engines/notices.py
+++ b/src/jujubewharf/engines/notices.py
@@ -31,7 +31,7 @@
     backoff_ms: float = 0.0
 
     @property
-    def restrains(self) -> bool:
+    def is_restrictive(self) -> bool:
         """Whether the status restricts work in any way."""
         has_limit = self.rate_limit_per_s is not None
         return has_limit or self.is_leaving or self.backoff_ms > 0.0
@@ -60,7 +60,7 @@
     is_leaving: bool = False
 
     @property
-    def restrains(self) -> bool:
+    def is_restrictive(self) -> bool:
         """Whether there is any restriction."""
         return self.rate_limit_per_s is not None or self.is_leaving
 
--- a/src/jujubewharf/forwarding/backpressure.py
+++ b/src/jujubewharf/forwarding/backpressure.py
@@ -75,7 +75,7 @@
         self, endpoint: resources.Endpoint, notice: notices.Notice
     ) -> None:
         """Applies a notice from an answer to this instance."""
-        if endpoint.name not in self._by_name and not notice.restrains:
+        if endpoint.name not in self._by_name and not notice.is_restrictive:
             return
         state = self._get(endpoint.name)
         terms = notices.Terms(
@@ -125,7 +125,7 @@
         return tuple(
             state.terms
             for state in self._by_name.values()
-            if state.terms.restrains
+            if state.terms.is_restrictive
         )
 
     @property
