--- a/src/jujubewharf/engines/notices.py
+++ b/src/jujubewharf/engines/notices.py
@@ -13,7 +13,7 @@
     """Status of an endpoint as stated by one response.
 
     Attributes:
-        asked_ms: Clock reading when the request of this response was sent.
+        requested_ms: Clock reading when the request of this response was sent.
         rate_limit_per_s: Requests per second that the endpoint accepts from all
             instances together; ``None`` if the response states no limit.
         ends_limit: Whether the absence of a limit means that none is in force.
@@ -24,7 +24,7 @@
             receiving instance; 0 for none.
     """
 
-    asked_ms: float
+    requested_ms: float
     rate_limit_per_s: float | None = None
     ends_limit: bool = False
     is_leaving: bool = False
--- a/src/jujubewharf/forwarding/backpressure.py
+++ b/src/jujubewharf/forwarding/backpressure.py
@@ -223,7 +223,7 @@
         limit, new_limit = state.terms.rate_limit_per_s, notice.rate_limit_per_s
         if new_limit is not None and (limit is None or new_limit < limit):
             return new_limit
-        is_later = notice.asked_ms > state.limit_received_ms
+        is_later = notice.requested_ms > state.limit_received_ms
         if is_later and (new_limit is not None or notice.ends_limit):
             return new_limit
         return limit
