--- a/src/jujubewharf/engines/liveness.py
+++ b/src/jujubewharf/engines/liveness.py
@@ -12,7 +12,7 @@
 _CONNECT_TIMEOUT_MS = 150.0
 
 
-async def is_refused(address: str, clock: clocks.Clock) -> bool:
+async def refuses_connections(address: str, clock: clocks.Clock) -> bool:
     """Whether an address refuses connections, so that no process listens.
 
     A host that is down, frozen or partitioned does not reply at all, and an
--- a/tests/engines/test_liveness.py
+++ b/tests/engines/test_liveness.py
@@ -16,14 +16,16 @@
     with socket.socket() as bound:
         bound.bind((HOST, 0))
         port = bound.getsockname()[1]
-    assert await liveness.is_refused(f"{HOST}:{port}", clocks.Clock())
+    assert await liveness.refuses_connections(f"{HOST}:{port}", clocks.Clock())
 
 
 async def test_closed_connection_is_not_refused():
     server = await asyncio.start_server(lambda r, w: w.close(), HOST, 0)
     async with server:
         port = server.sockets[0].getsockname()[1]
-        assert not await liveness.is_refused(f"{HOST}:{port}", clocks.Clock())
+        assert not await liveness.refuses_connections(
+            f"{HOST}:{port}", clocks.Clock()
+        )
 
 
 async def test_timeout_is_not_refused():
@@ -34,4 +36,6 @@
 
     with mock.patch.object(liveness, "_CONNECT_TIMEOUT_MS", 10.0):
         with mock.patch.object(asyncio, "open_connection", silent):
-            assert not await liveness.is_refused("10.0.0.1:1", clocks.Clock())
+            assert not await liveness.refuses_connections(
+                "10.0.0.1:1", clocks.Clock()
+            )
