--- a/src/jujubewharf/engines/sessions.py
+++ b/src/jujubewharf/engines/sessions.py
@@ -36,7 +36,7 @@
         super().connection_lost(exc)
 
 
-def new_session(*, is_kept: bool = False) -> aiohttp.ClientSession:
+def new_session(*, keep_alive: bool = False) -> aiohttp.ClientSession:
     """Creates a session for requests, or for calls about an engine's state.
 
     Each request gets a new connection. On a kept-alive connection a delayed
@@ -49,7 +49,7 @@
     """
     connector = (
         aiohttp.TCPConnector(limit=0, keepalive_timeout=_KEEPALIVE_S)
-        if is_kept
+        if keep_alive
         else aiohttp.TCPConnector(limit=0, force_close=True)
     )
     connector._factory = functools.partial(  # type: ignore[assignment]
--- a/tests/users_platform/engine_calls.py
+++ b/tests/users_platform/engine_calls.py
@@ -50,7 +50,7 @@
 async def connected():
     """The adapter, on sessions that end with the block."""
     with mock.patch.object(sessions, "_CONNECT_TIMEOUT_S", _CONNECT_S):
-        kept = sessions.new_session(is_kept=True)
+        kept = sessions.new_session(keep_alive=True)
         session = sessions.new_session()
     async with session, kept:
         yield engines.Engines(session, kept, clocks.Clock())
