--- a/src/jujubewharf/orders/leases.py
+++ b/src/jujubewharf/orders/leases.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Terms:
+class LeaseTiming:
     """Duration and safety margins of leases.
 
     Attributes:
@@ -86,11 +86,11 @@
         platform_log: log.Log,
         clock: clocks.Clock,
         *,
-        terms: Terms | None = None,
+        terms: LeaseTiming | None = None,
         wait_ms: float = 2_000.0,
     ) -> None:
         super().__init__()
-        self.terms = terms or Terms()
+        self.terms = terms or LeaseTiming()
         self.ledger = ledger.Ledger(
             margin_ms=self.terms.others_margin_ms,
             max_lease_ms=self.terms.lease_ms,
