--- a/src/jujubewharf/orders/leases.py
+++ b/src/jujubewharf/orders/leases.py
@@ -73,7 +73,7 @@
         instance: Name of this instance.
         platform_log: The platform's log.
         clock: Time source.
-        terms: Duration and margins of leases.
+        timing: Duration and margins of leases.
         wait_ms: Maximum time that one read waits for new records.
 
     Attributes:
@@ -86,14 +86,14 @@
         platform_log: log.Log,
         clock: clocks.Clock,
         *,
-        terms: LeaseTiming | None = None,
+        timing: LeaseTiming | None = None,
         wait_ms: float = 2_000.0,
     ) -> None:
         super().__init__()
-        self.terms = terms or LeaseTiming()
+        self.timing = timing or LeaseTiming()
         self.ledger = ledger.Ledger(
-            margin_ms=self.terms.others_margin_ms,
-            max_lease_ms=self.terms.lease_ms,
+            margin_ms=self.timing.others_margin_ms,
+            max_lease_ms=self.timing.lease_ms,
         )
         self._instance = instance
         self._platform_log = platform_log
@@ -162,14 +162,14 @@
 
     def renew_at_ms(self, lease: Lease) -> float:
         """Clock reading at which a lease should be renewed."""
-        return lease.valid_until_ms - self.terms.lease_ms / 3
+        return lease.valid_until_ms - self.timing.lease_ms / 3
 
     def _is_current(self, lease: Lease) -> bool:
         entry = self.ledger.entry(lease.engine)
         return entry is not None and entry.fence == lease.fence
 
     def _valid_until_ms(self, sent_ms: float) -> float:
-        return sent_ms + self.terms.lease_ms - self.terms.holder_margin_ms
+        return sent_ms + self.timing.lease_ms - self.timing.holder_margin_ms
 
     def _record(
         self,
@@ -185,7 +185,7 @@
             record_id=f"{self._incarnation}{next(self._numbers):x}",
             after=self.ledger.after(engine),
             fence=fence,
-            lease_ms=self.terms.lease_ms,
+            lease_ms=self.timing.lease_ms,
             purpose=purpose,
         )
 
@@ -205,7 +205,7 @@
                 await self._platform_log.append(
                     records.STREAM, [records.encode(record)]
                 )
-            async with self._clock.timeout_ms(self.terms.holder_margin_ms):
+            async with self._clock.timeout_ms(self.timing.holder_margin_ms):
                 return await future
         except (log.LogUnavailableError, TimeoutError):
             return None
@@ -261,7 +261,7 @@
             return
         self._append_started.clear()
         with contextlib.suppress(TimeoutError):
-            async with self._clock.timeout_ms(self.terms.read_pause_ms):
+            async with self._clock.timeout_ms(self.timing.read_pause_ms):
                 await self._append_started.wait()
 
 
