--- a/src/jujubewharf/orders/counters.py
+++ b/src/jujubewharf/orders/counters.py
@@ -5,7 +5,7 @@
 from opentelemetry import metrics
 
 from jujubewharf.engines import client
-from jujubewharf.orders import rolling
+from jujubewharf.orders import disruption_limits
 
 _METER = metrics.get_meter("jujubewharf")
 _GIVEN = _METER.create_counter(
@@ -29,6 +29,6 @@
     _FAILED.add(1, {"kind": kind.value, "reason": fault.value})
 
 
-def put_off(reason: rolling.Block) -> None:
+def put_off(reason: disruption_limits.Block) -> None:
     """Counts a deferred reconciliation of an engine."""
     _DEFERRED.add(1, {"reason": reason.value})
--- a/src/jujubewharf/orders/reconciler.py
+++ b/src/jujubewharf/orders/reconciler.py
@@ -11,9 +11,9 @@
 from jujubewharf.configuration import resources
 from jujubewharf.engines import client
 from jujubewharf.orders import counters
+from jujubewharf.orders import disruption_limits
 from jujubewharf.orders import plan
 from jujubewharf.orders import records
-from jujubewharf.orders import rolling
 from jujubewharf.orders import turn as turns
 
 _CHECK_MS = 2_000.0
@@ -104,5 +104,5 @@
         counters.put_off(reason)
         self._logger.info("turn_put_off", engine=engine, reason=reason.value)
         self._retry_at_ms[engine] = self._clock.now_ms() + _RETRY_MS
-        if reason is rolling.Block.IN_USE:
+        if reason is disruption_limits.Block.IN_USE:
             self._retry_at_ms[engine] += self._context.drain_ms
--- a/src/jujubewharf/orders/turn.py
+++ b/src/jujubewharf/orders/turn.py
@@ -13,10 +13,10 @@
 from jujubewharf.configuration import resources
 from jujubewharf.engines import client
 from jujubewharf.orders import counters
+from jujubewharf.orders import disruption_limits
 from jujubewharf.orders import leases as leasing
 from jujubewharf.orders import plan
 from jujubewharf.orders import records
-from jujubewharf.orders import rolling
 from jujubewharf.platform import weights
 from jujubewharf.routing import fleet as fleets
 
@@ -68,7 +68,7 @@
         self._is_order_in_flight = False
         self._logger = structlog.get_logger().bind(engine=engine)
 
-    async def run(self) -> rolling.Block | None:
+    async def run(self) -> disruption_limits.Block | None:
         """Runs the reconciliation.
 
         Returns:
@@ -79,13 +79,13 @@
             return reason
         lease = await self._leases.claim(self._engine, self._purpose)
         if lease is None:
-            return rolling.Block.HELD
+            return disruption_limits.Block.HELD
         renewal = asyncio.create_task(self._renew(lease))
         try:
             async with self._clock.timeout_ms(self._context.turn_ms):
                 return await self._run_with_lease(lease)
         except TimeoutError:
-            return rolling.Block.LEASE_ENDED
+            return disruption_limits.Block.LEASE_ENDED
         finally:
             renewal.cancel()
             # An order still in flight could arrive after one of the next
@@ -95,7 +95,7 @@
 
     async def _run_with_lease(
         self, lease: leasing.Lease
-    ) -> rolling.Block | None:
+    ) -> disruption_limits.Block | None:
         reason = await self._deferral(before=lease.fence)
         if reason is None and self._purpose is not records.Purpose.ADAPTER:
             reason = await self._drain(lease)
@@ -111,15 +111,17 @@
             if not await self._leases.renew(lease):
                 await self._clock.sleep_ms(_POLL_MS)
 
-    async def _deferral(self, *, before: int | None) -> rolling.Block | None:
+    async def _deferral(
+        self, *, before: int | None
+    ) -> disruption_limits.Block | None:
         endpoint = self._endpoint()
         report = await self._probe(endpoint) if endpoint else None
         if endpoint is None or report is None:
-            return rolling.Block.UNREACHABLE
+            return disruption_limits.Block.UNREACHABLE
         if self._purpose is records.Purpose.ADAPTER:
             return None
         service = self._service(endpoint)
-        if service is not None and rolling.is_serving(
+        if service is not None and disruption_limits.is_serving(
             service, endpoint, report
         ):
             reason = await self._deferral_by_service(
@@ -137,37 +139,39 @@
         endpoint: resources.Endpoint,
         report: client.LoadReport,
         before: int | None,
-    ) -> rolling.Block | None:
+    ) -> disruption_limits.Block | None:
         out_of_service = self._out_of_service(before)
         pool = self._pool(service)
-        if rolling.many_out(pool, out_of_service):
-            return rolling.Block.MANY_OUT
+        if disruption_limits.many_out(pool, out_of_service):
+            return disruption_limits.Block.MANY_OUT
         others = [other for other in pool if other.name not in out_of_service]
-        is_last = await rolling.is_last_fitting(
+        is_last = await disruption_limits.is_last_fitting(
             service, endpoint, report, others, self._probe
         )
-        return rolling.Block.LAST_FITTING if is_last else None
+        return disruption_limits.Block.LAST_FITTING if is_last else None
 
     async def _deferral_by_store(
         self, endpoint: resources.Endpoint, before: int | None
-    ) -> rolling.Block | None:
+    ) -> disruption_limits.Block | None:
         try:
             status = await self._context.weight_store.status()
         except weights.WeightStoreUnavailableError:
-            return rolling.Block.STORE_DOWN
+            return disruption_limits.Block.STORE_DOWN
         model = self._context.configuration.current.get(
             resources.Kind.MODEL, endpoint.model
         )
         declared = model.resource if model else resources.Model(endpoint.model)
         assert isinstance(declared, resources.Model)
-        max_loads = rolling.max_loads(
+        max_loads = disruption_limits.max_loads(
             status.rate_bytes_per_s, declared.weight_bytes
         )
         loads = self._count_loads(before)
         is_full = max(loads, status.active_fetches) >= max_loads
-        return rolling.Block.STORE_BUSY if is_full else None
+        return disruption_limits.Block.STORE_BUSY if is_full else None
 
-    async def _drain(self, lease: leasing.Lease) -> rolling.Block | None:
+    async def _drain(
+        self, lease: leasing.Lease
+    ) -> disruption_limits.Block | None:
         """Waits until the engine has held no requests for a while.
 
         The claim on the log has taken the engine out of service, but instances
@@ -184,9 +188,9 @@
             if now_ms - idle_since_ms >= _IDLE_MS:
                 return None
             if now_ms >= until_ms:
-                return rolling.Block.IN_USE
+                return disruption_limits.Block.IN_USE
             await self._clock.sleep_ms(_POLL_MS)
-        return rolling.Block.LEASE_ENDED
+        return disruption_limits.Block.LEASE_ENDED
 
     async def _is_in_use(self) -> bool:
         engine = self._client()
@@ -198,7 +202,9 @@
         except client.EngineError:
             return True
 
-    async def _send_orders(self, lease: leasing.Lease) -> rolling.Block | None:
+    async def _send_orders(
+        self, lease: leasing.Lease
+    ) -> disruption_limits.Block | None:
         """Sends orders until the engine reports the declared state."""
         last: plan.Step | None = None
         sent_ms = float("-inf")
@@ -206,7 +212,7 @@
             endpoint = self._endpoint()
             report = await self._probe(endpoint) if endpoint else None
             if endpoint is None or report is None:
-                return rolling.Block.UNREACHABLE
+                return disruption_limits.Block.UNREACHABLE
             step = plan.next_step(endpoint, report)
             if step != last:
                 self._is_order_in_flight = False
@@ -220,10 +226,10 @@
                 break
             fault = await self._send(step, lease)
             if fault is not None and fault is not client.EngineFault.LOST:
-                return rolling.Block.UNREACHABLE
+                return disruption_limits.Block.UNREACHABLE
             last = step
             sent_ms = self._clock.now_ms()
-        return rolling.Block.LEASE_ENDED
+        return disruption_limits.Block.LEASE_ENDED
 
     async def _send(
         self, step: plan.Step, lease: leasing.Lease
@@ -295,7 +301,7 @@
     def _out_of_service(self, before: int | None) -> frozenset[str]:
         held = self._leases.ledger.held(self._clock.now_ms())
         others = {n: e for n, e in held.items() if n != self._engine}
-        return rolling.taken_out(others, before=before)
+        return disruption_limits.taken_out(others, before=before)
 
     def _count_loads(self, before: int | None) -> int:
         held = self._leases.ledger.held(self._clock.now_ms())
