--- a/src/jujubewharf/orders/disruption_limits.py
+++ b/src/jujubewharf/orders/disruption_limits.py
@@ -23,7 +23,7 @@
 Probe = Callable[[resources.Endpoint], Awaitable[client.LoadReport | None]]
 
 
-class Block(enum.Enum):
+class DeferralReason(enum.Enum):
     """Reason to defer an order; the value is the reason in the counter."""
 
     LAST_FITTING = "last_fitting_engine"
--- a/src/jujubewharf/orders/turn.py
+++ b/src/jujubewharf/orders/turn.py
@@ -68,7 +68,7 @@
         self._is_order_in_flight = False
         self._logger = structlog.get_logger().bind(engine=engine)
 
-    async def run(self) -> disruption_limits.Block | None:
+    async def run(self) -> disruption_limits.DeferralReason | None:
         """Runs the reconciliation.
 
         Returns:
@@ -79,13 +79,13 @@
             return reason
         lease = await self._leases.claim(self._engine, self._purpose)
         if lease is None:
-            return disruption_limits.Block.HELD
+            return disruption_limits.DeferralReason.HELD
         renewal = asyncio.create_task(self._renew(lease))
         try:
             async with self._clock.timeout_ms(self._context.turn_ms):
                 return await self._run_with_lease(lease)
         except TimeoutError:
-            return disruption_limits.Block.LEASE_ENDED
+            return disruption_limits.DeferralReason.LEASE_ENDED
         finally:
             renewal.cancel()
             # An order still in flight could arrive after one of the next
@@ -95,7 +95,7 @@
 
     async def _run_with_lease(
         self, lease: leasing.Lease
-    ) -> disruption_limits.Block | None:
+    ) -> disruption_limits.DeferralReason | None:
         reason = await self._deferral(before=lease.fence)
         if reason is None and self._purpose is not records.Purpose.ADAPTER:
             reason = await self._drain(lease)
@@ -113,11 +113,11 @@
 
     async def _deferral(
         self, *, before: int | None
-    ) -> disruption_limits.Block | None:
+    ) -> disruption_limits.DeferralReason | None:
         endpoint = self._endpoint()
         report = await self._probe(endpoint) if endpoint else None
         if endpoint is None or report is None:
-            return disruption_limits.Block.UNREACHABLE
+            return disruption_limits.DeferralReason.UNREACHABLE
         if self._purpose is records.Purpose.ADAPTER:
             return None
         service = self._service(endpoint)
@@ -139,24 +139,26 @@
         endpoint: resources.Endpoint,
         report: client.LoadReport,
         before: int | None,
-    ) -> disruption_limits.Block | None:
+    ) -> disruption_limits.DeferralReason | None:
         out_of_service = self._out_of_service(before)
         pool = self._pool(service)
         if disruption_limits.many_out(pool, out_of_service):
-            return disruption_limits.Block.MANY_OUT
+            return disruption_limits.DeferralReason.MANY_OUT
         others = [other for other in pool if other.name not in out_of_service]
         is_last = await disruption_limits.is_last_fitting(
             service, endpoint, report, others, self._probe
         )
-        return disruption_limits.Block.LAST_FITTING if is_last else None
+        return (
+            disruption_limits.DeferralReason.LAST_FITTING if is_last else None
+        )
 
     async def _deferral_by_store(
         self, endpoint: resources.Endpoint, before: int | None
-    ) -> disruption_limits.Block | None:
+    ) -> disruption_limits.DeferralReason | None:
         try:
             status = await self._context.weight_store.status()
         except weights.WeightStoreUnavailableError:
-            return disruption_limits.Block.STORE_DOWN
+            return disruption_limits.DeferralReason.STORE_DOWN
         model = self._context.configuration.current.get(
             resources.Kind.MODEL, endpoint.model
         )
@@ -167,11 +169,11 @@
         )
         loads = self._count_loads(before)
         is_full = max(loads, status.active_fetches) >= max_loads
-        return disruption_limits.Block.STORE_BUSY if is_full else None
+        return disruption_limits.DeferralReason.STORE_BUSY if is_full else None
 
     async def _drain(
         self, lease: leasing.Lease
-    ) -> disruption_limits.Block | None:
+    ) -> disruption_limits.DeferralReason | None:
         """Waits until the engine has held no requests for a while.
 
         The claim on the log has taken the engine out of service, but instances
@@ -188,9 +190,9 @@
             if now_ms - idle_since_ms >= _IDLE_MS:
                 return None
             if now_ms >= until_ms:
-                return disruption_limits.Block.IN_USE
+                return disruption_limits.DeferralReason.IN_USE
             await self._clock.sleep_ms(_POLL_MS)
-        return disruption_limits.Block.LEASE_ENDED
+        return disruption_limits.DeferralReason.LEASE_ENDED
 
     async def _is_in_use(self) -> bool:
         engine = self._client()
@@ -204,7 +206,7 @@
 
     async def _send_orders(
         self, lease: leasing.Lease
-    ) -> disruption_limits.Block | None:
+    ) -> disruption_limits.DeferralReason | None:
         """Sends orders until the engine reports the declared state."""
         last: plan.Step | None = None
         sent_ms = float("-inf")
@@ -212,7 +214,7 @@
             endpoint = self._endpoint()
             report = await self._probe(endpoint) if endpoint else None
             if endpoint is None or report is None:
-                return disruption_limits.Block.UNREACHABLE
+                return disruption_limits.DeferralReason.UNREACHABLE
             step = plan.next_step(endpoint, report)
             if step != last:
                 self._is_order_in_flight = False
@@ -226,10 +228,10 @@
                 break
             fault = await self._send(step, lease)
             if fault is not None and fault is not client.EngineFault.LOST:
-                return disruption_limits.Block.UNREACHABLE
+                return disruption_limits.DeferralReason.UNREACHABLE
             last = step
             sent_ms = self._clock.now_ms()
-        return disruption_limits.Block.LEASE_ENDED
+        return disruption_limits.DeferralReason.LEASE_ENDED
 
     async def _send(
         self, step: plan.Step, lease: leasing.Lease
