--- a/src/jujubewharf/orders/counters.py
+++ b/src/jujubewharf/orders/counters.py
@@ -29,6 +29,6 @@
     _FAILED.add(1, {"kind": kind.value, "reason": fault.value})
 
 
-def put_off(reason: disruption_limits.DeferralReason) -> None:
+def count_deferral(reason: disruption_limits.DeferralReason) -> None:
     """Counts a deferred reconciliation of an engine."""
     _DEFERRED.add(1, {"reason": reason.value})
--- a/src/jujubewharf/orders/reconciler.py
+++ b/src/jujubewharf/orders/reconciler.py
@@ -101,7 +101,7 @@
         if reason is None:
             self._retry_at_ms.pop(engine, None)
             return
-        counters.put_off(reason)
+        counters.count_deferral(reason)
         self._logger.info("turn_put_off", engine=engine, reason=reason.value)
         self._retry_at_ms[engine] = self._clock.now_ms() + _RETRY_MS
         if reason is disruption_limits.DeferralReason.IN_USE:
