--- a/src/jujubewharf/orders/disruption_limits.py
+++ b/src/jujubewharf/orders/disruption_limits.py
@@ -68,7 +68,9 @@
     return not engine.drained and plan.fits(service, report)
 
 
-def many_out(pool: Iterable[resources.Endpoint], out: frozenset[str]) -> bool:
+def is_limit_reached(
+    pool: Iterable[resources.Endpoint], out: frozenset[str]
+) -> bool:
     """Whether the maximum number of a service's engines is out of service."""
     names = {endpoint.name for endpoint in pool}
     max_out = max(1, int(len(names) * _MAX_OUT_OF_SERVICE_RATIO))
--- a/src/jujubewharf/orders/turn.py
+++ b/src/jujubewharf/orders/turn.py
@@ -142,7 +142,7 @@
     ) -> disruption_limits.DeferralReason | None:
         out_of_service = self._out_of_service(before)
         pool = self._pool(service)
-        if disruption_limits.many_out(pool, out_of_service):
+        if disruption_limits.is_limit_reached(pool, out_of_service):
             return disruption_limits.DeferralReason.MANY_OUT
         others = [other for other in pool if other.name not in out_of_service]
         is_last = await disruption_limits.is_last_fitting(
