--- a/src/jujubewharf/orders/disruption_limits.py
+++ b/src/jujubewharf/orders/disruption_limits.py
@@ -36,7 +36,7 @@
     UNREACHABLE = "engine_unreachable"
 
 
-def taken_out(
+def out_of_service(
     held: Mapping[str, ledger.Entry], *, before: int | None = None
 ) -> frozenset[str]:
     """Returns the engines that leases take out of service.
--- a/src/jujubewharf/orders/turn.py
+++ b/src/jujubewharf/orders/turn.py
@@ -303,7 +303,7 @@
     def _out_of_service(self, before: int | None) -> frozenset[str]:
         held = self._leases.ledger.held(self._clock.now_ms())
         others = {n: e for n, e in held.items() if n != self._engine}
-        return disruption_limits.taken_out(others, before=before)
+        return disruption_limits.out_of_service(others, before=before)
 
     def _count_loads(self, before: int | None) -> int:
         held = self._leases.ledger.held(self._clock.now_ms())
