--- a/src/jujubewharf/orders/disruption_limits.py
+++ b/src/jujubewharf/orders/disruption_limits.py
@@ -77,7 +77,7 @@
     return len(names & out) >= max_out
 
 
-async def is_last_fitting(
+async def is_last_serving(
     service: resources.Service,
     engine: resources.Endpoint,
     report: client.LoadReport,
--- a/src/jujubewharf/orders/turn.py
+++ b/src/jujubewharf/orders/turn.py
@@ -145,7 +145,7 @@
         if disruption_limits.is_limit_reached(pool, out_of_service):
             return disruption_limits.DeferralReason.MANY_OUT
         others = [other for other in pool if other.name not in out_of_service]
-        is_last = await disruption_limits.is_last_fitting(
+        is_last = await disruption_limits.is_last_serving(
             service, endpoint, report, others, self._probe
         )
         return (
