--- a/src/jujubewharf/orders/disruption_limits.py
+++ b/src/jujubewharf/orders/disruption_limits.py
@@ -37,21 +37,21 @@
 
 
 def out_of_service(
-    held: Mapping[str, ledger.Entry], *, before: int | None = None
+    held: Mapping[str, ledger.Entry], *, before_fence: int | None = None
 ) -> frozenset[str]:
     """Returns the engines that leases take out of service.
 
     Args:
         held: Leases that are or may be valid.
-        before: Counts only leases with a lower fence. Of two holders that claim
-            at the same time, each sees the other's claim only afterwards. The
-            one that is first in the log continues, and the other defers.
+        before_fence: Counts only leases with a lower fence. Of two holders that
+            claim at the same time, each sees the other's claim only afterwards.
+            The one that is first in the log continues, and the other defers.
     """
     return frozenset(
         name
         for name, entry in held.items()
         if entry.purpose in _OUT_OF_SERVICE
-        and (before is None or entry.fence < before)
+        and (before_fence is None or entry.fence < before_fence)
     )
 
 
--- a/src/jujubewharf/orders/turn.py
+++ b/src/jujubewharf/orders/turn.py
@@ -74,7 +74,7 @@
         Returns:
             Why the engine is not yet as declared, or ``None`` if it is.
         """
-        reason = await self._deferral(before=None)
+        reason = await self._deferral(before_fence=None)
         if reason is not None:
             return reason
         lease = await self._leases.claim(self._engine, self._purpose)
@@ -96,7 +96,7 @@
     async def _run_with_lease(
         self, lease: leasing.Lease
     ) -> disruption_limits.DeferralReason | None:
-        reason = await self._deferral(before=lease.fence)
+        reason = await self._deferral(before_fence=lease.fence)
         if reason is None and self._purpose is not records.Purpose.ADAPTER:
             reason = await self._drain(lease)
         if reason is None:
@@ -112,7 +112,7 @@
                 await self._clock.sleep_ms(_POLL_MS)
 
     async def _deferral(
-        self, *, before: int | None
+        self, *, before_fence: int | None
     ) -> disruption_limits.DeferralReason | None:
         endpoint = self._endpoint()
         report = await self._probe(endpoint) if endpoint else None
@@ -125,12 +125,12 @@
             service, endpoint, report
         ):
             reason = await self._deferral_by_service(
-                service, endpoint, report, before
+                service, endpoint, report, before_fence
             )
             if reason is not None:
                 return reason
         if self._purpose is records.Purpose.LOAD:
-            return await self._deferral_by_store(endpoint, before)
+            return await self._deferral_by_store(endpoint, before_fence)
         return None
 
     async def _deferral_by_service(
@@ -138,9 +138,9 @@
         service: resources.Service,
         endpoint: resources.Endpoint,
         report: client.LoadReport,
-        before: int | None,
+        before_fence: int | None,
     ) -> disruption_limits.DeferralReason | None:
-        out_of_service = self._out_of_service(before)
+        out_of_service = self._out_of_service(before_fence)
         pool = self._pool(service)
         if disruption_limits.is_limit_reached(pool, out_of_service):
             return disruption_limits.DeferralReason.MANY_OUT
@@ -153,7 +153,7 @@
         )
 
     async def _deferral_by_store(
-        self, endpoint: resources.Endpoint, before: int | None
+        self, endpoint: resources.Endpoint, before_fence: int | None
     ) -> disruption_limits.DeferralReason | None:
         try:
             status = await self._context.weight_store.status()
@@ -167,7 +167,7 @@
         max_loads = disruption_limits.max_loads(
             status.rate_bytes_per_s, declared.weight_bytes
         )
-        loads = self._count_loads(before)
+        loads = self._count_loads(before_fence)
         is_full = max(loads, status.active_fetches) >= max_loads
         return disruption_limits.DeferralReason.STORE_BUSY if is_full else None
 
@@ -300,17 +300,19 @@
             and entry.resource.service == service.name
         ]
 
-    def _out_of_service(self, before: int | None) -> frozenset[str]:
+    def _out_of_service(self, before_fence: int | None) -> frozenset[str]:
         held = self._leases.ledger.held(self._clock.now_ms())
         others = {n: e for n, e in held.items() if n != self._engine}
-        return disruption_limits.out_of_service(others, before=before)
+        return disruption_limits.out_of_service(
+            others, before_fence=before_fence
+        )
 
-    def _count_loads(self, before: int | None) -> int:
+    def _count_loads(self, before_fence: int | None) -> int:
         held = self._leases.ledger.held(self._clock.now_ms())
         return sum(
             1
             for name, entry in held.items()
             if name != self._engine
             and entry.purpose is records.Purpose.LOAD
-            and (before is None or entry.fence < before)
+            and (before_fence is None or entry.fence < before_fence)
         )
