--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -29,7 +29,7 @@
 from jujubewharf.orders import leases
 from jujubewharf.orders import ownership
 from jujubewharf.orders import reconciler
-from jujubewharf.orders import turn
+from jujubewharf.orders import reconciliation
 from jujubewharf.peers import mesh
 from jujubewharf.peers import peer
 from jujubewharf.peers import streams
@@ -154,7 +154,7 @@
         )
         self.leases = leases.Leases(settings.instance, adapters.log, clock)
         self.orders = reconciler.Reconciler(
-            turn.Surroundings(
+            reconciliation.Surroundings(
                 self.leases,
                 self.fleet,
                 self.configuration,
--- a/src/jujubewharf/orders/reconciler.py
+++ b/src/jujubewharf/orders/reconciler.py
@@ -13,8 +13,8 @@
 from jujubewharf.orders import counters
 from jujubewharf.orders import disruption_limits
 from jujubewharf.orders import plan
+from jujubewharf.orders import reconciliation
 from jujubewharf.orders import records
-from jujubewharf.orders import turn as turns
 
 _CHECK_MS = 2_000.0
 _RETRY_MS = 3_000.0
@@ -36,7 +36,7 @@
             both assume so, one loses the claim; there are never two holders.
     """
 
-    def __init__(self, around: turns.Surroundings, owns: Owns) -> None:
+    def __init__(self, around: reconciliation.Surroundings, owns: Owns) -> None:
         super().__init__()
         self._context = around
         self._owns = owns
@@ -95,7 +95,9 @@
 
     async def _reconcile(self, engine: str, purpose: records.Purpose) -> None:
         try:
-            reason = await turns.Turn(engine, purpose, self._context).run()
+            reason = await reconciliation.Turn(
+                engine, purpose, self._context
+            ).run()
         finally:
             self._running.discard(engine)
         if reason is None:
