--- a/src/jujubewharf/orders/reconciler.py
+++ b/src/jujubewharf/orders/reconciler.py
@@ -95,7 +95,7 @@
 
     async def _reconcile(self, engine: str, purpose: records.Purpose) -> None:
         try:
-            reason = await reconciliation.Turn(
+            reason = await reconciliation.Reconciliation(
                 engine, purpose, self._context
             ).run()
         finally:
--- a/src/jujubewharf/orders/reconciliation.py
+++ b/src/jujubewharf/orders/reconciliation.py
@@ -48,7 +48,7 @@
     turn_ms: float = 600_000.0
 
 
-class Turn:
+class Reconciliation:
     """Brings one engine to its declared state, under a lease.
 
     Args:
