--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -154,7 +154,7 @@
         )
         self.leases = leases.Leases(settings.instance, adapters.log, clock)
         self.orders = reconciler.Reconciler(
-            reconciliation.Surroundings(
+            reconciliation.ReconciliationContext(
                 self.leases,
                 self.fleet,
                 self.configuration,
--- a/src/jujubewharf/orders/reconciler.py
+++ b/src/jujubewharf/orders/reconciler.py
@@ -36,7 +36,9 @@
             both assume so, one loses the claim; there are never two holders.
     """
 
-    def __init__(self, around: reconciliation.Surroundings, owns: Owns) -> None:
+    def __init__(
+        self, around: reconciliation.ReconciliationContext, owns: Owns
+    ) -> None:
         super().__init__()
         self._context = around
         self._owns = owns
--- a/src/jujubewharf/orders/reconciliation.py
+++ b/src/jujubewharf/orders/reconciliation.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class ReconciliationContext:
     """Dependencies of a reconciliation.
 
     Attributes:
@@ -58,7 +58,10 @@
     """
 
     def __init__(
-        self, engine: str, purpose: records.Purpose, around: Surroundings
+        self,
+        engine: str,
+        purpose: records.Purpose,
+        around: ReconciliationContext,
     ) -> None:
         self._engine = engine
         self._purpose = purpose
