--- a/src/jujubewharf/orders/reconciler.py
+++ b/src/jujubewharf/orders/reconciler.py
@@ -31,18 +31,18 @@
     fencing.
 
     Args:
-        around: Dependencies of reconciliations.
+        context: Dependencies of reconciliations.
         owns: Whether this instance reconciles an engine now. If two instances
             both assume so, one loses the claim; there are never two holders.
     """
 
     def __init__(
-        self, around: reconciliation.ReconciliationContext, owns: Owns
+        self, context: reconciliation.ReconciliationContext, owns: Owns
     ) -> None:
         super().__init__()
-        self._context = around
+        self._context = context
         self._owns = owns
-        self._clock = around.clock
+        self._clock = context.clock
         self._is_retired = False
         self._running: set[str] = set()
         self._retry_at_ms: dict[str, float] = {}
--- a/src/jujubewharf/orders/reconciliation.py
+++ b/src/jujubewharf/orders/reconciliation.py
@@ -54,20 +54,20 @@
     Args:
         engine: Name of the engine.
         purpose: Purpose of the lease.
-        around: Dependencies.
+        context: Dependencies.
     """
 
     def __init__(
         self,
         engine: str,
         purpose: records.Purpose,
-        around: ReconciliationContext,
+        context: ReconciliationContext,
     ) -> None:
         self._engine = engine
         self._purpose = purpose
-        self._context = around
-        self._clock = around.clock
-        self._leases = around.leases
+        self._context = context
+        self._clock = context.clock
+        self._leases = context.leases
         self._is_order_in_flight = False
         self._logger = structlog.get_logger().bind(engine=engine)
 
