--- a/src/jujubewharf/orders/reconciliation.py
+++ b/src/jujubewharf/orders/reconciliation.py
@@ -36,7 +36,7 @@
         weight_store: Store from which engines load weights.
         clock: Time source.
         drain_ms: Maximum wait until an engine holds no request.
-        turn_ms: Maximum duration of a reconciliation.
+        timeout_ms: Maximum duration of a reconciliation.
     """
 
     leases: leasing.Leases
@@ -45,7 +45,7 @@
     weight_store: weights.WeightStore
     clock: clocks.Clock
     drain_ms: float = 120_000.0
-    turn_ms: float = 600_000.0
+    timeout_ms: float = 600_000.0
 
 
 class Reconciliation:
@@ -85,7 +85,7 @@
             return disruption_limits.DeferralReason.HELD
         renewal = asyncio.create_task(self._renew(lease))
         try:
-            async with self._clock.timeout_ms(self._context.turn_ms):
+            async with self._clock.timeout_ms(self._context.timeout_ms):
                 return await self._run_with_lease(lease)
         except TimeoutError:
             return disruption_limits.DeferralReason.LEASE_ENDED
