--- a/src/jujubewharf/orders/reconciler.py
+++ b/src/jujubewharf/orders/reconciler.py
@@ -109,4 +109,4 @@
         self._logger.info("turn_put_off", engine=engine, reason=reason.value)
         self._retry_at_ms[engine] = self._clock.now_ms() + _RETRY_MS
         if reason is disruption_limits.DeferralReason.IN_USE:
-            self._retry_at_ms[engine] += self._context.drain_ms
+            self._retry_at_ms[engine] += self._context.drain_timeout_ms
--- a/src/jujubewharf/orders/reconciliation.py
+++ b/src/jujubewharf/orders/reconciliation.py
@@ -35,7 +35,7 @@
         configuration: Declared resources.
         weight_store: Store from which engines load weights.
         clock: Time source.
-        drain_ms: Maximum wait until an engine holds no request.
+        drain_timeout_ms: Maximum wait until an engine holds no request.
         timeout_ms: Maximum duration of a reconciliation.
     """
 
@@ -44,7 +44,7 @@
     configuration: follower.ConfigurationFollower
     weight_store: weights.WeightStore
     clock: clocks.Clock
-    drain_ms: float = 120_000.0
+    drain_timeout_ms: float = 120_000.0
     timeout_ms: float = 600_000.0
 
 
@@ -184,7 +184,7 @@
         still arrive. If a request does not end in time, it is not aborted; the
         order is deferred.
         """
-        until_ms = self._clock.now_ms() + self._context.drain_ms
+        until_ms = self._clock.now_ms() + self._context.drain_timeout_ms
         idle_since_ms = self._clock.now_ms()
         while self._leases.may_order(lease):
             now_ms = self._clock.now_ms()
