--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -277,7 +277,7 @@
     def _is_withheld(self, engine: str) -> bool:
         if self.departures.is_leaving(engine):
             return True
-        return self.orders.is_taken_out(engine)
+        return self.orders.is_out_of_service(engine)
 
     def _incarnation_of(self, instance: str) -> int:
         hello = self.peers.hello_of(instance)
--- a/src/jujubewharf/orders/reconciler.py
+++ b/src/jujubewharf/orders/reconciler.py
@@ -52,7 +52,7 @@
         """Starts no further reconciliations; running ones continue."""
         self._is_retired = True
 
-    def is_taken_out(self, engine: str) -> bool:
+    def is_out_of_service(self, engine: str) -> bool:
         """Whether any instance's lease keeps new work from an engine."""
         ledger = self._context.leases.ledger
         entry = ledger.entry(engine)
