--- a/src/jujubewharf/orders/ledger.py
+++ b/src/jujubewharf/orders/ledger.py
@@ -41,14 +41,14 @@
         holder: Instance that holds or may hold the lease.
         fence: Offset of the lease's claim.
         purpose: Purpose of the orders.
-        busy_until_ms: Clock reading after which the lease has certainly ended.
+        held_until_ms: Clock reading after which the lease has certainly ended.
     """
 
     last_offset: int
     holder: str = ""
     fence: int = -1
     purpose: records.Purpose = records.Purpose.ADAPTER
-    busy_until_ms: float = float("-inf")
+    held_until_ms: float = float("-inf")
 
 
 class Ledger:
@@ -108,14 +108,14 @@
         if now_ms < self._unknown_until_ms:
             return False
         entry = self._entries.get(engine)
-        return entry is None or entry.busy_until_ms <= now_ms
+        return entry is None or entry.held_until_ms <= now_ms
 
     def held(self, now_ms: float) -> dict[str, Entry]:
         """Returns the engines whose lease is or may be valid, by name."""
         return {
             name: entry
             for name, entry in sorted(self._entries.items())
-            if entry.busy_until_ms > now_ms
+            if entry.held_until_ms > now_ms
         }
 
     def entry(self, engine: str) -> Entry | None:
@@ -143,12 +143,12 @@
         match record.verb:
             case records.Verb.CLAIM:
                 entry.fence = offset
-                entry.busy_until_ms = max(entry.busy_until_ms, until_ms)
+                entry.held_until_ms = max(entry.held_until_ms, until_ms)
             case records.Verb.RENEW:
                 entry.fence = record.fence
-                entry.busy_until_ms = max(entry.busy_until_ms, until_ms)
+                entry.held_until_ms = max(entry.held_until_ms, until_ms)
             case records.Verb.RELEASE if entry.fence == record.fence:
-                entry.busy_until_ms = now_ms
+                entry.held_until_ms = now_ms
         entry.holder = record.holder
         entry.purpose = record.purpose
 
@@ -163,7 +163,7 @@
         ended = [
             (entry.last_offset, name)
             for name, entry in self._entries.items()
-            if entry.busy_until_ms <= now_ms
+            if entry.held_until_ms <= now_ms
         ]
         for last_offset, name in sorted(ended)[: _MAX_ENTRIES // 2]:
             del self._entries[name]
--- a/src/jujubewharf/orders/reconciler.py
+++ b/src/jujubewharf/orders/reconciler.py
@@ -56,7 +56,7 @@
         """Whether any instance's lease keeps new work from an engine."""
         ledger = self._context.leases.ledger
         entry = ledger.entry(engine)
-        if entry is None or entry.busy_until_ms <= self._clock.now_ms():
+        if entry is None or entry.held_until_ms <= self._clock.now_ms():
             return False
         return entry.purpose is not records.Purpose.ADAPTER
 
