--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -204,7 +204,7 @@
 
     @contextlib.asynccontextmanager
     async def _prefill_result(
-        self, run: runs.Run, place: all_places.Place
+        self, run: runs.Run, place: all_places.Reservation
     ) -> AsyncIterator[_Prefilled]:
         """Runs prefill and frees the result on exit if no engine fetched it.
 
@@ -310,7 +310,7 @@
             # frees the memory sooner, so failures are not retried.
             await self._backends.drop_source(prefilled.engine, prefilled.source)
 
-    async def _check_not_deferred(self, place: all_places.Place) -> None:
+    async def _check_not_deferred(self, place: all_places.Reservation) -> None:
         """Checks that the engine still accepts the request it has memory for.
 
         The engine may have asked for backoff or set a rate limit after the
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -121,7 +121,7 @@
         self._running = 0
 
     @contextlib.asynccontextmanager
-    async def place(self, run: runs.Run) -> AsyncIterator[places.Place]:
+    async def place(self, run: runs.Run) -> AsyncIterator[places.Reservation]:
         """Waits for a reservation and holds it while the block runs.
 
         Raises:
@@ -145,7 +145,7 @@
                 await self._release(place.engine, reservation_id)
             self._queue_of(run.service).wake_first()
 
-    def learn_stay(self, place: places.Place) -> None:
+    def learn_stay(self, place: places.Reservation) -> None:
         """Records how long a completed response held its memory."""
         took_ms = self._clock.now_ms() - place.since_ms
         self._cost_estimates.record_decode(
@@ -154,7 +154,7 @@
 
     @contextlib.contextmanager
     def _prefill_assigned(
-        self, run: runs.Run, place: places.Place
+        self, run: runs.Run, place: places.Reservation
     ) -> Iterator[None]:
         """Chooses prefill engines and tracks the prompt until it is prefilled.
 
@@ -182,7 +182,7 @@
 
     async def _wait_for_reservation(
         self, run: runs.Run
-    ) -> tuple[places.Place, _MemoryDemand]:
+    ) -> tuple[places.Reservation, _MemoryDemand]:
         started_ms = self._clock.now_ms()
         in_time_ms = self._patience.on_time_wait_ms(run)
         is_late = in_time_ms <= 0.0
@@ -286,7 +286,7 @@
 
     async def _try_engines(
         self, run: runs.Run, demand: _MemoryDemand, *, max_engines: int
-    ) -> places.Place | None:
+    ) -> places.Reservation | None:
         """Asks at most ``max_engines`` engines that may have enough memory."""
         assert run.traits is not None
         candidates = self._pool.decode_candidates(
@@ -314,7 +314,7 @@
                 # The response to the reservation said that the engine drains.
                 await self._release(engine, reservation_id)
                 continue
-            return places.Place(
+            return places.Reservation(
                 engine,
                 reservation_id,
                 since_ms=self._clock.now_ms(),
--- a/src/jujubewharf/forwarding/places.py
+++ b/src/jujubewharf/forwarding/places.py
@@ -15,7 +15,7 @@
     pass
 
 
-class Place:
+class Reservation:
     """Memory reserved for a request on a decode engine.
 
     Args:
@@ -74,7 +74,7 @@
 
     def place(
         self, run: runs.Run
-    ) -> contextlib.AbstractAsyncContextManager[Place]:
+    ) -> contextlib.AbstractAsyncContextManager[Reservation]:
         """Waits for a reservation and holds it while the block runs.
 
         Raises:
--- a/src/jujubewharf/forwarding/quarantine_waits.py
+++ b/src/jujubewharf/forwarding/quarantine_waits.py
@@ -40,14 +40,14 @@
         history.on_quarantine = self._cancel_waits
 
     @contextlib.asynccontextmanager
-    async def place(self, run: runs.Run) -> AsyncIterator[places.Place]:
+    async def place(self, run: runs.Run) -> AsyncIterator[places.Reservation]:
         """Waits for memory and reserves it; see ``places.Places``."""
         async with contextlib.AsyncExitStack() as stack:
             yield await self._wait(stack, run)
 
     async def _wait(
         self, stack: contextlib.AsyncExitStack, run: runs.Run
-    ) -> places.Place:
+    ) -> places.Reservation:
         await self._quarantine.admit(run)
         while True:
             scope = asyncio.timeout(None)
--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -29,10 +29,12 @@
         self._local = local
 
     @contextlib.asynccontextmanager
-    async def place(self, run: runs.Run) -> AsyncIterator[all_places.Place]:
+    async def place(
+        self, run: runs.Run
+    ) -> AsyncIterator[all_places.Reservation]:
         """Waits for memory and holds it; see ``all_places.Places``."""
         async with contextlib.AsyncExitStack() as stack:
-            place: all_places.Place | None = None
+            place: all_places.Reservation | None = None
             if self._leader.is_open:
                 leader_context = self._leader.place(run)
                 place = await leader_context.__aenter__()
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -247,7 +247,7 @@
     @contextlib.asynccontextmanager
     async def place(
         self, run: runs.Run
-    ) -> AsyncIterator[all_places.Place | None]:
+    ) -> AsyncIterator[all_places.Reservation | None]:
         """Reserves memory through the leader, and holds it for the block.
 
         Yields:
@@ -258,7 +258,7 @@
             WharfError: The leader refused the request.
         """
         number = next(self._sequence)
-        place: all_places.Place | None = None
+        place: all_places.Reservation | None = None
         is_complete = False
         try:
             place = await self._request_place(number, run)
@@ -272,7 +272,7 @@
 
     async def _request_place(
         self, number: int, run: runs.Run
-    ) -> all_places.Place | None:
+    ) -> all_places.Reservation | None:
         started_ms = self._clock.now_ms()
         link = self._link
         if link is None:
@@ -370,13 +370,13 @@
 
     def _to_place(
         self, number: int, placed: leader_messages.Placed
-    ) -> all_places.Place | None:
+    ) -> all_places.Reservation | None:
         engine = self._registry.get(placed.engine)
         if engine is None:
             # The engine was registered too recently to be known here, or it has
             # left since.
             return None
-        place = all_places.Place(
+        place = all_places.Reservation(
             engine,
             placed.hold,
             since_ms=self._clock.now_ms(),
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -89,7 +89,7 @@
     """A placement that a follower waits for or holds."""
 
     task: asyncio.Task[None] | None = None
-    place: all_places.Place | None = None
+    place: all_places.Reservation | None = None
     ending: asyncio.Future[leader_messages.PlaceEnded] = dataclasses.field(
         default_factory=asyncio.Future
     )
@@ -344,7 +344,7 @@
     )
 
 
-def _placed_message(place: all_places.Place) -> leader_messages.Placed:
+def _placed_message(place: all_places.Reservation) -> leader_messages.Placed:
     return leader_messages.Placed(
         place.engine.name,
         place.hold,
