--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -84,7 +84,7 @@
         self,
         backends: ports.Backends,
         registry: registries.Registry,
-        places: all_places.Places,
+        places: all_places.Placer,
         budget: budgets.FleetRetryBudget,
         observations: observed.Observer,
         limits: all_limits.Permits,
--- a/src/jujubewharf/forwarding/places.py
+++ b/src/jujubewharf/forwarding/places.py
@@ -69,7 +69,7 @@
         return self.hold
 
 
-class Places(Protocol):
+class Placer(Protocol):
     """Reserves memory on decode engines."""
 
     def place(
--- a/src/jujubewharf/forwarding/quarantine_waits.py
+++ b/src/jujubewharf/forwarding/quarantine_waits.py
@@ -15,7 +15,7 @@
 
 
 class QuarantineAwarePlaces:
-    """Wraps a ``places.Places`` to end the wait of quarantined requests.
+    """Wraps a ``places.Placer`` to end the wait of quarantined requests.
 
     A request may wait in the queue for seconds while other tries of it crash
     engines. It would be refused after the wait anyway, and until then would
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        finder: places.Places,
+        finder: places.Placer,
         quarantine: quarantines.Quarantine,
         history: crashes.CrashHistory,
     ) -> None:
@@ -41,7 +41,7 @@
 
     @contextlib.asynccontextmanager
     async def place(self, run: runs.Run) -> AsyncIterator[places.Reservation]:
-        """Waits for memory and reserves it; see ``places.Places``."""
+        """Waits for memory and reserves it; see ``places.Placer``."""
         async with contextlib.AsyncExitStack() as stack:
             yield await self._wait(stack, run)
 
--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -15,7 +15,7 @@
 
 
 class FleetPlaces:
-    """Implements ``all_places.Places`` through the leader if there is one.
+    """Implements ``all_places.Placer`` through the leader if there is one.
 
     Args:
         leader: The link to the leader.
@@ -32,7 +32,7 @@
     async def place(
         self, run: runs.Run
     ) -> AsyncIterator[all_places.Reservation]:
-        """Waits for memory and holds it; see ``all_places.Places``."""
+        """Waits for memory and holds it; see ``all_places.Placer``."""
         async with contextlib.AsyncExitStack() as stack:
             place: all_places.Reservation | None = None
             if self._leader.is_open:
