--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -125,7 +125,7 @@
                 run.call,
                 run.left_ms(self._clock),
                 source=prefilled.source,
-                hold=place.take_hold(),
+                hold=place.take_id(),
                 after_event=after_event,
             )
             try:
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -140,7 +140,7 @@
             self.learn_stay(place)
         finally:
             self._running -= 1
-            reservation_id = place.take_hold()
+            reservation_id = place.take_id()
             if reservation_id is not None:
                 await self._release(place.engine, reservation_id)
             self._queue_of(run.service).wake_first()
--- a/src/jujubewharf/forwarding/places.py
+++ b/src/jujubewharf/forwarding/places.py
@@ -58,7 +58,7 @@
         self.reading_ended: Callable[[], None] = _do_nothing
         self._is_taken = False
 
-    def take_hold(self) -> str | None:
+    def take_id(self) -> str | None:
         """Returns the reservation's id once, and ``None`` from then on.
 
         An attempt consumes the reservation.
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -265,7 +265,7 @@
             yield place
             is_complete = True
         finally:
-            is_hold_used = place is not None and place.take_hold() is None
+            is_hold_used = place is not None and place.take_id() is None
             self.tell(
                 leader_messages.PlaceEnded(number, is_complete, is_hold_used)
             )
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -225,7 +225,7 @@
                 _resolve(answer, _placed_message(place))
                 ending = await held.ending
                 if ending.is_hold_used:
-                    place.take_hold()
+                    place.take_id()
                 if not ending.is_whole:
                     raise _IncompleteAnswerError
         except errors.WharfError as error:
