--- a/src/jujubewharf/forwarding/places.py
+++ b/src/jujubewharf/forwarding/places.py
@@ -20,7 +20,7 @@
 
     Args:
         engine: Engine that made the reservation.
-        hold: Id of the reservation.
+        reservation_id: Id of the reservation.
         since_ms: Clock reading at which it was made, in milliseconds.
         tokens: Reserved memory, in tokens.
         memory_part: Reserved share of the engine's memory, 0 to 1.
@@ -28,7 +28,7 @@
 
     Attributes:
         engine: Engine that made the reservation.
-        hold: Id of the reservation.
+        reservation_id: Id of the reservation.
         since_ms: Clock reading at which it was made, in milliseconds.
         tokens: Reserved memory, in tokens.
         memory_part: Reserved share of the engine's memory, 0 to 1.
@@ -41,7 +41,7 @@
     def __init__(
         self,
         engine: resources.Endpoint,
-        hold: str,
+        reservation_id: str,
         *,
         since_ms: float,
         tokens: int,
@@ -49,7 +49,7 @@
         has_permit: bool = False,
     ) -> None:
         self.engine = engine
-        self.hold = hold
+        self.reservation_id = reservation_id
         self.since_ms = since_ms
         self.tokens = tokens
         self.memory_part = memory_part
@@ -66,7 +66,7 @@
         if self._is_taken:
             return None
         self._is_taken = True
-        return self.hold
+        return self.reservation_id
 
 
 class Placer(Protocol):
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -347,7 +347,7 @@
 def _placed_message(place: all_places.Reservation) -> leader_messages.Placed:
     return leader_messages.Placed(
         place.engine.name,
-        place.hold,
+        place.reservation_id,
         place.tokens,
         place.memory_part,
         tuple(reader.name for reader in place.readers),
