--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -141,7 +141,7 @@
                 place.engine,
                 reply,
                 exit_stack.pop_all(),
-                place.since_ms,
+                place.reserved_at_ms,
                 place.memory_part,
             )
 
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -147,7 +147,7 @@
 
     def learn_stay(self, place: places.Reservation) -> None:
         """Records how long a completed response held its memory."""
-        took_ms = self._clock.now_ms() - place.since_ms
+        took_ms = self._clock.now_ms() - place.reserved_at_ms
         self._cost_estimates.record_decode(
             took_ms, memory_share=place.memory_part
         )
@@ -317,7 +317,7 @@
             return places.Reservation(
                 engine,
                 reservation_id,
-                since_ms=self._clock.now_ms(),
+                reserved_at_ms=self._clock.now_ms(),
                 tokens=demand.tokens,
                 memory_part=demand.tokens / run.traits.memory_tokens,
                 has_permit=is_limited,
--- a/src/jujubewharf/forwarding/places.py
+++ b/src/jujubewharf/forwarding/places.py
@@ -21,7 +21,7 @@
     Args:
         engine: Engine that made the reservation.
         reservation_id: Id of the reservation.
-        since_ms: Clock reading at which it was made, in milliseconds.
+        reserved_at_ms: Clock reading at which it was made, in milliseconds.
         tokens: Reserved memory, in tokens.
         memory_part: Reserved share of the engine's memory, 0 to 1.
         has_permit: Whether a rate limit permit was taken for the engine.
@@ -29,7 +29,7 @@
     Attributes:
         engine: Engine that made the reservation.
         reservation_id: Id of the reservation.
-        since_ms: Clock reading at which it was made, in milliseconds.
+        reserved_at_ms: Clock reading at which it was made, in milliseconds.
         tokens: Reserved memory, in tokens.
         memory_part: Reserved share of the engine's memory, 0 to 1.
         has_permit: Whether a rate limit permit was taken for the engine.
@@ -43,14 +43,14 @@
         engine: resources.Endpoint,
         reservation_id: str,
         *,
-        since_ms: float,
+        reserved_at_ms: float,
         tokens: int,
         memory_part: float,
         has_permit: bool = False,
     ) -> None:
         self.engine = engine
         self.reservation_id = reservation_id
-        self.since_ms = since_ms
+        self.reserved_at_ms = reserved_at_ms
         self.tokens = tokens
         self.memory_part = memory_part
         self.has_permit = has_permit
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -379,7 +379,7 @@
         place = all_places.Reservation(
             engine,
             placed.hold,
-            since_ms=self._clock.now_ms(),
+            reserved_at_ms=self._clock.now_ms(),
             tokens=placed.tokens,
             memory_part=placed.memory_part,
             has_permit=placed.has_permit,
