--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -142,7 +142,7 @@
                 reply,
                 exit_stack.pop_all(),
                 place.reserved_at_ms,
-                place.memory_part,
+                place.memory_share,
             )
 
     async def _replacement_sending(
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -149,7 +149,7 @@
         """Records how long a completed response held its memory."""
         took_ms = self._clock.now_ms() - place.reserved_at_ms
         self._cost_estimates.record_decode(
-            took_ms, memory_share=place.memory_part
+            took_ms, memory_share=place.memory_share
         )
 
     @contextlib.contextmanager
@@ -319,7 +319,7 @@
                 reservation_id,
                 reserved_at_ms=self._clock.now_ms(),
                 tokens=demand.tokens,
-                memory_part=demand.tokens / run.traits.memory_tokens,
+                memory_share=demand.tokens / run.traits.memory_tokens,
                 has_permit=is_limited,
             )
         return None
--- a/src/jujubewharf/forwarding/places.py
+++ b/src/jujubewharf/forwarding/places.py
@@ -23,7 +23,7 @@
         reservation_id: Id of the reservation.
         reserved_at_ms: Clock reading at which it was made, in milliseconds.
         tokens: Reserved memory, in tokens.
-        memory_part: Reserved share of the engine's memory, 0 to 1.
+        memory_share: Reserved share of the engine's memory, 0 to 1.
         has_permit: Whether a rate limit permit was taken for the engine.
 
     Attributes:
@@ -31,7 +31,7 @@
         reservation_id: Id of the reservation.
         reserved_at_ms: Clock reading at which it was made, in milliseconds.
         tokens: Reserved memory, in tokens.
-        memory_part: Reserved share of the engine's memory, 0 to 1.
+        memory_share: Reserved share of the engine's memory, 0 to 1.
         has_permit: Whether a rate limit permit was taken for the engine.
         readers: Prefill engines for the prompt, the preferred one first.
         reading_ended: Called when the prompt is prefilled or prefill is
@@ -45,14 +45,14 @@
         *,
         reserved_at_ms: float,
         tokens: int,
-        memory_part: float,
+        memory_share: float,
         has_permit: bool = False,
     ) -> None:
         self.engine = engine
         self.reservation_id = reservation_id
         self.reserved_at_ms = reserved_at_ms
         self.tokens = tokens
-        self.memory_part = memory_part
+        self.memory_share = memory_share
         self.has_permit = has_permit
         self.readers: Sequence[resources.Endpoint] = ()
         self.reading_ended: Callable[[], None] = _do_nothing
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -381,7 +381,7 @@
             placed.hold,
             reserved_at_ms=self._clock.now_ms(),
             tokens=placed.tokens,
-            memory_part=placed.memory_part,
+            memory_share=placed.memory_part,
             has_permit=placed.has_permit,
         )
         known = [self._registry.get(name) for name in placed.readers]
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -349,7 +349,7 @@
         place.engine.name,
         place.reservation_id,
         place.tokens,
-        place.memory_part,
+        place.memory_share,
         tuple(reader.name for reader in place.readers),
         place.has_permit,
     )
