--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -212,7 +212,7 @@
         decode engine prefills the prompt itself.
         """
         prefilled = _Prefilled()
-        readers = place.readers[:_MAX_PREFILL_ENGINES]
+        readers = place.prefill_engines[:_MAX_PREFILL_ENGINES]
         if readers and run.was_prefilled and not self._budget.take(run.service):
             # Every prefill after the first one counts as a retry.
             readers = []
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -168,12 +168,12 @@
             yield
             return
         engines = self._permitted_engines(run)
-        place.readers = self._pool.prefill_candidates(
+        place.prefill_engines = self._pool.prefill_candidates(
             engines, preferred_domain=place.engine.domain
         )
         with contextlib.ExitStack() as exits:
-            if place.readers:
-                preferred = place.readers[0].name
+            if place.prefill_engines:
+                preferred = place.prefill_engines[0].name
                 exits.enter_context(
                     self._pool.prefilling(preferred, work.prompt_tokens)
                 )
--- a/src/jujubewharf/forwarding/places.py
+++ b/src/jujubewharf/forwarding/places.py
@@ -33,7 +33,8 @@
         tokens: Reserved memory, in tokens.
         memory_share: Reserved share of the engine's memory, 0 to 1.
         has_permit: Whether a rate limit permit was taken for the engine.
-        readers: Prefill engines for the prompt, the preferred one first.
+        prefill_engines: Prefill engines for the prompt, the preferred one
+            first.
         reading_ended: Called when the prompt is prefilled or prefill is
             skipped.
     """
@@ -54,7 +55,7 @@
         self.tokens = tokens
         self.memory_share = memory_share
         self.has_permit = has_permit
-        self.readers: Sequence[resources.Endpoint] = ()
+        self.prefill_engines: Sequence[resources.Endpoint] = ()
         self.reading_ended: Callable[[], None] = _do_nothing
         self._is_taken = False
 
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -385,7 +385,9 @@
             has_permit=placed.has_permit,
         )
         known = [self._registry.get(name) for name in placed.readers]
-        place.readers = [reader for reader in known if reader is not None]
+        place.prefill_engines = [
+            reader for reader in known if reader is not None
+        ]
         place.reading_ended = lambda: self.tell(
             leader_messages.ReadingEnded(number)
         )
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -350,7 +350,7 @@
         place.reservation_id,
         place.tokens,
         place.memory_share,
-        tuple(reader.name for reader in place.readers),
+        tuple(reader.name for reader in place.prefill_engines),
         place.has_permit,
     )
 
