--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -235,7 +235,7 @@
                 prefilled.engine = engine
                 run.was_prefilled = True
                 break
-        place.reading_ended()
+        place.on_prefill_done()
         try:
             yield prefilled
         finally:
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -177,7 +177,7 @@
                 exits.enter_context(
                     self._pool.prefilling(preferred, work.prompt_tokens)
                 )
-            place.reading_ended = exits.close
+            place.on_prefill_done = exits.close
             yield
 
     async def _wait_for_reservation(
--- a/src/jujubewharf/forwarding/places.py
+++ b/src/jujubewharf/forwarding/places.py
@@ -35,7 +35,7 @@
         has_permit: Whether a rate limit permit was taken for the engine.
         prefill_engines: Prefill engines for the prompt, the preferred one
             first.
-        reading_ended: Called when the prompt is prefilled or prefill is
+        on_prefill_done: Called when the prompt is prefilled or prefill is
             skipped.
     """
 
@@ -56,7 +56,7 @@
         self.memory_share = memory_share
         self.has_permit = has_permit
         self.prefill_engines: Sequence[resources.Endpoint] = ()
-        self.reading_ended: Callable[[], None] = _do_nothing
+        self.on_prefill_done: Callable[[], None] = _do_nothing
         self._is_taken = False
 
     def take_id(self) -> str | None:
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -388,7 +388,7 @@
         place.prefill_engines = [
             reader for reader in known if reader is not None
         ]
-        place.reading_ended = lambda: self.tell(
+        place.on_prefill_done = lambda: self.tell(
             leader_messages.ReadingEnded(number)
         )
         return place
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -269,7 +269,7 @@
     def _on_reading_ended(self, message: leader_messages.ReadingEnded) -> None:
         held = self._held_places.get(message.number)
         if held is not None and held.place is not None:
-            held.place.reading_ended()
+            held.place.on_prefill_done()
 
     def _on_engine_failed(self, message: leader_messages.EngineFailed) -> None:
         try:
