--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -137,7 +137,7 @@
                 self._prefill_assigned(run, place),
             ):
                 yield place
-            self.learn_stay(place)
+            self.record_hold_time(place)
         finally:
             self._running -= 1
             reservation_id = place.take_id()
@@ -145,7 +145,7 @@
                 await self._release(place.engine, reservation_id)
             self._queue_of(run.service).wake_first()
 
-    def learn_stay(self, place: places.Reservation) -> None:
+    def record_hold_time(self, place: places.Reservation) -> None:
         """Records how long a completed response held its memory."""
         took_ms = self._clock.now_ms() - place.reserved_at_ms
         self._cost_estimates.record_decode(
--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -48,7 +48,7 @@
                 place = await stack.enter_async_context(self._local.place(run))
             yield place
             if is_led:
-                self._local.learn_stay(place)
+                self._local.record_hold_time(place)
 
 
 class FleetObservations:
