--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -23,12 +23,12 @@
 from jujubewharf.forwarding import costs
 from jujubewharf.forwarding import limits as all_limits
 from jujubewharf.forwarding import margins
-from jujubewharf.forwarding import places
 from jujubewharf.forwarding import pool as pools
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import quotas as all_quotas
 from jujubewharf.forwarding import registry as registries
 from jujubewharf.forwarding import request_log
+from jujubewharf.forwarding import reservations
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
 from jujubewharf.forwarding import wait_policy
@@ -121,7 +121,9 @@
         self._running = 0
 
     @contextlib.asynccontextmanager
-    async def place(self, run: runs.Run) -> AsyncIterator[places.Reservation]:
+    async def place(
+        self, run: runs.Run
+    ) -> AsyncIterator[reservations.Reservation]:
         """Waits for a reservation and holds it while the block runs.
 
         Raises:
@@ -145,7 +147,7 @@
                 await self._release(place.engine, reservation_id)
             self._queue_of(run.service).wake_first()
 
-    def record_hold_time(self, place: places.Reservation) -> None:
+    def record_hold_time(self, place: reservations.Reservation) -> None:
         """Records how long a completed response held its memory."""
         took_ms = self._clock.now_ms() - place.reserved_at_ms
         self._cost_estimates.record_decode(
@@ -154,7 +156,7 @@
 
     @contextlib.contextmanager
     def _prefill_assigned(
-        self, run: runs.Run, place: places.Reservation
+        self, run: runs.Run, place: reservations.Reservation
     ) -> Iterator[None]:
         """Chooses prefill engines and tracks the prompt until it is prefilled.
 
@@ -182,7 +184,7 @@
 
     async def _wait_for_reservation(
         self, run: runs.Run
-    ) -> tuple[places.Reservation, _MemoryDemand]:
+    ) -> tuple[reservations.Reservation, _MemoryDemand]:
         started_ms = self._clock.now_ms()
         in_time_ms = self._patience.on_time_wait_ms(run)
         is_late = in_time_ms <= 0.0
@@ -286,7 +288,7 @@
 
     async def _try_engines(
         self, run: runs.Run, demand: _MemoryDemand, *, max_engines: int
-    ) -> places.Reservation | None:
+    ) -> reservations.Reservation | None:
         """Asks at most ``max_engines`` engines that may have enough memory."""
         assert run.traits is not None
         candidates = self._pool.decode_candidates(
@@ -314,7 +316,7 @@
                 # The response to the reservation said that the engine drains.
                 await self._release(engine, reservation_id)
                 continue
-            return places.Reservation(
+            return reservations.Reservation(
                 engine,
                 reservation_id,
                 reserved_at_ms=self._clock.now_ms(),
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -14,9 +14,9 @@
 from jujubewharf.configuration import resources
 from jujubewharf.forwarding import costs
 from jujubewharf.forwarding import fingerprints
-from jujubewharf.forwarding import places as all_places
 from jujubewharf.forwarding import registry as registries
 from jujubewharf.forwarding import request_log
+from jujubewharf.forwarding import reservations as all_reservations
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
 from jujubewharf.leadership import feeds as all_feeds
@@ -247,7 +247,7 @@
     @contextlib.asynccontextmanager
     async def place(
         self, run: runs.Run
-    ) -> AsyncIterator[all_places.Reservation | None]:
+    ) -> AsyncIterator[all_reservations.Reservation | None]:
         """Reserves memory through the leader, and holds it for the block.
 
         Yields:
@@ -258,7 +258,7 @@
             WharfError: The leader refused the request.
         """
         number = next(self._sequence)
-        place: all_places.Reservation | None = None
+        place: all_reservations.Reservation | None = None
         is_complete = False
         try:
             place = await self._request_place(number, run)
@@ -272,7 +272,7 @@
 
     async def _request_place(
         self, number: int, run: runs.Run
-    ) -> all_places.Reservation | None:
+    ) -> all_reservations.Reservation | None:
         started_ms = self._clock.now_ms()
         link = self._link
         if link is None:
@@ -370,13 +370,13 @@
 
     def _to_place(
         self, number: int, placed: leader_messages.Placed
-    ) -> all_places.Reservation | None:
+    ) -> all_reservations.Reservation | None:
         engine = self._registry.get(placed.engine)
         if engine is None:
             # The engine was registered too recently to be known here, or it has
             # left since.
             return None
-        place = all_places.Reservation(
+        place = all_reservations.Reservation(
             engine,
             placed.hold,
             reserved_at_ms=self._clock.now_ms(),
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -17,7 +17,7 @@
 from jujubewharf.forwarding import forwarder
 from jujubewharf.forwarding import observations as observed
 from jujubewharf.forwarding import placement as placements
-from jujubewharf.forwarding import places as all_places
+from jujubewharf.forwarding import reservations as all_reservations
 from jujubewharf.forwarding import runs
 from jujubewharf.forwarding import state_log
 from jujubewharf.leadership import account_usage
@@ -89,7 +89,7 @@
     """A placement that a follower waits for or holds."""
 
     task: asyncio.Task[None] | None = None
-    place: all_places.Reservation | None = None
+    place: all_reservations.Reservation | None = None
     ending: asyncio.Future[leader_messages.PlaceEnded] = dataclasses.field(
         default_factory=asyncio.Future
     )
@@ -344,7 +344,9 @@
     )
 
 
-def _placed_message(place: all_places.Reservation) -> leader_messages.Placed:
+def _placed_message(
+    place: all_reservations.Reservation,
+) -> leader_messages.Placed:
     return leader_messages.Placed(
         place.engine.name,
         place.reservation_id,
