--- a/src/jujubewharf/membership/__init__.py
+++ b/src/jujubewharf/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is here: the live list joined with heartbeats between peers."""
+"""Cluster membership, from the platform's live list and peer heartbeats."""
--- a/src/jujubewharf/membership/fact_messages.py
+++ b/src/jujubewharf/membership/fact_messages.py
@@ -1,4 +1,4 @@
-"""Messages that carry facts between instances; numbers 10 to 12."""
+"""Messages that exchange facts between instances; numbers 10 to 12."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 
 class WireFact(NamedTuple):
-    """A fact on the wire; a tuple, for its names would double its size.
+    """A fact on the wire, as a tuple to omit the field names.
 
     Attributes:
         topic: See ``facts.Fact``.
         subject: See ``facts.Fact``.
         version: See ``facts.Fact``.
         value: See ``facts.Fact``.
-        left_ms: Rest of its life. No instant, for clocks differ.
+        left_ms: Remaining time to live. A duration rather than a timestamp,
+            because the clocks of instances differ.
     """
 
     topic: str
@@ -29,7 +30,7 @@
 @messages.message(10)
 @dataclasses.dataclass(frozen=True, slots=True)
 class FactsPush(messages.Message):
-    """Facts that are news to the sender or that the receiver asked for."""
+    """Pushes facts that are new to the sender or that the receiver wants."""
 
     facts: tuple[WireFact, ...]
 
@@ -37,12 +38,13 @@
 @messages.message(11)
 @dataclasses.dataclass(frozen=True, slots=True)
 class FactsKnown(messages.Message):
-    """Asks for the facts that differ.
+    """Requests the facts that differ within a range of key hashes.
 
     Attributes:
-        from_key: Lowest key hash that the sender compares.
-        to_key: Highest one.
-        known: Key hash and content hash of each of its facts between them.
+        from_key: Lowest key hash of the compared range.
+        to_key: Highest key hash of the compared range, inclusive.
+        known: Key hash and content hash of each fact that the sender holds in
+            the range.
     """
 
     from_key: int
@@ -53,11 +55,12 @@
 @messages.message(12)
 @dataclasses.dataclass(frozen=True, slots=True)
 class FactsMissing(messages.Message):
-    """Answers ``FactsKnown``.
+    """Response to ``FactsKnown``.
 
     Attributes:
-        facts: Facts that the asker lacks or has otherwise.
-        wanted: Key hashes of facts that the answerer lacks or has otherwise.
+        facts: Facts that the requester lacks or holds with other content.
+        wanted: Key hashes of facts that the responder lacks or holds with
+            other content.
     """
 
     facts: tuple[WireFact, ...] = ()
--- a/src/jujubewharf/membership/fact_store.py
+++ b/src/jujubewharf/membership/fact_store.py
@@ -1,4 +1,4 @@
-"""Facts of one instance: the newest version of each, until it expires."""
+"""In-memory store of facts: the newest version of each until it expires."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
 
 
 class Topic(enum.StrEnum):
-    """Topics known to this version; facts of others are passed on as well.
+    """Topics known to this version; facts on other topics are forwarded too.
 
-    ``MEMBER``: an instance is there; ``MEMBER_LEAVING``: it leaves;
-    ``SUSPICION``: one instance doesn't hear another; ``ENDPOINT_LEAVING``:
-    an endpoint gets no new work; ``CONFIGURATION_OFFSET``: how far the
-    configuration stream has been read by somebody.
+    ``MEMBER``: an instance is running; ``MEMBER_LEAVING``: an instance is
+    draining; ``SUSPICION``: one instance suspects another of having failed;
+    ``ENDPOINT_LEAVING``: an endpoint is draining and gets no new requests;
+    ``CONFIGURATION_OFFSET``: offset up to which some instance has read the
+    configuration log.
     """
 
     MEMBER = "m"
@@ -40,17 +41,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fact:
-    """Something small that the whole fleet is to know for a while.
+    """A small piece of state that is replicated to all instances.
 
-    Of two versions the higher wins; of two values with the same version the
-    greater, so that all instances end with the same one.
+    The highest version wins. Of two values with the same version the greater
+    one wins, so that all instances converge.
 
     Attributes:
-        topic: What kind of fact; see ``Topic``.
-        subject: What it is about, unique within the topic.
-        version: Raised by whoever changes or renews the fact.
-        value: Its content, at most ``MAX_TEXT_LENGTH`` characters.
-        expires_ms: When it is forgotten, by this instance's clock.
+        topic: Kind of fact; see ``Topic``.
+        subject: Identifies the fact within its topic.
+        version: Raised by the publisher with each change or renewal.
+        value: Content, at most ``MAX_TEXT_LENGTH`` characters.
+        expires_ms: Time of expiry on this instance's clock, in ms.
     """
 
     topic: str
@@ -61,17 +62,17 @@
 
     @property
     def key(self) -> _Key:
-        """What the fact is about."""
+        """Topic and subject, which identify the fact."""
         return self.topic, self.subject
 
     @property
     def key_hash(self) -> int:
-        """Hash of the key, for comparing stores."""
+        """Hash of the key, used to compare stores."""
         return xxhash.xxh32_intdigest(f"{self.topic}\0{self.subject}".encode())
 
     @property
     def content_hash(self) -> int:
-        """Hash of version and value, for comparing stores."""
+        """Hash of key, version and value, used to compare stores."""
         content = "\0".join(
             (self.topic, self.subject, str(self.version), self.value)
         )
@@ -79,19 +80,21 @@
 
     @property
     def order(self) -> tuple[int, str]:
-        """The greater of two wins."""
+        """Sort key of versions of one fact; the greater one wins."""
         return self.version, self.value
 
 
 class FactStore:
-    """Holds facts; bounded in number and size.
+    """Stores facts, bounded in number and size.
 
     Args:
-        clock: Time.
+        clock: Source of time.
 
     Attributes:
-        digest: Equal in two stores that hold the same facts.
-        refused: Facts that were refused as too large or one too many.
+        digest: XOR of all content hashes; equal in two stores that hold the
+            same facts.
+        refused: Number of facts rejected because they were too large or the
+            store was full.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -109,21 +112,25 @@
         return iter(tuple(self._facts.values()))
 
     def get(self, topic: str, subject: str) -> Fact | None:
-        """The fact, unless it expired."""
+        """Returns a fact, or ``None`` if it is unknown or has expired."""
         fact = self._facts.get((topic, subject))
         if fact is None or fact.expires_ms <= self._clock.now_ms():
             return None
         return fact
 
     def about(self, topic: str) -> tuple[Fact, ...]:
-        """All facts on a topic that have not expired, by subject."""
+        """Returns the unexpired facts on a topic, sorted by subject."""
         of_topic = self._of_topic.get(topic, {})
         now_ms = self._clock.now_ms()
         found = (f for f in of_topic.values() if f.expires_ms > now_ms)
         return tuple(sorted(found, key=lambda fact: fact.subject))
 
     def add(self, fact: Fact) -> bool:
-        """Takes a fact in if it is news."""
+        """Stores a fact if it is newer than the stored one.
+
+        Returns:
+            Whether the fact was stored.
+        """
         held = self._facts.get(fact.key)
         if held is not None and held.order >= fact.order:
             return False
@@ -142,7 +149,7 @@
         return True
 
     def forget_expired(self) -> None:
-        """Drops what is past its life."""
+        """Removes expired facts."""
         now_ms = self._clock.now_ms()
         while self._expiries and self._expiries[0][0] <= now_ms:
             _, key = heapq.heappop(self._expiries)
@@ -153,14 +160,14 @@
                 del self._of_topic[fact.topic][fact.subject]
 
     def to_wire(self, fact: Fact) -> fact_messages.WireFact:
-        """A fact with the rest of its life."""
+        """Converts a fact for the wire, with its remaining time to live."""
         left_ms = max(0, int(fact.expires_ms - self._clock.now_ms()))
         return fact_messages.WireFact(
             fact.topic, fact.subject, fact.version, fact.value, left_ms
         )
 
     def from_wire(self, wire: fact_messages.WireFact) -> Fact:
-        """A fact with its end by this instance's clock."""
+        """Converts a received fact, with its expiry on the local clock."""
         left_ms = min(wire.left_ms, MAX_TTL_MS)
         expires_ms = self._clock.now_ms() + left_ms
         return Fact(
--- a/src/jujubewharf/membership/facts.py
+++ b/src/jujubewharf/membership/facts.py
@@ -1,10 +1,10 @@
-"""Small facts that reach the whole fleet in seconds, over the links.
+"""Gossip protocol that replicates small facts to all instances in seconds.
 
-News is pushed to a few links at a time, each receiver pushes it on, and so
-it spreads like an infection (Demers et al. 1987). A fixed number of copies
-an instance keeps the cost independent of the fleet's size, but leaves some
-instances out now and then. Heartbeats therefore carry a digest of all facts,
-and two stores whose digests differ are compared and made equal.
+New facts are pushed to a few random peers, which push them on in turn (rumor
+mongering, Demers et al. 1987). Each instance sends a fixed number of copies
+of a fact, which keeps the cost independent of the fleet's size but may miss
+some instances. Heartbeats therefore carry a digest of the fact store, and
+peers whose digests differ run an anti-entropy exchange.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 class _HotFact:
-    """A fact that is still to be pushed on."""
+    """A fact that is still being pushed to peers."""
 
     def __init__(self, fact: Fact, source: str | None) -> None:
         self.fact = fact
@@ -55,14 +55,14 @@
 
 
 class Facts(mode.Service):
-    """Publishes facts to all instances and hears theirs.
+    """Publishes facts to all instances and receives theirs.
 
     Args:
-        mesh: The links.
-        clock: Time.
+        mesh: Links to the peers.
+        clock: Source of time.
 
     Attributes:
-        store: What is known here.
+        store: Facts known to this instance.
     """
 
     def __init__(self, mesh: meshes.PeerMesh, clock: clocks.Clock) -> None:
@@ -91,18 +91,18 @@
         value: str = "",
         ttl_ms: float,
     ) -> bool:
-        """Tells the whole fleet.
+        """Publishes a fact to all instances.
 
         Args:
             topic: A ``Topic``.
-            subject: What the fact is about.
-            version: Higher than that of the fact it replaces or renews.
-            value: Its content.
-            ttl_ms: How long it is to be known, at most
-                ``fact_store.MAX_TTL_MS``.
+            subject: Identifies the fact within its topic.
+            version: Must exceed the version of the fact that it replaces or
+                renews.
+            value: Content of the fact.
+            ttl_ms: Time to live, at most ``fact_store.MAX_TTL_MS``.
 
         Returns:
-            Whether this is news here.
+            Whether the fact was stored as newer than the one known here.
         """
         ttl_ms = min(ttl_ms, fact_store.MAX_TTL_MS)
         expires_ms = self._clock.now_ms() + ttl_ms
@@ -110,19 +110,19 @@
         return self._take_in(fact, None)
 
     def get(self, topic: str, subject: str) -> Fact | None:
-        """What is known, or ``None``."""
+        """Returns a fact, or ``None`` if it is unknown or has expired."""
         return self.store.get(topic, subject)
 
     def about(self, topic: str) -> tuple[Fact, ...]:
-        """All that is known on a topic, by subject."""
+        """Returns the known facts on a topic, sorted by subject."""
         return self.store.about(topic)
 
     def listen(self, topic: str, listener: Listener) -> None:
-        """Calls back for each new version of a fact, this side's included."""
+        """Registers a callback for new facts, including local ones."""
         self._listeners.setdefault(str(topic), []).append(listener)
 
     async def on_start(self) -> None:
-        """Makes the limiter, which belongs to the running loop."""
+        """Creates the rate limiter, which is bound to the running loop."""
         self._budget = aiolimiter.AsyncLimiter(
             _PUSH_BURST_BYTES, _PUSH_BURST_BYTES / _PUSH_BYTES_PER_S
         )
@@ -144,7 +144,7 @@
                 await self._sync(peer)
 
     def _next_due(self) -> str | None:
-        """A peer to compare with; those whose link is gone are let be."""
+        """Returns the next peer to synchronize with, skipping unlinked ones."""
         linked = self._mesh.linked()
         for peer in [name for name in self._mismatches if name not in linked]:
             del self._mismatches[peer]
@@ -201,11 +201,11 @@
         self._take_in_all(push.facts, peer)
 
     def _on_heartbeat(self, peer: str, digest: int) -> None:
-        """Notes peers whose facts stay different.
+        """Schedules a sync with a peer whose digest keeps differing.
 
-        Facts under way make digests differ for a moment, so one difference
-        proves nothing. Of two sides that notice, the lower name compares;
-        the other one steps in when nothing comes of it.
+        Digests differ briefly while facts propagate, so a single mismatch is
+        ignored. The instance with the lower name starts the sync; the other
+        one starts it only after further mismatches.
         """
         if digest == self.store.digest:
             self._mismatches.pop(peer, None)
@@ -221,7 +221,10 @@
             self._due.append(peer)
 
     async def _sync(self, peer: str) -> None:
-        """Makes two stores equal, or a window of them if they are large."""
+        """Synchronizes the store with a peer's.
+
+        Large stores are compared one random window of key hashes at a time.
+        """
         ordered = sorted(self.store, key=lambda fact: fact.key_hash)
         window = fact_messages.FactsKnown(0, 2**32, ())
         if len(ordered) > _MAX_FACTS_A_SYNC:
--- a/src/jujubewharf/membership/member_facts.py
+++ b/src/jujubewharf/membership/member_facts.py
@@ -1,4 +1,4 @@
-"""What instances say of each other in facts: the values, typed."""
+"""Typed values of the facts that instances publish about members."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Presence:
-    """An instance says that it is there.
+    """Announcement of an instance by itself.
 
     Attributes:
-        domain: Its failure domain.
-        address: ``IP:PORT`` of its peer link.
-        incarnation: Tells it from earlier processes of the same name.
+        domain: Failure domain of the instance.
+        address: ``IP:PORT`` on which the instance accepts peer links.
+        incarnation: Distinguishes the process from earlier processes of the
+            same name.
     """
 
     domain: str
@@ -30,12 +31,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """An instance says that it doesn't hear another.
+    """Report by one instance that another one has gone silent.
 
     Attributes:
-        domain: Failure domain of the one who says so.
-        incarnation: The process that is not heard.
-        is_silent: False takes the report back.
+        domain: Failure domain of the reporting instance.
+        incarnation: Incarnation of the silent process.
+        is_silent: False withdraws the report.
     """
 
     domain: str
@@ -50,31 +51,31 @@
 
 
 def dump(value: Presence | Report) -> str:
-    """A fact's value; a list, for names would double its size."""
+    """Encodes a fact's value as a JSON list, which omits the field names."""
     return json.dumps(dataclasses.astuple(value), separators=(",", ":"))
 
 
 def presence(fact: fact_store.Fact) -> Presence | None:
-    """Reads a presence; ``None`` if it is of a form unknown here."""
+    """Decodes a presence; returns ``None`` if the format is unknown."""
     return _read_presence(fact.value)
 
 
 def report(fact: fact_store.Fact) -> Report | None:
-    """Reads a report; ``None`` if it is of a form unknown here."""
+    """Decodes a report; returns ``None`` if the format is unknown."""
     return _read_report(fact.value)
 
 
 def report_subject(silent: str, watcher: str) -> str:
-    """Subject of a report; each watcher has its own."""
+    """Returns the subject of a report, one per silent member and watcher."""
     return f"{silent}\t{watcher}"
 
 
 def silent_in(subject: str) -> str:
-    """Name of the instance that a report is about."""
+    """Returns the name of the silent instance from a report's subject."""
     return subject.partition("\t")[0]
 
 
-# The same few values are read at every check, several times a second.
+# Every membership check decodes the same few values several times a second.
 @functools.lru_cache(maxsize=_CACHED_VALUES)
 def _read_presence(value: str) -> Presence | None:
     try:
@@ -94,6 +95,6 @@
 def _named(value_type: type[Presence | Report], value: str) -> object:
     items = json.loads(value)
     if not isinstance(items, list):
-        raise ValueError("no list")
+        raise ValueError("fact value is not a JSON list")
     names = (field.name for field in dataclasses.fields(value_type))
     return dict(zip(names, items, strict=False))
--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -1,4 +1,4 @@
-"""Who is here: the list of the platform joined with what the links hear."""
+"""Membership service: merges the live list with the state of peer links."""
 
 from __future__ import annotations
 
@@ -33,21 +33,21 @@
 
 
 class Membership(mode.Service):
-    """Speaks ``view.MembershipView``.
+    """Implements ``view.MembershipView``.
 
-    Three sources are joined. The platform's list says who may exist, late.
-    A link says who answers, and its hello is newer than any list. Facts
-    spread what an instance says of itself, so that one that the list
-    doesn't have yet is known to all in seconds.
+    Merges three sources. The platform's live list names the expected
+    instances but lags behind. Links show which instances answer, and their
+    hellos are newer than the list. Presence facts announce an instance to the
+    whole fleet before the list contains it.
 
     Args:
-        mesh: The links; this instance's name and address are theirs.
-        facts: What the fleet knows.
+        mesh: Links to the peers; holds this instance's name and address.
+        facts: Facts replicated between instances.
         domain: Failure domain of this instance.
         platform_list: The platform's live list.
-        clock: Time.
-        timing: Times of the links.
-        poll_ms: Time between two readings of the list.
+        clock: Source of time.
+        timing: Heartbeat and timeout intervals of the links.
+        poll_ms: Interval between polls of the live list, in ms.
     """
 
     def __init__(
@@ -104,16 +104,16 @@
         )
 
     def members(self) -> tuple[view.Member, ...]:
-        """All members by name; see ``view.MembershipView``."""
+        """Returns all members; see ``view.MembershipView``."""
         everyone = self._members | {self._mesh.instance: self.myself}
         return tuple(everyone[name] for name in sorted(everyone))
 
     def is_suspected(self, instance: str) -> bool:
-        """Whether a member is silent; see ``view.MembershipView``."""
+        """Whether a member is suspected; see ``view.MembershipView``."""
         return instance in self._suspected
 
     def present(self) -> tuple[view.Member, ...]:
-        """Members for owner choice; see ``view.MembershipView``."""
+        """Returns the available members; see ``view.MembershipView``."""
         return tuple(
             member
             for member in self.members()
@@ -121,15 +121,15 @@
         )
 
     def listed_endpoints(self) -> tuple[live_list.LiveMember, ...]:
-        """Endpoints on the last list that was read."""
+        """Returns the endpoints of the last live list fetched."""
         return self._listed_endpoints
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Calls back upon changes; see ``view.MembershipView``."""
+        """Registers a callback for changes; see ``view.MembershipView``."""
         self._listeners.append(listener)
 
     def leave(self) -> None:
-        """Tells the fleet that this instance takes no new roles."""
+        """Announces to all instances that this one is draining."""
         if self._mesh.is_leaving:
             return
         self._mesh.is_leaving = True
@@ -147,8 +147,8 @@
             try:
                 self._on_list(await self._list.fetch())
             except live_list.LiveListUnavailableError as error:
-                # The last list is kept: an outage of the list says nothing
-                # about the instances on it.
+                # Keep the last list: an outage of the live list does not
+                # mean that the listed instances are down.
                 self._logger.warning("live_list_unavailable", detail=str(error))
             spread = self._random.uniform(1 - _POLL_JITTER, 1 + _POLL_JITTER)
             await self._clock.sleep_ms(self._poll_ms * spread)
@@ -189,16 +189,16 @@
         if fact.topic != all_facts.Topic.SUSPICION:
             self._is_stale = True
         if fact.topic == all_facts.Topic.MEMBER:
-            # A dial that failed was to the process before this one; holding
-            # it against the new one would lead back to the listed address.
+            # An earlier failed dial may have been to a previous process.
+            # Keeping it would fall back to the outdated listed address.
             self._mesh.forgive(fact.subject)
         self._news.set()
 
     async def _wait_for_news(self) -> None:
-        """Waits for the next check, or shortly when something came up.
+        """Waits until the next check is due or an update arrives.
 
-        The short wait gathers the many facts and hellos of one event, such
-        as a domain's healing, into one joining.
+        Always waits for a short time first, to batch the many facts and
+        hellos of one event, such as a healed partition, into one refresh.
         """
         await self._clock.sleep_ms(_GATHER_MS)
         check_ms = self._timing.heartbeat_ms / _CHECKS_PER_HEARTBEAT
@@ -209,7 +209,7 @@
             return
 
     def _say_presence(self) -> None:
-        """Tells the fleet of this instance until the list does."""
+        """Publishes and renews the presence fact until the list has it."""
         incarnation = self._mesh.incarnation
         now_ms = self._clock.now_ms()
         is_said = self._presence_incarnation == incarnation
@@ -235,10 +235,11 @@
         )
 
     def _refresh(self, *, has_news: bool = False) -> None:
-        """Brings the view up to date, and tells the listeners of changes.
+        """Updates the view and notifies the listeners of changes.
 
-        Joining costs time in proportion to the fleet, so it is done only
-        when a source has changed; looking for silence costs little.
+        Merging the sources takes time proportional to the fleet's size and is
+        only done when a source has changed or periodically. Failure detection
+        runs on every call.
         """
         now_ms = self._clock.now_ms()
         if self._is_stale or now_ms >= self._joined_ms + _REJOIN_MS:
@@ -255,7 +256,7 @@
                 listener()
 
     def _rejoin(self) -> bool:
-        """Joins all sources anew; returns whether a member changed."""
+        """Merges all sources again; returns whether a member changed."""
         members = self._join()
         self._suspicion.on_members(members)
         if members == self._members:
@@ -288,13 +289,13 @@
     def _join_one(
         self, name: str, told: Mapping[str, member_facts.Presence]
     ) -> view.Member | None:
-        """One member, or ``None`` if nothing speaks for it any more."""
+        """Returns the merged member, or ``None`` if it is gone."""
         listed = self._listed.get(name)
         is_heard = self._suspicion.is_heard(name)
         said = self._said_of_itself(name, told)
         if listed is None:
-            # Off the list and not heard: gone. Off the list and heard: the
-            # list lags behind a newcomer.
+            # An unlisted instance that is silent is gone. One that is heard
+            # is new, and the list lags behind.
             if said is None or (name in self._suspected and not is_heard):
                 return None
             return self._member(name, said.domain, said.address, False)
@@ -303,7 +304,8 @@
             return self._member(name, listed.domain, listed.address, is_leaving)
         address = said.address
         if self._mesh.contact(name).failed_ms is not None and not is_heard:
-            # Its own word may be out of date by now as well as the list.
+            # The announced address failed; it may be outdated, so try the
+            # listed one.
             address = listed.address
         return self._member(name, said.domain, address, is_leaving)
 
--- a/src/jujubewharf/membership/neighbours.py
+++ b/src/jujubewharf/membership/neighbours.py
@@ -1,11 +1,11 @@
-"""Which peers an instance keeps a standing link to.
+"""Selects the peers to which an instance keeps a standing link.
 
-The number of links must not grow with the fleet: at 380 instances a link to
-everybody would cost more in heartbeats alone than the whole budget for
-control. Within the domain an instance links to all while they are few, else
-to a fixed number by rendezvous hash; across domains to one member in each of
-a fixed number of domains. The links of the others to it add about as many
-again, which together keep the graph connected with a wide margin.
+The number of links per instance is bounded, so that heartbeat traffic does
+not grow with the fleet. In its own failure domain an instance links to all
+members of a small domain, else to a fixed number chosen by rendezvous
+hashing. It also links to one member in each of a fixed number of other
+domains. Links opened by other instances roughly double the degree, which
+keeps the graph connected when members fail.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 def choose(
     myself: view.Member, others: Iterable[view.Member]
 ) -> tuple[str, ...]:
-    """Names of the chosen peers, by name."""
+    """Returns the names of the chosen peers, sorted."""
     by_domain: dict[str, list[str]] = {}
     for member in others:
         by_domain.setdefault(member.domain, []).append(member.instance)
--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -1,9 +1,9 @@
-"""Which members are not heard: by this instance's links, or by report.
+"""Failure detector based on the local links and on reports of other instances.
 
-An instance watches only the peers that it has links to. Of the others it
-learns by reports, which it believes when two watchers give them that stand
-in its own domain or in the silent one's: what a third domain doesn't hear
-says nothing about the way from here.
+An instance monitors only the peers that it has links to. Other members are
+suspected when at least two watchers report them. Only reports from the local
+failure domain or the reported member's domain count: a third domain may be
+partitioned from the member while this instance can reach it.
 """
 
 from __future__ import annotations
@@ -36,21 +36,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Reported:
-    """This instance's own report: when it was given, and of which process."""
+    """A report published by this instance.
+
+    Attributes:
+        at_ms: Time of publication, in ms.
+        incarnation: Incarnation of the reported process.
+    """
 
     at_ms: float
     incarnation: int
 
 
 class Suspicion:
-    """Finds the members that are not heard.
+    """Detects members that have gone silent.
 
     Args:
-        mesh: The links.
-        facts: Where reports are given and found.
+        mesh: Links to the peers.
+        facts: Replicated facts; carry the reports.
         domain: Failure domain of this instance.
-        clock: Time.
-        timing: Times of the links.
+        clock: Source of time.
+        timing: Heartbeat and timeout intervals of the links.
     """
 
     def __init__(
@@ -77,10 +82,10 @@
         self._resumed_ms = float("-inf")
 
     def find(self, members: Mapping[str, view.Member]) -> frozenset[str]:
-        """Names of the members that are not heard.
+        """Returns the names of the suspected members.
 
-        Looks only at peers that the links know and at members that reports
-        are about: both stay few while the fleet grows.
+        Checks only peers known to the links and members with reports, whose
+        number does not grow with the fleet.
         """
         self._notice_pause()
         told = self._reported(members)
@@ -98,7 +103,7 @@
         return frozenset(found)
 
     def on_members(self, members: Mapping[str, view.Member]) -> None:
-        """Notes since when members are known and forgets the gone."""
+        """Records when members became known; drops state of removed ones."""
         now_ms = self._clock.now_ms()
         for name in members:
             self._known_since_ms.setdefault(name, now_ms)
@@ -113,24 +118,24 @@
                 del held[name]
 
     def is_heard(self, name: str) -> bool:
-        """Whether a link heard the peer within the time for suspicion."""
+        """Whether a frame came from the peer within the suspicion timeout."""
         heard_ms = self._mesh.contact(name).heard_ms
         return heard_ms is not None and self._is_recent(heard_ms)
 
     def is_silent(self, name: str) -> bool:
-        """Whether this instance itself has evidence against the peer."""
+        """Whether the links of this instance show that the peer is silent."""
         contact = self._mesh.contact(name)
         if contact.failed_ms is not None:
-            # A dial that failed beside a link that came back would else be
-            # held against the peer for ever: no further dial follows it.
+            # Ignore a failed dial if the peer was heard since, because no
+            # later dial would clear it.
             heard_ms = contact.heard_ms
             if heard_ms is None or heard_ms <= contact.failed_ms:
                 return True
         if not contact.is_watched:
             return False
         if not contact.hears_us and not self._is_recent(self._resumed_ms):
-            # After a pause of this process the word that it is not heard
-            # was true, and is out of date.
+            # The peer does not hear this instance. Right after a pause of
+            # this process that state is outdated and ignored.
             return True
         since_ms = contact.heard_ms
         if since_ms is None:
@@ -138,10 +143,10 @@
         return not self._is_recent(since_ms)
 
     def on_hello(self, domain: str, members: Mapping[str, view.Member]) -> None:
-        """Takes a hello from a domain as a sign that the way there is open.
+        """Clears failed dials to the domain that a hello came from.
 
-        After a partition heals, the members that were found unreachable by
-        probes would else be passed over until each is probed again.
+        After a partition heals, members that probes found unreachable would
+        otherwise stay suspected until each one is probed again.
         """
         for name, member in members.items():
             contact = self._mesh.contact(name)
@@ -151,12 +156,12 @@
     def next_probe(
         self, members: Mapping[str, view.Member], suspected: frozenset[str]
     ) -> str | None:
-        """A member in doubt that should be dialled now, if any.
+        """Returns the next member to probe by dialling it, if any.
 
-        In doubt is who stands in a domain of a suspected member and is not
-        watched from here. Without probes the members of a domain that was
-        cut off would be found out one failed request at a time, and one
-        once suspected would stay so, for nobody would dial it again.
+        Candidates are the unwatched members in the failure domain of a
+        suspected member. Without probes, each member of an unreachable domain
+        would be detected by a failed request of its own, and a suspected one
+        would stay suspected because nothing dials it again.
         """
         now_ms = self._clock.now_ms()
         if not suspected or now_ms < self._last_probe_ms + _PROBE_MS:
@@ -182,11 +187,11 @@
         return silence_ms <= self._timing.suspect_after_ms
 
     def _notice_pause(self) -> None:
-        """Forgives silence that lies in a pause of this very process.
+        """Detects a pause of this process, whose silence must not count.
 
-        A process that was stopped for ten seconds finds, before it has read
-        its sockets, that everybody was silent for ten seconds. Suspecting
-        them all would make it the owner of everything for a moment.
+        After a pause, all peers seem silent until the sockets are read.
+        Suspecting them all would briefly make this instance the owner of
+        everything.
         """
         now_ms = self._clock.now_ms()
         last_ms = self._checked_ms
@@ -199,7 +204,7 @@
     def _reported(
         self, members: Mapping[str, view.Member]
     ) -> dict[str, list[member_facts.Report]]:
-        """Reports that count, by silent member."""
+        """Returns the valid reports by silent member."""
         found: dict[str, list[member_facts.Report]]
         found = collections.defaultdict(list)
         for fact in self._facts.about(all_facts.Topic.SUSPICION):
@@ -220,10 +225,10 @@
         return len(reports) >= REPORTS_TO_BELIEVE
 
     def _report(self, name: str, is_silent: bool, told_by: int) -> None:
-        """Gives, renews or takes back this instance's own report.
+        """Publishes, renews or withdraws this instance's report on a member.
 
-        All watchers of a dead instance notice within a moment. Each waits a
-        random while, and once enough have reported the others need not.
+        All watchers detect a failed instance at about the same time. Each
+        waits for a random delay and reports only if too few others have.
         """
         now_ms = self._clock.now_ms()
         reported = self._reports.get(name)
@@ -241,7 +246,7 @@
                 self._take_back(name, reported)
 
     def _take_back(self, name: str, reported: _Reported) -> None:
-        """Ends a report; one about an earlier process is void by itself."""
+        """Withdraws a report unless it is about an earlier process."""
         if self._incarnation(name) <= reported.incarnation:
             self._publish(name, is_silent=False)
         del self._reports[name]
--- a/src/jujubewharf/membership/view.py
+++ b/src/jujubewharf/membership/view.py
@@ -1,4 +1,4 @@
-"""What other packages need of membership."""
+"""Membership interface used by other packages."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """An entry instance that is on the list or is heard from.
+    """An entry instance that is on the live list or reachable by links.
 
     Attributes:
-        instance: Its name.
-        address: ``IP:PORT`` of its peer link.
+        instance: Name of the instance.
+        address: ``IP:PORT`` on which the instance accepts peer links.
         domain: Failure domain.
-        is_leaving: Whether it has said or the list says that it leaves.
+        is_leaving: Whether the instance is draining, as announced by itself
+            or by the live list.
     """
 
     instance: str
@@ -25,9 +26,10 @@
 
 
 class MembershipView(Protocol):
-    """Who is here, as far as this instance knows.
+    """Members as known to this instance.
 
-    Suspicion changes where work and roles go, never what is safe.
+    Suspicion only influences where work and roles are placed. Correctness
+    must not depend on it.
     """
 
     @property
@@ -36,17 +38,20 @@
         ...
 
     def members(self) -> tuple[Member, ...]:
-        """All members by name, this instance and suspected ones included."""
+        """Returns all members by name, including itself and suspected ones."""
         ...
 
     def is_suspected(self, instance: str) -> bool:
-        """Whether a member has not been heard from for a while."""
+        """Whether a member is suspected of having failed."""
         ...
 
     def present(self) -> tuple[Member, ...]:
-        """Members neither suspected nor leaving, by name; for owner choice."""
+        """Returns members that may own keys and roles, sorted by name.
+
+        These are neither suspected nor leaving.
+        """
         ...
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Calls back whenever any of the above may have changed."""
+        """Registers a callback for possible changes of the membership."""
         ...
--- a/tests/membership/test_facts.py
+++ b/tests/membership/test_facts.py
@@ -1,4 +1,4 @@
-"""Facts reach every instance, also those that the pushes left out."""
+"""Facts reach every instance, including those that the pushes missed."""
 
 from __future__ import annotations
 
@@ -40,12 +40,7 @@
 
 
 def test_a_cut_domain_learns_what_it_missed_when_healed():
-    """A fact is published while a domain is cut off.
-
-    All pushes of it end before the cut heals. Without the comparison by
-    digest the cut domain would give work to a leaving endpoint until the
-    list said so.
-    """
+    """A domain that misses all pushes of a fact receives it by digest sync."""
 
     async def run() -> None:
         bench = await _fleet(6, 2)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership over long times: what is gone is forgotten."""
+"""Membership: state of removed instances is dropped; listeners are called."""
 
 from __future__ import annotations
 
@@ -10,11 +10,7 @@
 
 
 def test_instances_that_are_gone_leave_nothing_behind():
-    """An instance is replaced again and again, each time under a new name.
-
-    The list drops the old name. Its links, hello, reports, presence and times
-    must go as well, or an instance that runs for months fills its memory.
-    """
+    """State of replaced instances must not accumulate (memory leak)."""
 
     async def run() -> None:
         bench = benches.Bench()
--- a/tests/membership/test_neighbours.py
+++ b/tests/membership/test_neighbours.py
@@ -1,4 +1,4 @@
-"""The choice of links at the target size: few, balanced, connected."""
+"""Standing links at the target fleet size: few, balanced and connected."""
 
 from __future__ import annotations
 
@@ -46,10 +46,7 @@
 
 
 def test_the_fleet_stays_joined_when_a_domain_and_a_tenth_are_gone():
-    """A domain is cut off while a tenth of the others is being replaced.
-
-    The choice is made anew without the gone, so no part stands alone.
-    """
+    """The graph stays connected without one domain and a tenth of the rest."""
     left = [
         member
         for number, member in enumerate(_fleet(SIZE, DOMAINS))
