--- a/src/jujubewharf/peers/__init__.py
+++ b/src/jujubewharf/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The inner protocol: typed messages in msgpack over streams."""
+"""Protocol between instances: typed msgpack messages over byte streams."""
--- a/src/jujubewharf/peers/codec.py
+++ b/src/jujubewharf/peers/codec.py
@@ -1,12 +1,12 @@
-"""Messages as bytes: a length, then a msgpack array.
-
-A frame is a four-byte big-endian length and the msgpack array ``[kind,
-correlation, number, fields]``. The fields stand in the order in which the
-data class declares them, so a newer version may only add fields at the end,
-each with a default: an older receiver leaves the rest of the array aside,
-and an older sender's shorter array takes the defaults. Nested data classes
-are maps by field name. ``pydantic`` checks every value against the declared
-type, so a handler never meets a field of the wrong type.
+"""Wire format of peer messages: length-prefixed msgpack arrays.
+
+A frame is a four-byte big-endian length followed by the msgpack array
+``[kind, correlation, number, fields]``. Fields are encoded in the order in
+which the dataclass declares them, so a newer version may only append fields
+with defaults: older receivers ignore additional fields, and fields missing
+from an older sender take their defaults. Nested dataclasses are encoded as
+maps by field name. ``pydantic`` validates every value against its declared
+type, so handlers never receive a field of the wrong type.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class FrameKind(enum.IntEnum):
-    """What a frame is."""
+    """Kind of a frame."""
 
     TELL = 0
     ASK = 1
@@ -41,12 +41,12 @@
 
 
 class DroppedFrameError(Exception):
-    """A frame can't be used.
+    """A frame could not be decoded; the stream remains usable.
 
     Args:
-        reason: Why, for the counter.
-        correlation: Of the frame, when that much was readable.
-        kind: Of the frame, when that much was readable.
+        reason: Reason for the drop counter.
+        correlation: Correlation number of the frame, 0 if unreadable.
+        kind: Kind of the frame, ``None`` if unreadable.
     """
 
     def __init__(
@@ -63,10 +63,11 @@
 
 
 class BrokenStreamError(Exception):
-    """The stream can't be read on: where the next frame starts is unknown.
+    """The stream ended or lost its framing and can't be read further.
 
     Args:
-        reason: Why; ``None`` for an orderly end between two frames.
+        reason: Reason for the drop counter; ``None`` if the stream ended
+            between two frames or its connection failed.
     """
 
     def __init__(self, reason: counters.Drop | None) -> None:
@@ -79,10 +80,11 @@
     """One frame.
 
     Attributes:
-        kind: What it is.
-        correlation: Joins an answer to its ask; 0 for a tell.
-        message: The message; ``None`` for a refusal or an empty answer.
-        unknown_fields: Fields that this version doesn't know.
+        kind: Kind of the frame.
+        correlation: Matches a response to its request; 0 for a one-way
+            message.
+        message: The message; ``None`` for a refusal or an empty response.
+        unknown_fields: Number of fields unknown to this version.
     """
 
     kind: FrameKind
@@ -92,7 +94,7 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """A frame as bytes, length included."""
+    """Encodes a frame, including its length prefix."""
     number = 0
     fields: list[Any] = []
     if frame.message is not None:
@@ -108,10 +110,10 @@
 
 
 def decode(body: bytes) -> Frame:
-    """A frame from bytes, length left out.
+    """Decodes a frame from its body, without the length prefix.
 
     Raises:
-        DroppedFrameError: The frame is to be left aside; the stream goes on.
+        DroppedFrameError: The frame is invalid; the stream remains usable.
     """
     kind, correlation, number, fields = _header(body)
     if number == 0:
@@ -136,10 +138,10 @@
 async def read_body(
     reader: asyncio.StreamReader, *, max_bytes: int = MAX_FRAME_BYTES
 ) -> bytes:
-    """Reads one frame's body.
+    """Reads the body of one frame.
 
-    The length is checked before a byte of the body is awaited, so a hostile
-    length reserves no memory.
+    Checks the length prefix before reading the body, so that a malicious
+    length does not allocate memory.
 
     Raises:
         BrokenStreamError: The stream ended, or the frame is too large.
@@ -159,12 +161,12 @@
 
 
 def body_of(data: bytes) -> bytes:
-    """The body of one encoded frame, without its length."""
+    """Returns the body of one encoded frame, without the length prefix."""
     return data[_LENGTH.size :]
 
 
 def frame_bytes(body: bytes) -> int:
-    """Size of a frame on the stream."""
+    """Returns the size of a frame on the stream, in bytes."""
     return _LENGTH.size + len(body)
 
 
@@ -213,4 +215,4 @@
 def _plain(value: object) -> object:
     if isinstance(value, enum.Enum):
         return value.value
-    raise TypeError(f"{type(value).__name__} is no type that msgpack carries")
+    raise TypeError(f"{type(value).__name__} can't be encoded as msgpack")
--- a/src/jujubewharf/peers/configuration_messages.py
+++ b/src/jujubewharf/peers/configuration_messages.py
@@ -1,7 +1,4 @@
-"""Messages that spread configuration between instances.
-
-Numbers 60 to 79 belong to configuration.
-"""
+"""Messages that replicate configuration between instances; from 60."""
 
 from __future__ import annotations
 
@@ -12,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WireRecord:
-    """A record as it stands on the log."""
+    """A record of the configuration log."""
 
     offset: int
     payload: bytes
@@ -21,11 +18,11 @@
 @messages.message(60)
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordsWanted(messages.Message):
-    """Asks for records that were folded lately.
+    """Requests recently applied records of the log.
 
     Attributes:
-        from_offset: First record wanted.
-        limit: Most records wanted.
+        from_offset: Offset of the first record wanted.
+        limit: Maximum number of records.
     """
 
     from_offset: int
@@ -35,15 +32,15 @@
 @messages.message(61)
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordsGiven(messages.Message):
-    """Answers ``RecordsWanted``.
+    """Response to ``RecordsWanted``.
 
     Attributes:
-        next_offset: Offset of the next record that the sender would fold;
-            when it is past ``from_offset`` and there are no records, only a
-            snapshot helps.
-        records: Records from ``from_offset`` on.
-        is_caught_up: Whether the sender has seen the end of the log, or has
-            it from one that had.
+        next_offset: Offset of the next record that the sender will apply. If
+            it is past ``from_offset`` and ``records`` is empty, the requester
+            needs a snapshot.
+        records: Records starting at ``from_offset``.
+        is_caught_up: Whether the sender has reached the end of the log, by
+            itself or by records from an instance that had.
     """
 
     next_offset: int
@@ -54,7 +51,7 @@
 @messages.message(62)
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotWanted(messages.Message):
-    """Asks for a whole state, if it is further than this offset."""
+    """Requests a snapshot of the state beyond the given offset."""
 
     above_offset: int
 
@@ -62,13 +59,14 @@
 @messages.message(63)
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotOffered(messages.Message):
-    """Answers ``SnapshotWanted``.
+    """Response to ``SnapshotWanted``.
 
     Attributes:
-        next_offset: Offset that the sender's state, or the snapshot, ends at.
-        digest: Names the snapshot; empty when there is none above the
-            wanted offset.
-        chunk_count: How many chunks it has.
+        next_offset: End offset of the snapshot, or of the sender's state if
+            it offers none.
+        digest: Identifies the snapshot; empty if the sender has none beyond
+            the requested offset.
+        chunk_count: Number of chunks of the snapshot.
     """
 
     next_offset: int
@@ -79,7 +77,7 @@
 @messages.message(64)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkWanted(messages.Message):
-    """Asks for one chunk of an offered snapshot."""
+    """Requests one chunk of an offered snapshot."""
 
     digest: str
     index: int
@@ -88,6 +86,6 @@
 @messages.message(65)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkGiven(messages.Message):
-    """Answers ``ChunkWanted``; empty when the snapshot is no longer kept."""
+    """Response to ``ChunkWanted``; empty if the snapshot was discarded."""
 
     data: bytes = b""
--- a/src/jujubewharf/peers/counters.py
+++ b/src/jujubewharf/peers/counters.py
@@ -1,4 +1,4 @@
-"""Counts of the peer links, plain for tests and as OpenTelemetry metrics."""
+"""Counters of the peer links, as attributes and as OpenTelemetry metrics."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Drop(enum.Enum):
-    """Why a frame or a part of it was left aside."""
+    """Reason why a frame or a part of it was dropped."""
 
     TRUNCATED = "truncated"
     OVERSIZED = "oversized"
@@ -41,7 +41,7 @@
 
 
 class AskOutcome(enum.Enum):
-    """How an ask ended."""
+    """Outcome of a request."""
 
     ANSWERED = "answered"
     UNREACHABLE = "unreachable"
@@ -50,16 +50,17 @@
 
 
 class PeerCounters:
-    """Counts of one instance.
+    """Counters of one instance.
 
     Attributes:
-        bytes_in: Bytes of frames read.
-        bytes_out: Bytes of frames written.
+        bytes_in: Total size of the frames read, in bytes.
+        bytes_out: Total size of the frames written, in bytes.
         frames_out: Number of frames written.
-        drops: Drops by reason.
-        asks: Asks by outcome.
-        refusals: Links that were refused, by the reason's value.
-        task_failures: Tasks of links that ended by a fault in this program.
+        drops: Number of drops by reason.
+        asks: Number of requests by outcome.
+        refusals: Number of refused links by reason.
+        task_failures: Number of link tasks that failed with an unexpected
+            exception.
     """
 
     def __init__(self) -> None:
@@ -83,12 +84,12 @@
         _bytes_out.add(size_bytes)
 
     def drop(self, reason: Drop) -> None:
-        """Counts a drop."""
+        """Counts a dropped frame or field."""
         self.drops[reason] += 1
         _drops.add(1, {"reason": reason.value})
 
     def ask(self, outcome: AskOutcome) -> None:
-        """Counts the end of an ask."""
+        """Counts a finished request."""
         self.asks[outcome] += 1
         _asks.add(1, {"outcome": outcome.value})
 
@@ -99,5 +100,5 @@
 
 
 def count_refusal(reason: str) -> None:
-    """Counts a refused link that has no instance's counts to stand in."""
+    """Counts a refused link in the metric only, without an instance."""
     _refusals.add(1, {"reason": reason})
--- a/src/jujubewharf/peers/crash_messages.py
+++ b/src/jujubewharf/peers/crash_messages.py
@@ -12,10 +12,10 @@
 @messages.message(110)
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashesKnown(messages.Message):
-    """What the sender knows of requests under which engines crashed.
+    """Shares reports of requests that crashed engines.
 
     Attributes:
-        reports: Those that have changed; as a link begins, all of them.
+        reports: Reports that have changed; all reports when a link opens.
     """
 
     reports: tuple[crash_reports.CrashReport, ...]
@@ -24,7 +24,7 @@
 @messages.message(111)
 @dataclasses.dataclass(frozen=True, slots=True)
 class TrialAsk(messages.Message):
-    """A follower asks to let one try of a request in quarantine through."""
+    """A follower requests permission for one trial of a quarantined request."""
 
     fingerprint: fingerprints.Fingerprint
 
@@ -32,6 +32,6 @@
 @messages.message(112)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Trial(messages.Message):
-    """The leader's answer."""
+    """The leader's response to ``TrialAsk``."""
 
     is_granted: bool
--- a/src/jujubewharf/peers/handlers.py
+++ b/src/jujubewharf/peers/handlers.py
@@ -1,4 +1,4 @@
-"""Who handles which message here; also serves what is sent to oneself."""
+"""Dispatches messages to handlers, including those an instance sends itself."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class Handlers:
-    """The handlers of one instance.
+    """Message handlers of one instance.
 
     Args:
-        instance: Its name.
-        clock: Time.
-        counts: Where to count.
+        instance: Name of the instance.
+        clock: Source of time.
+        counts: Counters of the instance.
     """
 
     def __init__(
@@ -36,16 +36,23 @@
     def add(
         self, message_type: type[messages.Message], handler: network.Handler
     ) -> None:
-        """Names the handler of a message type."""
+        """Registers the handler of a message type."""
         self._handlers[message_type] = handler
 
     async def dispatch(
         self, peer: str, message: messages.Message
     ) -> messages.Message | None:
-        """Has a message handled.
+        """Passes a message to its handler.
+
+        Args:
+            peer: Name of the sending instance.
+            message: The message.
+
+        Returns:
+            The handler's response, ``None`` if it has none.
 
         Raises:
-            HandlerMissingError: Nobody handles it here.
+            HandlerMissingError: No handler is registered for the type.
         """
         handler = self._handlers.get(type(message))
         if handler is None:
@@ -55,10 +62,10 @@
     async def ask_myself(
         self, message: messages.Message, timeout_ms: float
     ) -> messages.Message:
-        """Answers what this instance asks itself.
+        """Handles a request that this instance sends to itself.
 
         Raises:
-            PeerError: There was no answer.
+            PeerError: The handler gave no response in time.
         """
         refused = network.PeerError(network.PeerFault.REFUSED, self._instance)
         try:
@@ -75,7 +82,7 @@
         return answer
 
     async def tell_myself(self, message: messages.Message) -> None:
-        """Handles what this instance tells itself."""
+        """Handles a one-way message that this instance sends to itself."""
         try:
             await self.dispatch(self._instance, message)
         except links.HandlerMissingError:
--- a/src/jujubewharf/peers/handshake.py
+++ b/src/jujubewharf/peers/handshake.py
@@ -1,9 +1,9 @@
-"""Opens a link: both sides say who they are before anything else is read.
+"""Three-way handshake in which both sides of a new link identify themselves.
 
-The dialling side sends its hello first and, once it has the other's, a
-heartbeat. The accepting side takes the link for open only then. Without that
-third step a one-way cut would look like a live peer to the side that can be
-heard but can't hear: its answer vanishes and it would never know.
+The dialling side sends its hello, receives the other side's, and confirms it
+with a heartbeat. The accepting side considers the link open only after the
+heartbeat. Otherwise a one-way partition that loses the accepting side's hello
+would leave it with a link that looks alive.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 
 class RefusedHelloError(Exception):
-    """One side refused the other's hello.
+    """One side refused the other side's hello.
 
     Args:
-        reason: A value of ``Goodbye``, or a newer peer's own word.
-        incarnation: With ``replaced``: the newest incarnation known.
+        reason: A value of ``Goodbye``, or a reason known to newer peers only.
+        incarnation: For the reason ``replaced``, the newest known incarnation.
         is_theirs: Whether the other side refused.
     """
 
@@ -48,14 +48,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Handshake:
-    """What both sides need for a handshake.
+    """Handshake on one stream, for either side.
 
     Attributes:
-        reader: Bytes from the other side.
-        writer: Bytes to the other side.
-        hello: What this side says of itself.
-        newest_incarnation: Newest incarnation known of an instance, or 0.
-        counts: Where to count.
+        reader: Reads from the other side.
+        writer: Writes to the other side.
+        hello: Hello of this side.
+        newest_incarnation: Returns the newest known incarnation of an
+            instance, 0 if none is known.
+        counts: Counters of this instance.
     """
 
     reader: asyncio.StreamReader
@@ -65,7 +66,10 @@
     counts: counters.PeerCounters
 
     async def dial(self, expected: str) -> link_messages.Hello:
-        """The dialling side, which means to reach one instance.
+        """Runs the dialling side of a handshake with a known instance.
+
+        Args:
+            expected: Name of the instance.
 
         Raises:
             RefusedHelloError: Either side refused.
@@ -76,7 +80,15 @@
     async def greet(
         self, *, expected: str | None = None
     ) -> link_messages.Hello:
-        """The dialling side, which may know only an address; as ``dial``."""
+        """Runs the dialling side, where the peer's name may be unknown.
+
+        Args:
+            expected: Required name of the other side; ``None`` accepts any.
+
+        Raises:
+            RefusedHelloError: Either side refused.
+            OSError: The stream was lost.
+        """
         self._send(self.hello)
         hello = await self._receive_hello()
         if expected is not None and hello.instance != expected:
@@ -86,7 +98,7 @@
         return hello
 
     async def accept(self) -> link_messages.Hello:
-        """The accepting side.
+        """Runs the accepting side.
 
         Raises:
             RefusedHelloError: Either side refused.
@@ -106,7 +118,7 @@
                 raise RefusedHelloError(_Goodbye.BAD_HELLO.value)
 
     def refuse(self, error: RefusedHelloError) -> None:
-        """Tells the other side why, unless it was the one to refuse."""
+        """Sends the reason to the other side, unless it refused itself."""
         if error.is_theirs:
             return
         self.counts.refuse(error.reason)
--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -1,4 +1,4 @@
-"""Messages about idempotency keys, answers, claims and living attempts."""
+"""Messages about idempotency keys, answers, claims and running attempts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PullState(enum.IntEnum):
-    """What an instance says of an answer that is asked for."""
+    """State of a pulled answer at the responding instance."""
 
     NOT_HERE = 0
     RUNNING = 1
@@ -22,18 +22,18 @@
 @messages.message(20)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Register(messages.Message):
-    """Asks a key's home to note who runs it; ``Registered`` says who does.
+    """Registers the owner of a key at its home; answered by ``Registered``.
 
     Attributes:
         key: Digest of account and key.
         body: Digest of the request's body.
-        owner: Instance that runs it.
-        request_id: That run.
-        replaces: Run that this one takes over from; empty for none.
-        keep_ms: Time the record is kept.
-        is_copy: Whether it comes from the key's other home.
+        owner: Instance that runs the request.
+        request_id: Id of the run.
+        replaces: Id of the run that this one replaces; empty for none.
+        keep_ms: Retention of the record, in ms.
+        is_copy: Whether the record is replicated from the key's other home.
         attempt_id: Latest attempt that was dispatched.
-        engines: Engines that hold something for it.
+        engines: Engines that hold memory for the run.
     """
 
     key: bytes
@@ -50,7 +50,7 @@
 @messages.message(21)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Registered(messages.Message):
-    """A key's record; an empty ``request_id`` says that there is none."""
+    """Record of a key; ``request_id`` is empty if there is none."""
 
     body: bytes
     owner: str
@@ -62,7 +62,7 @@
 @messages.message(22)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dispatched(messages.Message):
-    """Tells a home which engines hold memory for the key's run."""
+    """Informs a home which engines hold memory for the run of a key."""
 
     key: bytes
     attempt_id: str
@@ -72,7 +72,7 @@
 @messages.message(23)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lookup(messages.Message):
-    """Asks a home for a key's record; answered by ``Registered``."""
+    """Requests a key's record from a home; answered by ``Registered``."""
 
     key: bytes
 
@@ -80,14 +80,14 @@
 @messages.message(24)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pull(messages.Message):
-    """Asks for an answer's tokens from a number on, waiting a while.
+    """Requests the tokens of an answer by long polling.
 
     Attributes:
-        request_id: The run.
-        key: Key that the asker was given; another key gets nothing.
-        body: Digest of the body that came with it.
-        first_index: Number of the first token wanted.
-        wait_ms: Longest wait for it.
+        request_id: Id of the run.
+        key: Key of the caller's request; must be the key of the run.
+        body: Digest of the body of the caller's request.
+        first_index: Index of the first token wanted.
+        wait_ms: Maximum wait for that token, in ms.
     """
 
     request_id: str
@@ -100,19 +100,20 @@
 @messages.message(25)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pulled(messages.Message):
-    """Tokens of an answer, and its end once there is one.
+    """Response to ``Pull``: tokens of an answer, and its end if reached.
 
     Attributes:
         state: A ``PullState``.
-        first_index: Number of the first token here.
+        first_index: Index of the first token in ``texts``.
         texts: Tokens.
-        count: Tokens of the whole answer, when finished.
-        digest: Digest of the whole answer, when finished.
-        attempt_id: Attempt that finished it.
-        kind: Error kind, when failed.
-        ran: What may be said of a failed run.
-        owner: Where it is, when elsewhere.
-        request_id: Which run it is there.
+        count: Number of tokens of the whole answer, if finished.
+        digest: Digest of the whole answer, if finished.
+        attempt_id: Attempt that finished the answer.
+        kind: Error kind, if failed.
+        ran: Whether a failed run may have been executed, as reported to
+            callers.
+        owner: Instance that runs the key, if elsewhere.
+        request_id: Id of the run at that instance.
     """
 
     state: int
@@ -130,7 +131,7 @@
 @messages.message(26)
 @dataclasses.dataclass(frozen=True, slots=True)
 class TakenOver(messages.Message):
-    """Tells an owner that another instance runs its key now."""
+    """Informs an owner that another instance has taken over its key."""
 
     request_id: str
     by_owner: str
@@ -140,10 +141,10 @@
 @messages.message(27)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AskNeeded(messages.Message):
-    """Asks which attempts an instance still needs; passed on once.
+    """Asks which attempts an instance still needs; forwarded at most once.
 
     Attributes:
-        owner: The instance.
+        owner: Instance that dispatched the attempts.
         marks: Eight bytes for each attempt, see ``releases.mark_of``.
     """
 
@@ -154,11 +155,12 @@
 @messages.message(28)
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotNeeded(messages.Message):
-    """The attempts, out of those asked for, that are not needed.
+    """Response to ``AskNeeded``: the attempts that are no longer needed.
 
     Attributes:
         marks: Eight bytes for each attempt.
-        is_owners_word: False when the owner could not be reached.
+        is_owners_word: Whether the owner itself answered; false if it could
+            not be reached.
     """
 
     marks: bytes
@@ -168,16 +170,17 @@
 @messages.message(29)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimWanted(messages.Message):
-    """Asks a claim shard's owner to claim a key on the log.
+    """Requests that a claim shard's owner claim a key on the log.
 
     Attributes:
         key: Digest of account and key.
         body: Digest of the request's body.
-        owner: Instance that would run it.
-        request_id: That run.
-        replaces: Abandoned run that holds the key; empty for none.
-        wall_ms: When the key was made, or when it was asked for.
-        is_dated: Whether the key itself tells when it was made.
+        owner: Instance that is to run the request.
+        request_id: Id of the run.
+        replaces: Id of the abandoned run that holds the key; empty for none.
+        wall_ms: Wall clock time at which the key was created, or else at
+            which it was requested, in ms.
+        is_dated: Whether the key itself contains its creation time.
     """
 
     key: bytes
@@ -192,14 +195,15 @@
 @messages.message(30)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimHeld(messages.Message):
-    """Who holds a key by the log; an empty ``request_id``: can't be told.
+    """Response to ``ClaimWanted``: the holder of a key according to the log.
 
     Attributes:
-        owner: Instance that holds it.
-        request_id: The run that holds it.
+        owner: Instance that holds the key.
+        request_id: Id of the run that holds the key; empty if unknown.
         body: Digest of that run's body.
         is_expired: Whether the key is too old to be claimed.
-        is_new: Whether the log was just read and shows no claim of the key.
+        is_new: Whether the log was read to its end and has no claim of the
+            key.
     """
 
     owner: str = ""
@@ -212,7 +216,7 @@
 @messages.message(31)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AskAbandoned(messages.Message):
-    """Asks an owner whether it gave a run up before any dispatch."""
+    """Asks an owner whether it abandoned a run before any dispatch."""
 
     request_id: str
 
@@ -220,7 +224,11 @@
 @messages.message(32)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Abandoned(messages.Message):
-    """Whether the run never was and never will be dispatched."""
+    """Response to ``AskAbandoned``.
+
+    Attributes:
+        is_abandoned: Whether the run never was and never will be dispatched.
+    """
 
     is_abandoned: bool
 
@@ -228,18 +236,18 @@
 @messages.message(33)
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandOver(messages.Message):
-    """Gives a finished answer to another instance before leaving.
+    """Transfers a finished answer to another instance during a drain.
 
     Attributes:
-        account: Account of the caller.
-        callers_key: The caller's key.
+        account: Client account of the caller.
+        callers_key: Idempotency key of the caller.
         body_digest: Digest of the request's body.
-        request_id: The run that wrote it.
+        request_id: Id of the run that produced the answer.
         is_repeatable: Whether the request may be repeated.
-        packed: Its tokens, as ``requests.answer_cache`` packs them.
-        count: Tokens of the whole answer.
+        packed: Tokens as packed by ``requests.answer_cache``.
+        count: Number of tokens of the whole answer.
         digest: Digest of the whole answer.
-        attempt_id: Attempt that finished it.
+        attempt_id: Attempt that finished the answer.
     """
 
     account: str
@@ -256,13 +264,18 @@
 @messages.message(34)
 @dataclasses.dataclass(frozen=True, slots=True)
 class TookOver(messages.Message):
-    """The answer is kept and its key's homes know."""
+    """Response to ``HandOver``: the answer is cached and its key registered."""
 
 
 @messages.message(35)
 @dataclasses.dataclass(frozen=True, slots=True)
 class PullReply(messages.Message):
-    """Asks for the reply to a plain call, waiting a while for its end."""
+    """Requests the reply to a non-streamed call by long polling.
+
+    Attributes:
+        request_id: Id of the run.
+        wait_ms: Maximum wait for the reply's end, in ms.
+    """
 
     request_id: str
     wait_ms: float
@@ -271,14 +284,15 @@
 @messages.message(36)
 @dataclasses.dataclass(frozen=True, slots=True)
 class PulledReply(messages.Message):
-    """The reply to a plain call, if it is whole.
+    """Response to ``PullReply``: the reply if it is complete.
 
     Attributes:
-        is_running: Whether it may come yet.
-        is_whole: Whether the rest is given.
+        is_running: Whether the call is still running.
+        is_whole: Whether the reply is complete; else the fields below are
+            unset.
         status: HTTP status.
         headers: End-to-end headers.
-        body: The whole body.
+        body: Complete response body.
     """
 
     is_running: bool = False
--- a/src/jujubewharf/peers/keys.py
+++ b/src/jujubewharf/peers/keys.py
@@ -1,4 +1,4 @@
-"""Takes new TLS keys in while the instance runs."""
+"""Reloads TLS keys without a restart."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def files_of(settings: models.PeerSettings) -> tls.TlsFiles | None:
-    """Where the settings say the keys are; ``None`` without TLS."""
+    """Returns the configured key files; ``None`` if TLS is disabled."""
     certificate = settings.tls_certificate_file
     key = settings.tls_key_file
     authority = settings.tls_authority_file
@@ -27,10 +27,10 @@
 
 
 def make_transport(settings: models.PeerSettings) -> streams.TcpTransport:
-    """Makes the transport of the daemon.
+    """Creates the TCP transport of the daemon.
 
     Raises:
-        TlsFilesError: The keys can't be used.
+        TlsFilesError: The keys can't be loaded.
     """
     files = files_of(settings)
     contexts = None if files is None else tls.load(files)
@@ -38,18 +38,18 @@
 
 
 class KeyReloader(mode.Service):
-    """Looks at the key files now and then and puts changes in force.
+    """Polls the key files and reloads them when they change.
 
     Args:
-        files: Where the keys are.
-        transport: Gets the new contexts.
-        mesh: Opens its links anew under them.
-        clock: Time.
-        poll_ms: Time between two looks.
+        files: Paths of the key files.
+        transport: Receives the new TLS contexts.
+        mesh: Reopens its links with the new contexts.
+        clock: Source of time.
+        poll_ms: Interval between polls, in ms.
 
     Attributes:
-        reloads: How often new keys came into force.
-        failures: How often new files could not be used.
+        reloads: Number of successful reloads.
+        failures: Number of polls at which the files could not be loaded.
     """
 
     def __init__(
@@ -79,8 +79,8 @@
             try:
                 self._look()
             except tls.TlsFilesError as error:
-                # Files are replaced one after the other, so a look may fall
-                # between. The old keys stay in force; the next look tells.
+                # Files are replaced one after the other, so a poll may see
+                # them half replaced. Keep the old keys until the next poll.
                 self.failures += 1
                 self._logger.warning("peer_keys_unusable", detail=str(error))
 
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -1,6 +1,7 @@
-"""Messages between the leader and the instances that follow it; 70 to 89.
+"""Messages between the leader and its followers; numbers 70 to 89.
 
-Times are spans and never instants, for clocks differ between instances.
+Times are durations rather than timestamps, because clocks differ between
+instances.
 """
 
 from __future__ import annotations
@@ -15,14 +16,16 @@
 @messages.message(70)
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreSeen(messages.Message):
-    """How far the leader has read the store's tables; also its heartbeat.
+    """Heartbeat of the leader, with its read offsets in the store's tables.
 
     Attributes:
-        configuration_end: Offset up to which it has read configurations.
-        configuration_age_ms: Time since that was last confirmed.
-        endpoints_end: The same for endpoints.
-        endpoints_age_ms: The same for endpoints.
-        instances: Instances that share what the fleet may spend.
+        configuration_end: End offset up to which the leader has read the
+            configuration table.
+        configuration_age_ms: Time since that offset was last confirmed, in
+            ms.
+        endpoints_end: End offset up to which it has read the endpoint table.
+        endpoints_age_ms: Time since that offset was last confirmed, in ms.
+        instances: Number of instances that share the fleet's quotas.
     """
 
     configuration_end: int
@@ -34,13 +37,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """What stands under one key.
+    """Record of one key of the endpoint table.
 
     Attributes:
-        key: The key.
-        offset: Place in the table's log.
-        endpoint: What it says; ``None`` where it was removed.
-        is_unreadable: Whether it can't be understood.
+        key: Key of the record.
+        offset: Offset of the record in the table's log.
+        endpoint: Registration of the endpoint; ``None`` if it was removed.
+        is_unreadable: Whether the record could not be decoded.
     """
 
     key: str
@@ -52,12 +55,12 @@
 @messages.message(71)
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointNews(messages.Message):
-    """Endpoints that have changed.
+    """Update of changed endpoints.
 
     Attributes:
-        records: The changed ones; in a link's first news those that have
-            changed since the follower read the table.
-        end: Offset up to which the table was read.
+        records: Changed records; in the first update on a link, those that
+            have changed since the follower last read the table.
+        end: End offset up to which the leader has read the table.
     """
 
     records: tuple[EndpointRecord, ...]
@@ -67,16 +70,17 @@
 @messages.message(87)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationNews(messages.Message):
-    """The newest configuration.
+    """Update with the newest configuration.
 
     Attributes:
-        key: Its key in the table.
-        offset: Its place in the table's log.
-        end: Offset up to which the table was read.
-        configuration: What operators declared; ``None`` for one that is too
-            large for all links at once.
-        packed: That one in fewer bytes, see ``leadership.packing``; ``None``
-            where that is too large as well, and followers read it themselves.
+        key: Key of the configuration's record in the table.
+        offset: Offset of the record in the table's log.
+        end: End offset up to which the leader has read the table.
+        configuration: The configuration; ``None`` if it is too large to send
+            on all links.
+        packed: The compressed form of a configuration that is too large, see
+            ``leadership.packing``; ``None`` if that is too large as well, in
+            which case followers read the table themselves.
     """
 
     key: str
@@ -88,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineBackoff:
-    """An engine that wants nothing of one instance, and for how long."""
+    """Backoff of one instance from an engine, in ms."""
 
     engine: str
     for_ms: float
@@ -97,25 +101,28 @@
 @messages.message(72)
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlaceAsk(messages.Message):
-    """Asks for a decode engine with memory; the answer may wait in line.
+    """Requests placement on a decode engine; may be held in the wait queue.
 
     Attributes:
-        number: Of the place at the asking instance.
-        request_id: The caller's id, for logs.
-        domain: Failure domain of the asking instance.
+        number: Number of the placement, assigned by the requesting instance.
+        request_id: The caller's request id, for logs.
+        domain: Failure domain of the requesting instance.
         route: Route of the request.
-        service: Service that was picked of the route's.
-        waited_ms: Time since the request arrived.
-        left_ms: Time until its final answer is due.
-        patience_ms: How long its caller waits from arrival.
-        may_have_run: Whether an engine may have begun to work on it.
-        lost_by: Engines that lost its answer.
-        prompt_tokens: Tokens to read; ``None`` where its size isn't known.
-        output_tokens: Most tokens that the answer has.
-        expected_tokens: The caller's estimate of them.
-        account: Client account; ``None`` where there is none.
-        is_counted: Whether it was counted against the account's quota before.
-        backoffs: Engines that want nothing of the asking instance now.
+        service: Service that was chosen from the route's.
+        waited_ms: Time since the request arrived, in ms.
+        left_ms: Time until the request's deadline, in ms.
+        patience_ms: Maximum time that the caller waits after arrival, in ms;
+            ``None`` if it set none.
+        may_have_run: Whether an engine may have started the request.
+        lost_by: Engines whose answer to the request was lost.
+        prompt_tokens: Number of prompt tokens; ``None`` if unknown.
+        output_tokens: Maximum number of output tokens.
+        expected_tokens: Number of output tokens that the caller expects;
+            ``None`` if it gave none.
+        account: Client account; ``None`` if there is none.
+        is_counted: Whether the request has already been charged to the
+            account's quota.
+        backoffs: Engines from which the requesting instance backs off.
     """
 
     number: int
@@ -139,15 +146,15 @@
 @messages.message(73)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placed(messages.Message):
-    """Memory is reserved.
+    """Response to ``PlaceAsk``: memory is reserved on a decode engine.
 
     Attributes:
-        engine: On which engine.
-        hold: Names the reservation there.
-        tokens: Memory that is reserved.
-        memory_part: Part of the engine's memory.
-        readers: Engines that may read the prompt, the best first.
-        has_permit: Whether the engine's limit allows the run.
+        engine: Name of the decode engine.
+        hold: Id of the reservation at the engine.
+        tokens: Reserved memory, in tokens.
+        memory_part: Reserved share of the engine's memory.
+        readers: Prefill engines for the prompt, in order of preference.
+        has_permit: Whether the engine's rate limit admits the request.
     """
 
     engine: str
@@ -161,12 +168,12 @@
 @messages.message(74)
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotPlaced(messages.Message):
-    """The request got no place.
+    """Response to ``PlaceAsk``: the request was rejected.
 
     Attributes:
-        come_back_ms: When its caller should come back.
-        is_over_quota: Whether its account has used its quota up; else there
-            was no memory in the time that it could wait.
+        come_back_ms: Retry-after for the caller, in ms.
+        is_over_quota: Whether the account has exhausted its quota; else no
+            memory became free within the maximum wait.
     """
 
     come_back_ms: float
@@ -176,12 +183,12 @@
 @messages.message(75)
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlaceEnded(messages.Message):
-    """The asking instance needs a place no longer, or gave up waiting.
+    """Releases a placement, or cancels a waiting one.
 
     Attributes:
-        number: Of the place.
-        is_whole: Whether the answer came to its end.
-        is_hold_used: Whether the reservation went to the engine.
+        number: Number of the placement.
+        is_whole: Whether the answer was completed.
+        is_hold_used: Whether the reservation was used at the engine.
     """
 
     number: int
@@ -192,12 +199,12 @@
 @messages.message(76)
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromptRead(messages.Message):
-    """An engine has read a prompt.
+    """Reports a completed prefill.
 
     Attributes:
-        engine: Who read it.
-        took_ms: Time that it took.
-        tokens: Size of the prompt.
+        engine: Name of the prefill engine.
+        took_ms: Duration of the prefill, in ms.
+        tokens: Number of prompt tokens.
     """
 
     engine: str
@@ -208,7 +215,11 @@
 @messages.message(77)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerBegan(messages.Message):
-    """An answer's first event came; the time is that since its memory."""
+    """Reports the first event of an answer.
+
+    Attributes:
+        took_ms: Time since the memory was reserved, in ms.
+    """
 
     took_ms: float
 
@@ -216,7 +227,12 @@
 @messages.message(78)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerProjected(messages.Message):
-    """How long an answer is going to keep its part of an engine's memory."""
+    """Reports how long an answer is expected to occupy an engine's memory.
+
+    Attributes:
+        will_take_ms: Expected remaining duration, in ms.
+        memory_part: Occupied share of the engine's memory.
+    """
 
     will_take_ms: float
     memory_part: float
@@ -225,7 +241,7 @@
 @messages.message(79)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerEnded(messages.Message):
-    """How long an answer was, in tokens, and was expected to be."""
+    """Reports the expected and the actual number of tokens of an answer."""
 
     expected_tokens: int
     tokens: int
@@ -234,10 +250,10 @@
 @messages.message(80)
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineFailed(messages.Message):
-    """A call to an engine failed.
+    """Reports a failed call to an engine.
 
     Attributes:
-        engine: The engine.
+        engine: Name of the engine.
         fault: A value of ``engines.client.EngineFault``.
     """
 
@@ -248,7 +264,7 @@
 @messages.message(81)
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineChanging(messages.Message):
-    """An engine was found to carry out an order."""
+    """Reports that an engine is executing an operator command."""
 
     engine: str
 
@@ -256,7 +272,7 @@
 @messages.message(82)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadingRefused(messages.Message):
-    """An engine takes no prompt now."""
+    """Reports that an engine refused a prefill."""
 
     engine: str
 
@@ -264,11 +280,11 @@
 @messages.message(88)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Following(messages.Message):
-    """A follower's first message.
+    """First message of a follower on a link to the leader.
 
     Attributes:
-        endpoints_end: Offset up to which it has read endpoints; 0 for one that
-            has read none.
+        endpoints_end: End offset up to which the follower has read the
+            endpoint table; 0 if it has not read the table.
     """
 
     endpoints_end: int
@@ -277,13 +293,15 @@
 @messages.message(86)
 @dataclasses.dataclass(frozen=True, slots=True)
 class CostsObserved(messages.Message):
-    """What a follower had observed of costs before it followed this leader.
+    """Costs that a follower observed before it followed this leader.
 
     Attributes:
-        readings: Prompts that were read.
-        prefill_ms: Time for which one keeps a prefill engine busy.
-        answers: Answers that were written.
-        decode_ms: Time for which one would keep a decode engine's memory.
+        readings: Number of observed prefills.
+        prefill_ms: Average time for which a prefill occupies an engine, in
+            ms.
+        answers: Number of observed answers.
+        decode_ms: Average time for which an answer would occupy the whole
+            memory of a decode engine, in ms.
     """
 
     readings: int
@@ -295,28 +313,28 @@
 @messages.message(84)
 @dataclasses.dataclass(frozen=True, slots=True)
 class StillThere(messages.Message):
-    """Asks whether the leader is there while an answer of it is awaited."""
+    """Checks that the leader is alive while its response is pending."""
 
 
 @messages.message(85)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Here(messages.Message):
-    """The leader is there."""
+    """Response to ``StillThere``."""
 
 
 @messages.message(89)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationAsk(messages.Message):
-    """Asks for the newest configuration, whole; the answer is news."""
+    """Requests the full configuration; answered by ``ConfigurationNews``."""
 
 
 @messages.message(83)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadingEnded(messages.Message):
-    """The prompt of a place was read, or isn't going to be.
+    """Reports that the prefill of a placement is done or was cancelled.
 
     Attributes:
-        number: Of the place.
+        number: Number of the placement.
     """
 
     number: int
--- a/src/jujubewharf/peers/limit_messages.py
+++ b/src/jujubewharf/peers/limit_messages.py
@@ -1,4 +1,4 @@
-"""Messages about the terms of endpoints; numbers 100 to 109."""
+"""Messages about the limits of endpoints; numbers 100 to 109."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 @messages.message(100)
 @dataclasses.dataclass(frozen=True, slots=True)
 class TermsKnown(messages.Message):
-    """On which terms endpoints take work.
+    """Shares the terms on which endpoints accept requests.
 
     Attributes:
-        terms: The terms.
-        is_news: Whether they have just changed; else they are all that the
-            sender knows, as a link begins.
+        terms: Terms by endpoint.
+        is_news: Whether these are changes; else they are all terms known to
+            the sender, sent when a link opens.
     """
 
     terms: tuple[notices.Terms, ...]
@@ -26,7 +26,7 @@
 @messages.message(101)
 @dataclasses.dataclass(frozen=True, slots=True)
 class PermitAsk(messages.Message):
-    """A follower asks whether an endpoint's limit allows one more request."""
+    """A follower requests admission of one request under a rate limit."""
 
     endpoint: str
 
@@ -34,10 +34,11 @@
 @messages.message(102)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Permit(messages.Message):
-    """The leader's answer.
+    """The leader's response to ``PermitAsk``.
 
     Attributes:
-        wait_ms: 0 where the request is allowed; else when to ask again.
+        wait_ms: 0 if the request is admitted; else the time after which to
+            ask again, in ms.
     """
 
     wait_ms: float
--- a/src/jujubewharf/peers/link.py
+++ b/src/jujubewharf/peers/link.py
@@ -1,8 +1,8 @@
-"""One link: an open stream to a peer after both hellos.
+"""A link: an open stream to a peer after the handshake.
 
-The task that opened or accepted the stream reads it in ``run``; a second one
-writes what is queued. The queue is bounded in bytes, so a peer that reads
-slowly costs a bounded amount of memory and its senders are refused.
+``run`` reads the stream while a second task writes the send queue. The queue
+is bounded in bytes, so that a slow reader uses a bounded amount of memory;
+messages beyond the bound are refused.
 """
 
 from __future__ import annotations
@@ -35,30 +35,34 @@
 
 
 class HandlerMissingError(Exception):
-    """Nobody handles this message type here."""
+    """No handler is registered for a message type."""
 
 
 class Link:
     """A link to one peer.
 
     Args:
-        hello: What the peer said of itself.
+        hello: Hello of the peer.
         is_dialled: Whether this side opened the stream.
-        is_standing: Whether either side means to keep the link.
-        reader: Bytes from the peer.
-        writer: Bytes to the peer.
-        clock: Time.
-        counts: Where to count.
+        is_standing: Whether the link is kept open while idle.
+        reader: Reads from the peer.
+        writer: Writes to the peer.
+        clock: Source of time.
+        counts: Counters of this instance.
         dispatch: Calls the handler of a message.
 
     Attributes:
-        last_heard_ms: When the last frame came.
-        last_used_ms: When the last frame but a heartbeat went or came.
-        hears_us: The peer's last word on whether it hears this side.
+        last_heard_ms: Time of the last frame received, in ms.
+        last_used_ms: Time of the last frame sent or received other than
+            heartbeats, in ms.
+        hears_us: Whether the peer receives frames from this side, according
+            to its last heartbeat.
         on_heartbeat: Called with each heartbeat.
-        farewell: The peer's last message, if it sent one.
-        has_broken: Whether it ended without either side's saying so.
-        stale_ms: When the keys changed under which it was opened.
+        farewell: Farewell sent by the peer, if any.
+        has_broken: Whether the stream ended without a farewell or a local
+            close.
+        stale_ms: Time at which the TLS keys of this link were replaced, in
+            ms; ``None`` while they are current.
     """
 
     def __init__(
@@ -109,25 +113,25 @@
 
     @property
     def pending_asks(self) -> int:
-        """Asks that wait for their answer."""
+        """Number of requests that wait for a response."""
         return len(self._asks)
 
     @property
     def running_handlers(self) -> int:
-        """Messages from the peer that are being handled."""
+        """Number of messages from the peer that are being handled."""
         return len(self._handlers)
 
     @property
     def is_busy(self) -> bool:
-        """Whether closing now would lose an answer."""
+        """Whether requests, handlers or queued frames are pending."""
         return bool(self._asks or self._handlers or self._queue)
 
     async def run(self) -> None:
-        """Reads and writes until the stream ends; then nothing is held.
+        """Reads and writes until the stream ends.
 
-        The handlers of asks are cancelled, for nobody waits any more. Those
-        of tells go on: a release that has arrived is carried out, also when
-        its sender died just after sending it.
+        Handlers of requests are then cancelled because nobody waits for the
+        response. Handlers of one-way messages run to completion, so that a
+        release takes effect even if its sender has failed since.
         """
         writing = asyncio.ensure_future(self._write_on())
         try:
@@ -142,26 +146,31 @@
             await asyncio.gather(writing, return_exceptions=True)
 
     def tell(self, message: messages.Message) -> bool:
-        """Queues a message; false if the link can't take it."""
+        """Queues a one-way message.
+
+        Returns:
+            False if the link is closed, its queue is full or the message is
+            too large.
+        """
         self.last_used_ms = self._clock.now_ms()
         return self._send(codec.Frame(codec.FrameKind.TELL, 0, message))
 
     def tell_encoded(self, data: bytes) -> bool:
-        """Queues a told frame's bytes, encoded once for many links."""
+        """Queues an encoded one-way frame, which several links may share."""
         self.last_used_ms = self._clock.now_ms()
         return self._queue_up(data)
 
     def beat(self, heartbeat: link_messages.Heartbeat) -> None:
-        """Queues a heartbeat, which doesn't count as use."""
+        """Queues a heartbeat, which doesn't count as use of the link."""
         self._send(codec.Frame(codec.FrameKind.TELL, 0, heartbeat))
 
     async def ask(
         self, message: messages.Message, *, timeout_ms: float
     ) -> messages.Message:
-        """Sends a message and waits for its answer.
+        """Sends a request and waits for the response.
 
         Raises:
-            PeerError: There was none.
+            PeerError: There was no response.
         """
         correlation = next(self._correlations) % _CORRELATIONS
         frame = codec.Frame(codec.FrameKind.ASK, correlation, message)
@@ -181,7 +190,7 @@
             self._asks.pop(correlation, None)
 
     def close(self, farewell: link_messages.Farewell | None = None) -> None:
-        """Ends the link; every ask that waits is lost."""
+        """Closes the link; pending requests fail as lost."""
         if self.is_closed:
             return
         if farewell is not None:
@@ -254,7 +263,7 @@
             self._on_frame(frame)
 
     def _on_dropped(self, error: codec.DroppedFrameError) -> None:
-        """An ask that can't be read is refused, not left to time out."""
+        """Refuses an unreadable request, which would time out otherwise."""
         self._counts.drop(error.reason)
         match error.kind:
             case codec.FrameKind.ASK:
@@ -296,7 +305,7 @@
         answer.set_result(message)
 
     def _start_handler(self, frame: codec.Frame) -> None:
-        """Handlers run beside the reading, so a slow one blocks no answer."""
+        """Runs the handler in a task, so that it does not block reading."""
         self.last_used_ms = self._clock.now_ms()
         if len(self._handlers) >= MAX_HANDLERS:
             self._counts.drop(counters.Drop.BUSY)
@@ -315,8 +324,8 @@
         except HandlerMissingError:
             self._counts.drop(counters.Drop.NO_HANDLER)
         except Exception:
-            # A handler's fault belongs to one message. Left to rise it would
-            # end the link and lose the asks of everybody else on it.
+            # An exception in one handler must not close the link, which would
+            # fail all other pending requests on it.
             self._counts.drop(counters.Drop.HANDLER_FAILED)
             self._logger.exception(
                 "peer_handler_failed",
--- a/src/jujubewharf/peers/link_messages.py
+++ b/src/jujubewharf/peers/link_messages.py
@@ -1,7 +1,4 @@
-"""Messages of the links themselves: hello, heartbeat, goodbye.
-
-Numbers 1 to 9 belong to links, 10 to 19 to membership.
-"""
+"""Control messages of links: hello, heartbeat, farewell; numbers 1 to 9."""
 
 from __future__ import annotations
 
@@ -15,7 +12,7 @@
 
 
 class Goodbye(enum.Enum):
-    """Why a side ends a link; also the reason a hello is refused."""
+    """Reason for closing a link or refusing a hello."""
 
     STOPPING = "stopping"
     IDLE = "idle"
@@ -30,18 +27,19 @@
 @messages.message(1)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hello(messages.Message):
-    """First message of both sides; the dialling side speaks first.
+    """First message of either side; the dialling side sends first.
 
     Attributes:
-        instance: The sender's name.
-        domain: The sender's failure domain.
+        instance: Name of the sender.
+        domain: Failure domain of the sender.
         address: ``IP:PORT`` on which the sender listens.
-        incarnation: Tells a replacement from the process before it.
-        version: Newest protocol version that the sender speaks.
-        oldest_version: Oldest protocol version that it speaks.
-        capabilities: Optional features that the sender knows.
-        is_standing: Whether the dialling side means to keep the link.
-        is_leaving: Whether the sender has begun to leave.
+        incarnation: Distinguishes the process from earlier processes of the
+            same name.
+        version: Newest protocol version supported by the sender.
+        oldest_version: Oldest protocol version supported by the sender.
+        capabilities: Optional features supported by the sender.
+        is_standing: Whether the dialling side keeps the link open while idle.
+        is_leaving: Whether the sender is draining.
     """
 
     instance: str
@@ -58,11 +56,11 @@
 @messages.message(2)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat(messages.Message):
-    """Says that the sender lives, and whether it hears the receiver.
+    """Periodic sign of life of the sender.
 
     Attributes:
-        hears_you: False tells the receiver of a one-way cut: its own words
-            don't arrive, which it couldn't know otherwise.
+        hears_you: Whether the sender receives frames from the receiver.
+            Lets the receiver detect a one-way partition.
         facts_digest: Digest of the sender's facts; see
             ``membership.facts``.
     """
@@ -77,8 +75,9 @@
     """Last message on a link.
 
     Attributes:
-        reason: Why, as a value of ``Goodbye``; newer senders may have more.
-        incarnation: With ``replaced``: the newest incarnation known.
+        reason: Reason, usually a value of ``Goodbye``; newer senders may send
+            others.
+        incarnation: For the reason ``replaced``, the newest known incarnation.
     """
 
     reason: str
