--- a/src/jujubewharf/membership/fact_messages.py
+++ b/src/jujubewharf/membership/fact_messages.py
@@ -55,7 +55,7 @@
 @messages.message(12)
 @dataclasses.dataclass(frozen=True, slots=True)
 class FactsMissing(messages.Message):
-    """Response to ``FactsKnown``.
+    """Reply to ``FactsKnown``.
 
     Attributes:
         facts: Facts that the requester lacks or holds with other content.
--- a/src/jujubewharf/peers/codec.py
+++ b/src/jujubewharf/peers/codec.py
@@ -81,9 +81,9 @@
 
     Attributes:
         kind: Kind of the frame.
-        correlation: Matches a response to its request; 0 for a one-way
+        correlation: Matches a reply to its request; 0 for a one-way
             message.
-        message: The message; ``None`` for a refusal or an empty response.
+        message: The message; ``None`` for a refusal or an empty reply.
         unknown_fields: Number of fields unknown to this version.
     """
 
--- a/src/jujubewharf/peers/configuration_messages.py
+++ b/src/jujubewharf/peers/configuration_messages.py
@@ -32,7 +32,7 @@
 @messages.message(61)
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordsGiven(messages.Message):
-    """Response to ``RecordsWanted``.
+    """Reply to ``RecordsWanted``.
 
     Attributes:
         next_offset: Offset of the next record that the sender will apply. If
@@ -59,7 +59,7 @@
 @messages.message(63)
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotOffered(messages.Message):
-    """Response to ``SnapshotWanted``.
+    """Reply to ``SnapshotWanted``.
 
     Attributes:
         next_offset: End offset of the snapshot, or of the sender's state if
@@ -86,6 +86,6 @@
 @messages.message(65)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkGiven(messages.Message):
-    """Response to ``ChunkWanted``; empty if the snapshot was discarded."""
+    """Reply to ``ChunkWanted``; empty if the snapshot was discarded."""
 
     data: bytes = b""
--- a/src/jujubewharf/peers/crash_messages.py
+++ b/src/jujubewharf/peers/crash_messages.py
@@ -32,6 +32,6 @@
 @messages.message(112)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Trial(messages.Message):
-    """The leader's response to ``TrialAsk``."""
+    """The leader's reply to ``TrialAsk``."""
 
     is_granted: bool
--- a/src/jujubewharf/peers/handlers.py
+++ b/src/jujubewharf/peers/handlers.py
@@ -49,7 +49,7 @@
             message: The message.
 
         Returns:
-            The handler's response, ``None`` if it has none.
+            The handler's reply, ``None`` if it has none.
 
         Raises:
             HandlerMissingError: No handler is registered for the type.
@@ -65,7 +65,7 @@
         """Handles a request that this instance sends to itself.
 
         Raises:
-            PeerError: The handler gave no response in time.
+            PeerError: The handler gave no reply in time.
         """
         refused = network.PeerError(network.PeerFault.REFUSED, self._instance)
         try:
--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -1,4 +1,4 @@
-"""Messages about idempotency keys, answers, claims and running attempts."""
+"""Messages about idempotency keys, responses, claims and running attempts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PullState(enum.IntEnum):
-    """State of a pulled answer at the responding instance."""
+    """State of a pulled response at the replying instance."""
 
     NOT_HERE = 0
     RUNNING = 1
@@ -80,7 +80,7 @@
 @messages.message(24)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pull(messages.Message):
-    """Requests the tokens of an answer by long polling.
+    """Requests the tokens of a response by long polling.
 
     Attributes:
         request_id: Id of the run.
@@ -100,15 +100,15 @@
 @messages.message(25)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pulled(messages.Message):
-    """Response to ``Pull``: tokens of an answer, and its end if reached.
+    """Reply to ``Pull``: tokens of a response, and its end if reached.
 
     Attributes:
         state: A ``PullState``.
         first_index: Index of the first token in ``texts``.
         texts: Tokens.
-        count: Number of tokens of the whole answer, if finished.
-        digest: Digest of the whole answer, if finished.
-        attempt_id: Attempt that finished the answer.
+        count: Number of tokens of the whole response, if finished.
+        digest: Digest of the whole response, if finished.
+        attempt_id: Attempt that finished the response.
         kind: Error kind, if failed.
         ran: Whether a failed run may have been executed, as reported to
             callers.
@@ -155,11 +155,11 @@
 @messages.message(28)
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotNeeded(messages.Message):
-    """Response to ``AskNeeded``: the attempts that are no longer needed.
+    """Reply to ``AskNeeded``: the attempts that are no longer needed.
 
     Attributes:
         marks: Eight bytes for each attempt.
-        is_owners_word: Whether the owner itself answered; false if it could
+        is_owners_word: Whether the owner itself replied; false if it could
             not be reached.
     """
 
@@ -195,7 +195,7 @@
 @messages.message(30)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimHeld(messages.Message):
-    """Response to ``ClaimWanted``: the holder of a key according to the log.
+    """Reply to ``ClaimWanted``: the holder of a key according to the log.
 
     Attributes:
         owner: Instance that holds the key.
@@ -224,7 +224,7 @@
 @messages.message(32)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Abandoned(messages.Message):
-    """Response to ``AskAbandoned``.
+    """Reply to ``AskAbandoned``.
 
     Attributes:
         is_abandoned: Whether the run never was and never will be dispatched.
@@ -236,18 +236,18 @@
 @messages.message(33)
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandOver(messages.Message):
-    """Transfers a finished answer to another instance during a drain.
+    """Transfers a finished response to another instance during a drain.
 
     Attributes:
         account: Client account of the caller.
         callers_key: Idempotency key of the caller.
         body_digest: Digest of the request's body.
-        request_id: Id of the run that produced the answer.
+        request_id: Id of the run that produced the response.
         is_repeatable: Whether the request may be repeated.
         packed: Tokens as packed by ``requests.answer_cache``.
-        count: Number of tokens of the whole answer.
-        digest: Digest of the whole answer.
-        attempt_id: Attempt that finished the answer.
+        count: Number of tokens of the whole response.
+        digest: Digest of the whole response.
+        attempt_id: Attempt that finished the response.
     """
 
     account: str
@@ -264,17 +264,17 @@
 @messages.message(34)
 @dataclasses.dataclass(frozen=True, slots=True)
 class TookOver(messages.Message):
-    """Response to ``HandOver``: the answer is cached and its key registered."""
+    """Reply to ``HandOver``: the response is cached and its key registered."""
 
 
 @messages.message(35)
 @dataclasses.dataclass(frozen=True, slots=True)
 class PullReply(messages.Message):
-    """Requests the reply to a non-streamed call by long polling.
+    """Requests the response to a non-streamed call by long polling.
 
     Attributes:
         request_id: Id of the run.
-        wait_ms: Maximum wait for the reply's end, in ms.
+        wait_ms: Maximum wait for its end, in ms.
     """
 
     request_id: str
@@ -284,11 +284,11 @@
 @messages.message(36)
 @dataclasses.dataclass(frozen=True, slots=True)
 class PulledReply(messages.Message):
-    """Response to ``PullReply``: the reply if it is complete.
+    """Reply to ``PullReply``: the response if complete.
 
     Attributes:
         is_running: Whether the call is still running.
-        is_whole: Whether the reply is complete; else the fields below are
+        is_whole: Whether the response is complete; else the fields below are
             unset.
         status: HTTP status.
         headers: End-to-end headers.
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -114,7 +114,7 @@
         patience_ms: Maximum time that the caller waits after arrival, in ms;
             ``None`` if it set none.
         may_have_run: Whether an engine may have started the request.
-        lost_by: Engines whose answer to the request was lost.
+        lost_by: Engines whose response to the request was lost.
         prompt_tokens: Number of prompt tokens; ``None`` if unknown.
         output_tokens: Maximum number of output tokens.
         expected_tokens: Number of output tokens that the caller expects;
@@ -146,7 +146,7 @@
 @messages.message(73)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placed(messages.Message):
-    """Response to ``PlaceAsk``: memory is reserved on a decode engine.
+    """Reply to ``PlaceAsk``: memory is reserved on a decode engine.
 
     Attributes:
         engine: Name of the decode engine.
@@ -168,7 +168,7 @@
 @messages.message(74)
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotPlaced(messages.Message):
-    """Response to ``PlaceAsk``: the request was rejected.
+    """Reply to ``PlaceAsk``: the request was rejected.
 
     Attributes:
         come_back_ms: Retry-after for the caller, in ms.
@@ -187,7 +187,7 @@
 
     Attributes:
         number: Number of the placement.
-        is_whole: Whether the answer was completed.
+        is_whole: Whether the response was completed.
         is_hold_used: Whether the reservation was used at the engine.
     """
 
@@ -215,10 +215,10 @@
 @messages.message(77)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerBegan(messages.Message):
-    """Reports the first event of an answer.
+    """Reports the first event of a response.
 
     Attributes:
-        took_ms: Time since the memory was reserved, in ms.
+        took_ms: Time from the reservation to the event, in ms.
     """
 
     took_ms: float
@@ -227,11 +227,11 @@
 @messages.message(78)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerProjected(messages.Message):
-    """Reports how long an answer is expected to occupy an engine's memory.
+    """Reports how long a running response is projected to hold memory.
 
     Attributes:
-        will_take_ms: Expected remaining duration, in ms.
-        memory_part: Occupied share of the engine's memory.
+        will_take_ms: Projected duration, in ms.
+        memory_part: Share of the engine's memory that it holds.
     """
 
     will_take_ms: float
@@ -241,7 +241,7 @@
 @messages.message(79)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerEnded(messages.Message):
-    """Reports the expected and the actual number of tokens of an answer."""
+    """Reports the estimated and the actual length of a response, in tokens."""
 
     expected_tokens: int
     tokens: int
@@ -264,7 +264,7 @@
 @messages.message(81)
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineChanging(messages.Message):
-    """Reports that an engine is executing an operator command."""
+    """Reports that an engine is changing its role."""
 
     engine: str
 
@@ -296,12 +296,11 @@
     """Costs that a follower observed before it followed this leader.
 
     Attributes:
-        readings: Number of observed prefills.
-        prefill_ms: Average time for which a prefill occupies an engine, in
-            ms.
-        answers: Number of observed answers.
-        decode_ms: Average time for which an answer would occupy the whole
-            memory of a decode engine, in ms.
+        readings: Number of prefills observed.
+        prefill_ms: Time that one prompt keeps a prefill engine busy, in ms.
+        answers: Number of responses observed.
+        decode_ms: Time that one response would hold the whole memory of a
+            decode engine, in ms.
     """
 
     readings: int
@@ -313,13 +312,13 @@
 @messages.message(84)
 @dataclasses.dataclass(frozen=True, slots=True)
 class StillThere(messages.Message):
-    """Checks that the leader is alive while its response is pending."""
+    """Checks that the leader is alive while its reply is pending."""
 
 
 @messages.message(85)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Here(messages.Message):
-    """Response to ``StillThere``."""
+    """Reply to ``StillThere``."""
 
 
 @messages.message(89)
--- a/src/jujubewharf/peers/limit_messages.py
+++ b/src/jujubewharf/peers/limit_messages.py
@@ -34,7 +34,7 @@
 @messages.message(102)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Permit(messages.Message):
-    """The leader's response to ``PermitAsk``.
+    """The leader's reply to ``PermitAsk``.
 
     Attributes:
         wait_ms: 0 if the request is admitted; else the time after which to
--- a/src/jujubewharf/peers/link.py
+++ b/src/jujubewharf/peers/link.py
@@ -113,7 +113,7 @@
 
     @property
     def pending_asks(self) -> int:
-        """Number of requests that wait for a response."""
+        """Number of requests that wait for a reply."""
         return len(self._asks)
 
     @property
@@ -130,7 +130,7 @@
         """Reads and writes until the stream ends.
 
         Handlers of requests are then cancelled because nobody waits for the
-        response. Handlers of one-way messages run to completion, so that a
+        reply. Handlers of one-way messages run to completion, so that a
         release takes effect even if its sender has failed since.
         """
         writing = asyncio.ensure_future(self._write_on())
@@ -167,10 +167,10 @@
     async def ask(
         self, message: messages.Message, *, timeout_ms: float
     ) -> messages.Message:
-        """Sends a request and waits for the response.
+        """Sends a request and waits for the reply.
 
         Raises:
-            PeerError: There was no response.
+            PeerError: There was no reply.
         """
         correlation = next(self._correlations) % _CORRELATIONS
         frame = codec.Frame(codec.FrameKind.ASK, correlation, message)
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -1,4 +1,4 @@
-"""The links of one instance to the others: ask, tell, handle."""
+"""Network of links between this instance and its peers."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
 
 
 class PeerMesh(mode.Service):
-    """Speaks ``network.PeerNetwork`` over the streams of a transport.
+    """Implements ``network.PeerNetwork`` over the streams of a transport.
 
     Args:
         instance: Name of this instance.
         domain: Failure domain of this instance.
-        clock: Time.
-        transport: Streams to and from peers.
-        timing: Times of the links.
+        clock: Source of time.
+        transport: Opens and accepts streams.
+        timing: Heartbeat and timeout intervals of the links.
 
     Attributes:
-        counts: What came, went, and was dropped.
-        facts_digest: Read for every heartbeat.
+        counts: Counters of this instance.
+        facts_digest: Returns the digest to send with each heartbeat.
     """
 
     def __init__(
@@ -86,12 +86,12 @@
 
     @property
     def address(self) -> str:
-        """``IP:PORT`` on which peers are heard, once started."""
+        """``IP:PORT`` on which this instance listens, once started."""
         return self._opener.address
 
     @property
     def incarnation(self) -> int:
-        """Tells this process from others of the same name."""
+        """Distinguishes this process from others of the same name."""
         return self._opener.incarnation
 
     @property
@@ -101,7 +101,7 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether every hello says that this instance leaves."""
+        """Whether hellos announce that this instance is draining."""
         return self._opener.is_leaving
 
     @is_leaving.setter
@@ -111,13 +111,13 @@
     def handle(
         self, message_type: type[messages.Message], handler: network.Handler
     ) -> None:
-        """Names the handler of a message type; see ``PeerNetwork``."""
+        """Registers the handler of a message type; see ``PeerNetwork``."""
         self._handlers.add(message_type, handler)
 
     async def ask(
         self, peer: str, message: messages.Message, *, timeout_ms: float
     ) -> messages.Message:
-        """Sends a message and waits; dials on demand; see ``PeerNetwork``."""
+        """Sends a request, dialling if needed; see ``PeerNetwork``."""
         try:
             answer = await self._ask(peer, message, timeout_ms)
         except network.PeerError as error:
@@ -127,11 +127,11 @@
         return answer
 
     def tell(self, peer: str, message: messages.Message) -> bool:
-        """Sends a message; dials on demand; see ``PeerNetwork``.
+        """Sends a one-way message, dialling if needed; see ``PeerNetwork``.
 
         Returns:
-            Whether the message is on a link or waits for one that is being
-            dialled. True is no promise that the peer gets it.
+            Whether the message was queued on a link or for a link being
+            dialled. Delivery is not guaranteed.
         """
         if peer == self._instance:
             self._running.spawn(self._handlers.tell_myself(message))
@@ -147,23 +147,23 @@
         return is_kept
 
     def probe(self, peer: str) -> None:
-        """Dials a peer that has no link, to find out whether it answers."""
+        """Dials a peer without a link to check whether it is reachable."""
         known = self._peers.reachable(peer)
         if known is not None and known.best_link() is None:
             self._running.spawn(self._probe(known))
 
     def forgive(self, peer: str) -> None:
-        """Forgets a failed dial, for there is reason to try again."""
+        """Clears a failed dial and its backoff."""
         known = self._peers.get(peer)
         if known is not None:
             known.forgive()
 
     def set_addresses(self, addresses: Mapping[str, str]) -> None:
-        """Says where each other instance listens."""
+        """Sets the listening address of each other instance, by name."""
         self._peers.addresses = addresses
 
     def keep_links(self, names: Iterable[str]) -> None:
-        """Says to which peers a standing link is to be kept."""
+        """Sets the peers to which to keep a standing link."""
         wanted = {name: None for name in names if name != self._instance}
         for name in wanted:
             known = self._peers.reachable(name)
@@ -176,12 +176,12 @@
                 self._peers.forget(known)
 
     def renew_links(self) -> None:
-        """Opens all links anew, as after a change of keys."""
+        """Replaces all links by new ones after a change of TLS keys."""
         for known in self._peers:
             known.renew()
 
     def linked(self) -> tuple[str, ...]:
-        """Peers with a standing link, by name."""
+        """Returns the names of peers with a standing link, sorted."""
         return tuple(
             sorted(
                 known.name
@@ -191,42 +191,42 @@
         )
 
     def known(self) -> tuple[str, ...]:
-        """Peers that this instance has or had to do with."""
+        """Returns the names of peers with current or recent contact."""
         return self._peers.names()
 
     def greeted(self) -> tuple[str, ...]:
-        """Peers whose hello is known."""
+        """Returns the names of peers whose hello is known."""
         return tuple(self._peers.hellos)
 
     def link_count(self) -> int:
-        """Open links, those on demand included."""
+        """Returns the number of open links, including on-demand links."""
         return sum(len(known.links) for known in self._peers)
 
     def contact(self, peer: str) -> peers.Contact:
-        """What the links know of a peer."""
+        """Returns the state of the contact with a peer."""
         known = self._peers.get(peer)
         return peers.NO_CONTACT if known is None else known.contact()
 
     def hello_of(self, peer: str) -> link_messages.Hello | None:
-        """The newest hello that a peer gave."""
+        """Returns the newest hello of a peer, ``None`` if there is none."""
         return self._peers.hellos.get(peer)
 
     def on_hello(self, listener: Callable[[link_messages.Hello], None]) -> None:
-        """Calls back for each link that opens."""
+        """Registers a callback for the hello of each new link."""
         self._hello_listeners.append(listener)
 
     def on_heartbeat(self, listener: Callable[[str, int], None]) -> None:
-        """Calls back for each heartbeat with the sender's facts digest."""
+        """Registers a callback for heartbeats: sender and facts digest."""
         self._heartbeat_listeners.append(listener)
 
     async def on_start(self) -> None:
-        """Starts to listen."""
+        """Starts listening for peers."""
         self._opener.start()
         self._listener = await self._transport.listen(self._accept)
         self._opener.address = self._listener.address
 
     async def on_stop(self) -> None:
-        """Says goodbye on every link and ends all tasks."""
+        """Closes all links with a farewell and cancels all tasks."""
         if self._listener is not None:
             await self._listener.close()
         for known in self._peers:
@@ -255,8 +255,8 @@
         except network.PeerError as error:
             is_silent = link.last_heard_ms < sent_ms
             if error.fault is network.PeerFault.LOST and is_silent:
-                # Nobody beats on an idle link, so one whose other end is
-                # gone looks open. Closing it makes the next ask dial anew.
+                # Idle on-demand links have no heartbeats, so a dead one looks
+                # open. Close it to make the next request dial again.
                 if not link.is_standing:
                     link.close()
             raise
@@ -281,7 +281,7 @@
         return link_messages.Heartbeat(hears_you, self.facts_digest())
 
     def _tend(self, known: peers.Peer) -> None:
-        """Sees to it that the peer's task runs while there is need."""
+        """Starts the maintenance task of a peer if it is needed."""
         if known.name in self._tended or not known.is_needed:
             return
         self._tended.add(known.name)
@@ -302,7 +302,7 @@
         """Opens a link.
 
         Raises:
-            OSError: There is none to be had, for whatever reason.
+            OSError: The link could not be opened.
         """
         address = self._peers.addresses.get(name)
         if address is None:
@@ -366,10 +366,11 @@
         self._look_after(known, link)
 
     def _look_after(self, known: peers.Peer, link: links.Link) -> None:
-        """Finds out at once whether a peer died when its link breaks.
+        """Probes a peer whose link broke, to detect a failure at once.
 
-        A peer that is to be kept linked is dialled anyhow. Of another one,
-        which had dialled this side, nothing would be heard until asked.
+        Peers with a standing link are redialled anyway. Without the probe,
+        the failure of any other peer would be noticed only by the next
+        request to it.
         """
         if link.has_broken and not known.is_wanted and not self.should_stop:
             self.probe(known.name)
--- a/src/jujubewharf/peers/messages.py
+++ b/src/jujubewharf/peers/messages.py
@@ -1,10 +1,9 @@
-"""The registry of peer messages: frozen data classes with a number each.
+"""Registry of peer messages: frozen dataclasses, each with a unique number.
 
-Each concern declares its messages in a module ``peers/<concern>_messages.py``
-with the decorator ``message``. Numbers are never used twice. Fields must be
-of types that msgpack carries; a nested data class is declared as such and
-converted by the codec. A receiver leaves unknown fields aside, and a field
-that older senders lack needs a default.
+Messages are declared in modules ``peers/<topic>_messages.py`` with the
+decorator ``message``. Numbers are never reused. Fields must be of types that
+msgpack supports; nested dataclasses are converted by the codec. Receivers
+ignore unknown fields, and fields that older senders lack need a default.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Message:
-    """Base of all peer messages."""
+    """Base class of all peer messages."""
 
 
 TYPE_OF_NUMBER: dict[int, type[Message]] = {}
@@ -23,15 +22,15 @@
 
 
 def message(number: int) -> Callable[[type], type]:
-    """Registers a data class as the message with this number.
+    """Registers a dataclass as the message with the given number.
 
     Raises:
-        ValueError: The number is taken.
+        ValueError: The number is already in use.
     """
 
     def register(cls: type) -> type:
         if number in TYPE_OF_NUMBER:
-            raise ValueError(f"message number {number} is taken")
+            raise ValueError(f"message number {number} is already in use")
         TYPE_OF_NUMBER[number] = cls
         NUMBER_OF_TYPE[cls] = number
         return cls
--- a/src/jujubewharf/peers/network.py
+++ b/src/jujubewharf/peers/network.py
@@ -1,8 +1,8 @@
-"""What other packages need of the peer links: ask, tell, handle.
+"""Peer network interface used by other packages.
 
-A handler belongs to a message type. ``ask`` waits for the answer to its own
-message; ``tell`` is fire and forget. Both are refused at once for a peer that
-has no link, and the link's owner tries to dial again by itself.
+``ask`` sends a request and waits for its reply; ``tell`` sends a one-way
+message; ``handle`` registers the handler of a message type. Both kinds of
+sending fail at once for a peer that is known to be unreachable.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 class PeerFault(enum.Enum):
-    """Why a peer gave no answer.
+    """Reason why a request got no reply.
 
-    ``UNREACHABLE`` means that the message was not sent; ``LOST`` means that
-    it may have been handled; ``REFUSED`` is the peer's own word.
+    ``UNREACHABLE``: the request was not sent. ``LOST``: the request was sent
+    and may have been handled. ``REFUSED``: the peer refused the request.
     """
 
     UNREACHABLE = "unreachable"
@@ -31,11 +31,11 @@
 
 
 class PeerError(Exception):
-    """A peer gave no answer.
+    """A request to a peer got no reply.
 
     Args:
-        fault: Why.
-        peer: Name of the instance.
+        fault: Reason of the failure.
+        peer: Name of the peer.
     """
 
     def __init__(self, fault: PeerFault, peer: str) -> None:
@@ -45,7 +45,7 @@
 
 
 class PeerNetwork(Protocol):
-    """Messages to and from other instances."""
+    """Sends messages to other instances and receives theirs."""
 
     @property
     def instance(self) -> str:
@@ -55,23 +55,26 @@
     async def ask(
         self, peer: str, message: messages.Message, *, timeout_ms: float
     ) -> messages.Message:
-        """Sends a message and waits for its answer.
+        """Sends a request and waits for its reply.
 
         Raises:
-            PeerError: There was none; see ``PeerFault``.
+            PeerError: There was no reply; see ``PeerFault``.
         """
         ...
 
     def tell(self, peer: str, message: messages.Message) -> bool:
-        """Sends a message without an answer.
+        """Sends a one-way message.
 
         Returns:
-            Whether there was a link to send it on.
+            Whether the message was queued. Delivery is not guaranteed.
         """
         ...
 
     def handle(
         self, message_type: type[messages.Message], handler: Handler
     ) -> None:
-        """Names the handler of a message type; called with the sender."""
+        """Registers the handler of a message type.
+
+        The handler is called with the sender's name and the message.
+        """
         ...
--- a/src/jujubewharf/peers/opener.py
+++ b/src/jujubewharf/peers/opener.py
@@ -1,4 +1,4 @@
-"""Opens links in both directions, in this process's own name."""
+"""Opens links by dialling or accepting streams and running the handshake."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Opened:
-    """A stream on which both hellos were said.
+    """A stream after a successful handshake.
 
     Attributes:
-        hello: What the peer said of itself.
+        hello: Hello of the peer.
         is_dialled: Whether this side dialled.
-        is_standing: Whether the side that dialled means to keep the link.
-        reader: Bytes from the peer.
-        writer: Bytes to the peer.
+        is_standing: Whether the dialling side keeps the link open while idle.
+        reader: Reads from the peer.
+        writer: Writes to the peer.
     """
 
     hello: link_messages.Hello
@@ -46,22 +46,22 @@
 
 
 class Opener:
-    """Dials and greets.
+    """Dials and accepts streams and runs the handshake on them.
 
     Args:
         instance: Name of this instance.
         domain: Failure domain of this instance.
-        clock: Time.
-        transport: Streams to and from peers.
-        counts: Where to count.
-        newest_hello: The newest hello that a peer gave, if any.
+        clock: Source of time.
+        transport: Opens and accepts streams.
+        counts: Counters of this instance.
+        newest_hello: Returns the newest hello of a peer, if any.
 
     Attributes:
-        address: ``IP:PORT`` on which this instance is heard, once known.
-        incarnation: Tells this process from others of the same name.
-        is_leaving: Said in every hello.
+        address: ``IP:PORT`` on which this instance listens, once known.
+        incarnation: Distinguishes this process from others of the same name.
+        is_leaving: Whether hellos announce that this instance is draining.
         is_replaced: Whether peers know a newer process of this name.
-        handshakes: Hellos of others that are under way.
+        handshakes: Number of accepted streams in the handshake.
     """
 
     def __init__(
@@ -89,17 +89,17 @@
         self._logger = structlog.get_logger()
 
     def start(self) -> None:
-        """Takes this process's number."""
+        """Assigns the incarnation of this process from the wall clock."""
         self._started_ms = self._clock.now_ms()
         self.incarnation = max(1, int(self._clock.wall_ms()))
 
     async def dial(
         self, name: str, address: str, *, is_standing: bool
     ) -> Opened:
-        """Opens a stream to a peer.
+        """Opens a stream to a peer and runs the handshake.
 
         Raises:
-            OSError: There is none to be had, for whatever reason.
+            OSError: The peer is unreachable or one side refused.
         """
         async with self._clock.timeout_ms(_DIAL_TIMEOUT_MS):
             reader, writer = await self._transport.dial(address)
@@ -119,7 +119,12 @@
     async def accept(
         self, reader: asyncio.StreamReader, writer: streams.StreamWriter
     ) -> Opened | None:
-        """Greets a stream that came in; closes it if nothing comes of it."""
+        """Runs the handshake on an accepted stream.
+
+        Returns:
+            The opened stream; ``None`` if the handshake failed, in which case
+            the stream is closed.
+        """
         greeting = self._handshake(reader, writer, is_standing=False)
         if self.handshakes >= MAX_HANDSHAKES:
             self._refuse_busy(greeting)
@@ -140,7 +145,7 @@
         return Opened(hello, False, hello.is_standing, reader, writer)
 
     def refuse_busy(self, opened: Opened) -> None:
-        """Ends a stream for which there is no room."""
+        """Refuses an opened stream because the peer limit is reached."""
         self._refuse_busy(
             self._handshake(opened.reader, opened.writer, is_standing=False)
         )
@@ -192,11 +197,11 @@
             self._on_replaced(error.incarnation)
 
     def _on_replaced(self, newest: int) -> None:
-        """A peer knows a newer process of this name.
+        """Handles the refusal by a peer that knows a newer incarnation.
 
-        A process that has just started is the newer one whatever the clocks
-        say, so it takes a higher number. One that has run for long was
-        replaced while it was paused, and stays refused.
+        A process that has just started takes a higher incarnation, because
+        the other number may stem from a clock that was ahead. A process that
+        has run for longer was replaced while it was paused and stays refused.
         """
         if newest <= self.incarnation:
             return
--- a/src/jujubewharf/peers/peer.py
+++ b/src/jujubewharf/peers/peer.py
@@ -1,4 +1,4 @@
-"""One peer: its links, and the task that keeps and tends them."""
+"""State of one peer: its links and the task that maintains them."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """Times of the links.
+    """Heartbeat and timeout intervals of the links.
 
     Attributes:
-        heartbeat_ms: Time between heartbeats on a link.
-        suspect_after_ms: Silence after which a peer isn't heard.
-        dead_after_ms: Silence after which a link is closed.
+        heartbeat_ms: Interval between heartbeats on a link, in ms.
+        suspect_after_ms: Silence after which a peer is suspected, in ms.
+        dead_after_ms: Silence after which a link is closed, in ms.
     """
 
     heartbeat_ms: float
@@ -44,20 +44,23 @@
 
     @property
     def dead_after_ms(self) -> float:
-        """Silence after which a link is closed and dialled anew."""
+        """Silence after which a link is closed and redialled, in ms."""
         return 2 * self.suspect_after_ms
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Contact:
-    """What the links know of a peer.
+    """Contact with a peer, as seen by the links.
 
     Attributes:
         is_linked: Whether there is an open link.
-        is_watched: Whether heartbeats are due from it.
-        heard_ms: When it was last heard; ``None`` for never.
-        hears_us: Its last word on whether it hears this instance.
-        failed_ms: When a dial last failed and it was not heard since.
+        is_watched: Whether the peer is expected to send heartbeats.
+        heard_ms: Time of the last frame from the peer, in ms; ``None`` for
+            never.
+        hears_us: Whether the peer receives frames from this instance,
+            according to its last heartbeat.
+        failed_ms: Time of the last failed dial since a link was opened, in
+            ms; ``None`` if there is none.
     """
 
     is_linked: bool
@@ -77,21 +80,21 @@
 
 
 class Peer:
-    """What this instance holds for one other instance.
+    """State of one other instance: links, backoff and waiting messages.
 
     Args:
-        name: The peer.
-        instance: This instance.
-        clock: Time.
-        timing: Times of the links.
-        dial: Opens a link, which then runs by itself; raises ``OSError``.
-        make_heartbeat: Makes a heartbeat, given whether the peer is heard.
+        name: Name of the peer.
+        instance: Name of this instance.
+        clock: Source of time.
+        timing: Heartbeat and timeout intervals of the links.
+        dial: Opens and runs a link; raises ``OSError``.
+        make_heartbeat: Creates a heartbeat, given whether the peer is heard.
 
     Attributes:
-        is_wanted: Whether a standing link is to be kept.
-        heard_ms: When it was last heard; ``None`` for never.
-        hears_us: Its last word on whether it hears this instance.
-        failed_ms: When a dial last failed since it was heard.
+        is_wanted: Whether to keep a standing link.
+        heard_ms: See ``Contact``.
+        hears_us: See ``Contact``.
+        failed_ms: See ``Contact``.
     """
 
     def __init__(
@@ -128,24 +131,24 @@
 
     @property
     def heard_ms(self) -> float | None:
-        """When the peer was last heard on any link."""
+        """Time of the last frame from the peer on any link, in ms."""
         for link in self.links:
             self._heard_ms = max(self._heard_ms or 0.0, link.last_heard_ms)
         return self._heard_ms
 
     @property
     def hears_us(self) -> bool:
-        """The peer's last word; true while there is no link."""
+        """Whether the peer hears this instance; true without a link."""
         link = self.best_link()
         return link is None or link.hears_us
 
     @property
     def is_needed(self) -> bool:
-        """Whether the task has anything to tend."""
+        """Whether the peer needs its maintenance task."""
         return self.is_wanted or bool(self.links) or bool(self._waiting)
 
     def contact(self) -> Contact:
-        """All that the links know, for who looks from outside."""
+        """Returns the state of the contact with the peer."""
         link = self.best_link()
         is_kept = link is not None and link.is_standing
         return Contact(
@@ -157,9 +160,10 @@
         )
 
     def best_link(self) -> links.Link | None:
-        """The link to send on; both sides choose the same one of two.
+        """Returns the link to send on, if any.
 
-        A standing one goes first, then the one that the lower name dialled.
+        Both sides choose the same link: a standing link is preferred, then
+        the one dialled by the instance with the lower name.
         """
         open_links = [link for link in self.links if not link.is_closed]
         if len(open_links) == 1:
@@ -167,7 +171,7 @@
         return min(open_links, key=self._order, default=None)
 
     def add(self, link: links.Link) -> None:
-        """Takes a new link in and sends what waited for one."""
+        """Adds a new link and sends the waiting messages on it."""
         self.links.append(link)
         self.failed_ms = None
         self._backoff_ms = 0.0
@@ -175,35 +179,39 @@
             link.tell(self._waiting.popleft())
 
     def remove(self, link: links.Link) -> None:
-        """Drops a link that ended."""
+        """Removes a link that ended."""
         self._heard_ms = self.heard_ms
         self.links.remove(link)
         self._news.set()
         if link.farewell is not None and link.farewell.reason == _STOPPING:
-            # Its word is as good as a refused dial.
+            # The peer announced that it stops: treat it as a failed dial.
             self._on_failed()
 
     def want(self, is_wanted: bool) -> None:
-        """Asks for a standing link, or no longer."""
+        """Sets whether to keep a standing link."""
         if is_wanted != self.is_wanted:
             self.is_wanted = is_wanted
             self._backoff_ms = 0.0
             self._news.set()
 
     def forgive(self) -> None:
-        """Forgets a failed dial, for there is reason to try again."""
+        """Clears a failed dial and its backoff."""
         self.failed_ms = None
         self._backoff_ms = 0.0
         self._news.set()
 
     def renew(self) -> None:
-        """Replaces all links by new ones, without cutting what is asked."""
+        """Replaces all links by new ones without losing pending requests."""
         for link in self.links:
             link.stale_ms = self._clock.now_ms()
         self._news.set()
 
     def tell_later(self, message: messages.Message) -> bool:
-        """Keeps a message for the link that is about to be dialled."""
+        """Queues a message for the link that is about to be dialled.
+
+        Returns:
+            False during the backoff of a failed dial or if the queue is full.
+        """
         if self._is_backing_off() or len(self._waiting) >= MAX_WAITING_TELLS:
             return False
         self._waiting.append(message)
@@ -211,10 +219,10 @@
         return True
 
     async def link(self) -> links.Link:
-        """The open link, or a new one on demand.
+        """Returns an open link, dialling if there is none.
 
         Raises:
-            OSError: There is none to be had.
+            OSError: The dial failed, or its backoff has not elapsed.
         """
         link = self.best_link()
         if link is not None:
@@ -224,7 +232,7 @@
         return await self._dial_once(False)
 
     async def run(self) -> None:
-        """Keeps a standing link while wanted and tends all links."""
+        """Maintains the links until the peer is no longer needed."""
         self._news.clear()
         while self.is_needed:
             if self._may_dial() and not self._is_backing_off():
@@ -240,8 +248,8 @@
         if not self.is_wanted or (is_kept and not _is_stale(link)):
             self._lacking_ms = None
             return False
-        # Both sides may want the link. The lower name dials at once and the
-        # other only if nothing came, which spares most double dials.
+        # Both sides may want the link. The instance with the lower name dials
+        # at once and the other after a delay, to avoid duplicate links.
         now_ms = self._clock.now_ms()
         if self._lacking_ms is None:
             self._lacking_ms = now_ms
@@ -256,14 +264,14 @@
             self._waiting.clear()
 
     async def _dial_once(self, is_standing: bool) -> links.Link:
-        """Dials, or joins the dial that is under way."""
+        """Dials, or waits for the dial in progress."""
         if self._dialling is None or self._dialling.done():
             self._dialling = asyncio.ensure_future(
                 self._dial(self.name, is_standing)
             )
             self._dialling.add_done_callback(_look_at)
         dialling = self._dialling
-        # Waits without cancelling: others may have joined the same dial.
+        # Do not cancel the dial with this caller: others may wait for it.
         await asyncio.wait((dialling,))
         try:
             return dialling.result()
@@ -300,8 +308,8 @@
     def _beat(self, link: links.Link) -> None:
         now_ms = self._clock.now_ms()
         silence_ms = now_ms - link.last_heard_ms
-        # After a pause of this process what came meanwhile is still unread;
-        # only silence that this task has seen twice counts.
+        # After a pause of this process, received frames are still unread.
+        # Silence only counts if this task has run recently.
         has_looked = now_ms - self._tended_ms < self._timing.suspect_after_ms
         if silence_ms > self._timing.dead_after_ms and has_looked:
             link.close()
@@ -316,10 +324,10 @@
         return self._clock.now_ms() - link.last_used_ms > _IDLE_MS
 
     def _is_spent(self, link: links.Link, best: links.Link | None) -> bool:
-        """Whether a link of old keys has done its service.
+        """Whether to close a link that was opened with replaced TLS keys.
 
-        The last bound closes it also when the peer knows no new keys: those
-        taken out of force must not be heard for good.
+        It is closed once a newer link takes over, and after ``_STALE_MS`` in
+        any case, so that revoked keys do not stay in use.
         """
         if link.stale_ms is None:
             return False
@@ -361,7 +369,7 @@
 
 
 def _look_at(dialling: asyncio.Task[links.Link]) -> None:
-    """Takes note of a failure that nobody waits for any more."""
+    """Retrieves an exception that no caller waits for any more."""
     if not dialling.cancelled():
         dialling.exception()
 
--- a/src/jujubewharf/peers/peer_table.py
+++ b/src/jujubewharf/peers/peer_table.py
@@ -1,4 +1,4 @@
-"""The peers that an instance has or had to do with, and their hellos."""
+"""Table of known peers and their newest hellos."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class PeerTable:
-    """Peers by name; iterates over them.
+    """Peers by name; iteration yields the peers.
 
     Args:
-        make: Makes the peer of a name.
+        make: Creates the peer with the given name.
 
     Attributes:
-        addresses: Where each other instance listens.
-        hellos: The newest hello of each peer that gave one.
+        addresses: Listening address of each other instance, by name.
+        hellos: Newest hello of each peer that sent one, by name.
     """
 
     def __init__(self, make: Callable[[str], peers.Peer]) -> None:
@@ -37,18 +37,18 @@
         return name in self._peers
 
     def names(self) -> tuple[str, ...]:
-        """Names of all peers in the table."""
+        """Returns the names of all peers in the table."""
         return tuple(self._peers)
 
     def get(self, name: str) -> peers.Peer | None:
-        """The peer of a name, if it is in the table."""
+        """Returns a peer, ``None`` if it is not in the table."""
         return self._peers.get(name)
 
     def reachable(self, name: str) -> peers.Peer | None:
-        """The peer of a name, made when only its address is known.
+        """Returns a peer with a link or an address, created if needed.
 
         Returns:
-            None for a peer with neither a link nor an address.
+            ``None`` for a peer with neither a link nor an address.
         """
         known = self._peers.get(name)
         if known is not None and (known.links or name in self.addresses):
@@ -58,7 +58,7 @@
         return self.made(name)
 
     def made(self, name: str) -> peers.Peer:
-        """The peer of a name, made when it is not in the table."""
+        """Returns a peer, created if it is not in the table."""
         known = self._peers.get(name)
         if known is None:
             known = self._make(name)
@@ -66,7 +66,7 @@
         return known
 
     def forget(self, known: peers.Peer) -> None:
-        """Drops a peer that is neither needed nor known to exist."""
+        """Removes a peer that is not needed and has no known address."""
         if not known.is_needed and known.name not in self.addresses:
             self._peers.pop(known.name, None)
             self.hellos.pop(known.name, None)
--- a/src/jujubewharf/peers/quota_messages.py
+++ b/src/jujubewharf/peers/quota_messages.py
@@ -1,7 +1,4 @@
-"""Messages about the use of accounts between a leader and its followers.
-
-Numbers 90 to 99.
-"""
+"""Messages about quotas between a leader and its followers; 90 to 99."""
 
 from __future__ import annotations
 
@@ -12,11 +9,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AccountUse:
-    """What one account has used at one instance since it was told last.
+    """Quota used by one account at one instance since the last report.
 
     Attributes:
         account: Name of the account.
-        units: What it has used; below 0 where more was given back.
+        units: Used quota units; negative if more were refunded.
     """
 
     account: str
@@ -26,18 +23,18 @@
 @messages.message(90)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AccountsUsed(messages.Message):
-    """A follower tells what it has admitted by itself."""
+    """A follower reports the quota used by requests that it admitted."""
 
     uses: tuple[AccountUse, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AccountLeft:
-    """What one account may still use.
+    """Remaining quota of one account.
 
     Attributes:
         account: Name of the account.
-        units: What is left over all instances; below 0 in debt.
+        units: Units remaining across all instances; negative if overdrawn.
     """
 
     account: str
@@ -47,18 +44,21 @@
 @messages.message(91)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AccountsLeft(messages.Message):
-    """The leader tells which accounts have little left; all others have."""
+    """The leader lists the accounts that are low on quota.
+
+    Accounts that are not listed have enough.
+    """
 
     accounts: tuple[AccountLeft, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AccountPart:
-    """Which part of one account's use comes to a follower.
+    """A follower's share of the use of one account.
 
     Attributes:
         account: Name of the account.
-        part: The part, 0 to 1.
+        part: Share of the account's use at the follower, 0 to 1.
     """
 
     account: str
@@ -68,19 +68,19 @@
 @messages.message(92)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AccountParts(messages.Message):
-    """The leader tells which part of accounts' use comes to a follower.
+    """The leader informs a follower of its share of each account's use.
 
-    An account that isn't named hasn't been used there lately.
+    Accounts that are not listed were not used there recently.
     """
 
     parts: tuple[AccountPart, ...]
 
     @classmethod
     def from_parts(cls, parts: dict[str, float]) -> AccountParts:
-        """The message for parts by account."""
+        """Creates the message from shares by account."""
         return cls(tuple(AccountPart(*item) for item in parts.items()))
 
     @property
     def by_account(self) -> dict[str, float]:
-        """The parts by account."""
+        """Shares by account."""
         return {told.account: told.part for told in self.parts}
--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -1,7 +1,8 @@
 """Messages about decode slots and load; numbers 40 to 49.
 
-An engine's coordinator (see ``routing.coordinators``) answers for its
-slots. Times are spans and never instants, for clocks differ between instances.
+The coordinator of an engine (see ``routing.coordinators``) grants its slots.
+Times are durations rather than timestamps, because clocks differ between
+instances.
 """
 
 from __future__ import annotations
@@ -13,17 +14,18 @@
 
 
 class EngineDigest(NamedTuple):
-    """What a keeper says of one engine; a tuple, to be short on the wire.
+    """Load of one engine, as a tuple to omit the field names on the wire.
 
     Attributes:
-        engine: Its name.
-        free: Slots that nobody holds, has or waits for; below zero when
-            more requests wait than slots are free.
-        wait_ms: Expected wait of a new request.
-        queued_tokens: Prompt tokens waiting to be read.
-        is_usable: Whether new work may be sent there.
-        step_ms: Time between tokens.
-        link_ms: Time its link needs for all prompts under way.
+        engine: Name of the engine.
+        free: Number of slots that are neither held, granted nor waited for;
+            negative if more requests wait than slots are free.
+        wait_ms: Expected wait of a new request, in ms.
+        queued_tokens: Number of prompt tokens in the prefill queue.
+        is_usable: Whether the engine accepts new work.
+        step_ms: Time between output tokens, in ms.
+        link_ms: Time to transfer all prompts in progress over the engine's
+            link, in ms.
     """
 
     engine: str
@@ -38,19 +40,19 @@
 @messages.message(40)
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotAsk(messages.Message):
-    """Asks for a decode slot; the answer may wait as long as the caller can.
+    """Requests a decode slot; the reply may be delayed until it is granted.
 
     Attributes:
-        engine: Whose slot.
-        number: Of the request at the asking instance.
-        ready_in_ms: Time from the grant until the slot will be needed.
-        latest_in_ms: Time within which the grant must come to be of use.
-        answer_in_ms: Time within which the asker wants to hear, so that it
-            can look elsewhere and a keeper that is gone is noticed.
-        hold_ms: How long the asker expects to hold the slot.
-        priority: Higher goes first.
-        caution: From 0 to 1, the service's weight of wasted prefill.
-        is_ready: The prompt was read; the slot is needed at the grant.
+        engine: Name of the engine.
+        number: Number of the request at the requesting instance.
+        ready_in_ms: Time from the grant until the slot is needed, in ms.
+        latest_in_ms: Time after which a grant is useless, in ms.
+        answer_in_ms: Time within which to reply, granted or not, in ms. Lets
+            the requester try other engines and detect a failed coordinator.
+        hold_ms: Time for which the requester expects to hold the slot, in ms.
+        priority: Priority of the request; higher ones are granted first.
+        caution: Weight that the service gives to wasted prefill, 0 to 1.
+        is_ready: Whether the prefill is done and the slot needed at once.
     """
 
     engine: str
@@ -67,15 +69,15 @@
 @messages.message(41)
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotAnswer(messages.Message):
-    """Answers ``SlotAsk``.
+    """Reply to ``SlotAsk``.
 
     Attributes:
-        is_granted: Whether the slot is the asker's.
-        from_in_ms: When the slot is expected to be free.
-        until_in_ms: When the grant lapses unless the slot was taken.
-        wait_ms: Without a grant, when to come back.
-        is_hopeless: The grant can't come in time at this engine.
-        digest: Of engines that this keeper keeps.
+        is_granted: Whether the slot is granted.
+        from_in_ms: Time until the slot is expected to be free, in ms.
+        until_in_ms: Time until an unused grant expires, in ms.
+        wait_ms: Without a grant, time after which to ask again, in ms.
+        is_hopeless: Whether the engine can't grant a slot in time.
+        digest: Load of the engines that the sender coordinates.
     """
 
     is_granted: bool
@@ -89,12 +91,13 @@
 @messages.message(42)
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotEnd(messages.Message):
-    """Gives a slot, a grant or a place in the line back.
+    """Releases a slot or a grant, or leaves the wait queue.
 
     Attributes:
-        engine: Whose slot.
-        number: Of the request at the sender.
-        is_held: Whether it was a slot and not a grant or a place.
+        engine: Name of the engine.
+        number: Number of the request at the sender.
+        is_held: Whether the slot was in use, rather than granted or queued
+            for.
     """
 
     engine: str
@@ -105,11 +108,12 @@
 @messages.message(43)
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotsHeld(messages.Message):
-    """Tells a new keeper what the sender holds at an engine.
+    """Informs a new coordinator of the slots that the sender holds.
 
     Attributes:
-        engine: The engine.
-        held: Number of each request and the time it has held its slot.
+        engine: Name of the engine.
+        held: Number of each request and the time for which it has held its
+            slot, in ms.
     """
 
     engine: str
@@ -119,9 +123,9 @@
 @messages.message(44)
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadDigest(messages.Message):
-    """Tells others of the engines that the sender keeps.
+    """Shares the load of the engines that the sender coordinates.
 
-    It also answers ``ReadAsk``, with the queue ahead of that prompt.
+    Also the reply to ``ReadAsk``, with the load ahead of that prompt.
     """
 
     digest: tuple[EngineDigest, ...]
@@ -130,12 +134,12 @@
 @messages.message(45)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadAsk(messages.Message):
-    """Tells a keeper of a prompt about to be sent; answered at once.
+    """Announces a prefill to the engine's coordinator, which replies at once.
 
     Attributes:
-        engine: Where to.
-        number: Of the request at the asking instance.
-        tokens: Length of the prompt.
+        engine: Name of the prefill engine.
+        number: Number of the request at the sender.
+        tokens: Number of prompt tokens.
     """
 
     engine: str
@@ -146,12 +150,12 @@
 @messages.message(46)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadEnd(messages.Message):
-    """Tells a keeper that a prompt was read, or won't be.
+    """Informs a coordinator that a prefill is done or was cancelled.
 
     Attributes:
-        engine: Where.
-        number: Of the request at the sender.
-        is_read: Whether it was read, so that its transfer begins.
+        engine: Name of the prefill engine.
+        number: Number of the request at the sender.
+        is_read: Whether the prefill is done, so that the transfer begins.
     """
 
     engine: str
--- a/src/jujubewharf/peers/streams.py
+++ b/src/jujubewharf/peers/streams.py
@@ -1,8 +1,8 @@
-"""Byte streams between instances: TCP in the daemon, memory in tests.
+"""Byte streams between instances: TCP in the daemon, in-memory in tests.
 
-Peer code sees only ``asyncio.StreamReader`` and the few writer methods named
-here, so the same code runs over TCP, over TLS, and over the in-memory network
-on a virtual clock.
+Peer code uses only ``asyncio.StreamReader`` and the writer methods declared
+here, so it runs unchanged over TCP, TLS and the in-memory network with its
+virtual clock.
 """
 
 from __future__ import annotations
@@ -21,21 +21,20 @@
     from jujubewharf.peers import tls
 
 _TLS_TIMEOUT_S = 5.0
-# A peer that acknowledges nothing for so long is cut off. Without it the kernel
-# tries for minutes, and a leader would count an instance that it lost as one
-# that follows it.
+# Without this limit the kernel retransmits for minutes, and a leader would
+# count an unreachable instance as a follower in the meantime.
 _UNANSWERED_MS = 3_000
 
 
 class StreamWriter(Protocol):
-    """The part of ``asyncio.StreamWriter`` that peer code uses."""
+    """Subset of ``asyncio.StreamWriter`` used by peer code."""
 
     def write(self, data: bytes) -> None:
-        """Queues bytes."""
+        """Queues bytes for sending."""
         ...
 
     async def drain(self) -> None:
-        """Waits while too much is queued; raises when the stream is lost."""
+        """Waits for queue space; raises ``OSError`` if the stream is lost."""
         ...
 
     def close(self) -> None:
@@ -43,15 +42,15 @@
         ...
 
     def is_closing(self) -> bool:
-        """Whether the stream is closed or about to be."""
+        """Whether the stream is closed or closing."""
         ...
 
     async def wait_closed(self) -> None:
-        """Waits for the end of ``close``."""
+        """Waits until the stream is closed."""
         ...
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Facts of the transport, as ``asyncio`` names them."""
+        """Returns transport information, see ``asyncio.BaseTransport``."""
         ...
 
 
@@ -59,20 +58,20 @@
 
 
 class Listener(Protocol):
-    """A listening end."""
+    """A listening socket."""
 
     @property
     def address(self) -> str:
-        """``IP:PORT`` that others dial."""
+        """``IP:PORT`` on which it listens."""
         ...
 
     async def close(self) -> None:
-        """Stops listening; open streams stay."""
+        """Stops listening; open streams stay open."""
         ...
 
 
 class Transport(Protocol):
-    """Dials and listens; raises ``OSError`` when nobody is there."""
+    """Opens and accepts streams; raises ``OSError`` on failure."""
 
     async def dial(
         self, address: str
@@ -81,12 +80,12 @@
         ...
 
     async def listen(self, on_stream: OnStream) -> Listener:
-        """Listens and calls back for each stream that comes in."""
+        """Listens and calls back for each accepted stream."""
         ...
 
 
 def _bound_silence(writer: asyncio.StreamWriter) -> None:
-    """Ends a stream whose peer acknowledges nothing."""
+    """Limits the time that sent data may stay unacknowledged."""
     found = writer.get_extra_info("socket")
     if found is not None:
         found.setsockopt(
@@ -108,16 +107,15 @@
 
 
 class TcpTransport:
-    """TCP, with mutual TLS when contexts are given.
+    """TCP transport, with mutual TLS if contexts are given.
 
     Args:
-        host: IP number to listen on.
-        port: Port to listen on; 0 takes a free one.
+        host: IP address to listen on.
+        port: Port to listen on; 0 selects a free one.
         contexts: TLS contexts; ``None`` for plain TCP.
 
     Attributes:
-        refused: Streams that came in without a certificate of the
-            authority.
+        refused: Number of accepted streams that failed the TLS handshake.
     """
 
     def __init__(
@@ -133,7 +131,7 @@
         self._contexts = contexts
 
     def renew(self, contexts: tls.TlsContexts) -> None:
-        """Takes other TLS contexts for all streams opened from now on."""
+        """Sets the TLS contexts for streams opened from now on."""
         self._contexts = contexts
 
     async def dial(
@@ -167,10 +165,13 @@
         return _TcpListener(server)
 
     async def _secure(self, writer: asyncio.StreamWriter) -> bool:
-        """Puts TLS on a stream that came in, unless TLS is off.
+        """Runs the TLS handshake on an accepted stream if TLS is enabled.
 
-        Done here and not by the server, for a server keeps the context it
-        was started with, and tells nobody of the strangers that it refuses.
+        ``asyncio.start_server`` would keep the context that it was started
+        with, and would not report failed handshakes.
+
+        Returns:
+            Whether the stream may be used.
         """
         if self._contexts is None:
             return True
--- a/src/jujubewharf/peers/tasks.py
+++ b/src/jujubewharf/peers/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run until they end or their owner stops."""
+"""Group of background tasks that are cancelled when their owner stops."""
 
 from __future__ import annotations
 
@@ -9,11 +9,10 @@
 
 
 class Tasks:
-    """Keeps running tasks, so that none is collected or outlives its owner.
+    """Holds references to background tasks until they end.
 
     Args:
-        on_fault: Told of an exception, which else would come up at some
-            collection.
+        on_fault: Called with the exception of a task that failed.
     """
 
     def __init__(self, on_fault: Callable[[BaseException], None]) -> None:
@@ -30,7 +29,7 @@
         task.add_done_callback(self._on_done)
 
     async def stop(self) -> None:
-        """Cancels all tasks and waits for their ends."""
+        """Cancels all tasks and waits until they have ended."""
         tasks = tuple(self._running)
         for task in tasks:
             task.cancel()
--- a/src/jujubewharf/peers/tls.py
+++ b/src/jujubewharf/peers/tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between instances: contexts from files, and the peer's names."""
+"""Mutual TLS between instances: loading of keys and names of peers."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class TlsFilesError(Exception):
-    """The files are missing, malformed, or don't belong together."""
+    """The TLS files are missing, malformed or do not match each other."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """Where the keys are.
+    """Paths of the TLS files.
 
     Attributes:
-        certificate: PEM certificate of this instance, with its chain.
-        key: PEM key to it.
-        authority: PEM authorities that sign the instances. While one takes
-            over from another, both stand here.
+        certificate: Certificate chain of this instance (PEM).
+        key: Private key of the certificate (PEM).
+        authority: Certificates of the trusted authorities (PEM). Contains the
+            old and the new authority during a rotation.
     """
 
     certificate: pathlib.Path
@@ -31,7 +31,7 @@
     authority: pathlib.Path
 
     def stamp(self) -> tuple[tuple[int, int], ...]:
-        """Changes whenever one of the files does.
+        """Returns modification time and size of each file.
 
         Raises:
             TlsFilesError: A file is missing.
@@ -46,11 +46,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TlsContexts:
-    """Contexts for both directions.
+    """TLS contexts for both directions.
 
     Attributes:
-        client: For dialling.
-        server: For listening.
+        client: Context for dialled streams.
+        server: Context for accepted streams.
     """
 
     client: ssl.SSLContext
@@ -58,14 +58,14 @@
 
 
 def load(files: TlsFiles) -> TlsContexts:
-    """Reads the files.
+    """Loads the TLS contexts from files.
 
-    Neither context checks host names: instances are dialled by IP number and
-    replaced at any. Instead the name that a peer gives in its hello must
-    stand in its certificate.
+    The contexts do not check host names, because instances are dialled by IP
+    address and addresses change. Instead, the handshake requires the name in
+    a peer's hello to be in its certificate.
 
     Raises:
-        TlsFilesError: The files can't be used.
+        TlsFilesError: The files can't be loaded.
     """
     return TlsContexts(
         client=_context(ssl.PROTOCOL_TLS_CLIENT, files),
@@ -74,7 +74,7 @@
 
 
 def peer_names(writer: streams.StreamWriter) -> tuple[str, ...] | None:
-    """Names in the other side's certificate; ``None`` without TLS."""
+    """Returns the names in the peer's certificate; ``None`` without TLS."""
     if writer.get_extra_info("ssl_object") is None:
         return None
     certificate = writer.get_extra_info("peercert") or {}
--- a/tests/peers/test_hostile.py
+++ b/tests/peers/test_hostile.py
@@ -1,4 +1,4 @@
-"""Hostile bytes on the peer port: a counted drop, and nothing held."""
+"""Malformed input on the peer port is dropped, counted and leaks nothing."""
 
 from __future__ import annotations
 
@@ -76,14 +76,14 @@
 streams = st.one_of(
     st.binary(max_size=80),
     bodies.map(_frame),
-    # A length that promises more than comes, and one beyond the bound.
+    # Length prefixes that exceed the body and the maximum frame size.
     bodies.map(lambda body: struct.pack(">I", len(body) + 9) + body),
     bodies.map(lambda body: struct.pack(">I", 0xFFFF_FFF0) + body),
 )
 
 
 class Target:
-    """An instance's links and a hostile stream to them."""
+    """A mesh under test, reachable by raw streams."""
 
     def __init__(self) -> None:
         self.clock = clocks.Clock(wall_origin_ms=0.0)
@@ -103,7 +103,7 @@
         return Sum((sum(message.numbers),))
 
     async def send(self, data: bytes) -> bytes:
-        """Sends bytes on a new stream and returns what came back."""
+        """Sends bytes on a new stream and returns the bytes received."""
         hostile = self.network.transport("stranger", "b")
         reader, writer = await hostile.dial(self.mesh.address)
         writer.write(data)
@@ -128,11 +128,7 @@
 )
 @given(st.booleans(), st.lists(streams, min_size=1, max_size=5))
 def test_whatever_comes_nothing_is_held(is_greeted, parts):
-    """Somebody writes garbage to the peer port, before or after a hello.
-
-    The stream ends sooner or later; then no task, link, peer or handshake is
-    left of it, and the instance answers its peers as before.
-    """
+    """Garbage on the peer port must not leak tasks, links or handshakes."""
 
     async def run() -> None:
         target = Target()
@@ -183,11 +179,9 @@
 
 
 def test_a_newer_peer_is_understood():
-    """An instance of a newer version speaks to one of this version.
+    """Fields and messages of a newer version must not break the link.
 
-    Its hello and messages carry a field more, it sends a message and an ask
-    of a number unknown here: the known part is used, the ask is refused at
-    once instead of left to time out, and the link stays.
+    Known fields are used and unknown requests are refused at once.
     """
 
     async def run() -> None:
@@ -240,11 +234,7 @@
 
 
 def test_a_stranger_that_says_nothing_is_dropped():
-    """Somebody opens streams and sends nothing.
-
-    Each is closed after the time for a hello; beyond a bound, further ones
-    are refused at once, so silent streams can't use up the process.
-    """
+    """Silent streams must not exhaust the process: bounded and timed out."""
 
     async def run() -> None:
         target = Target()
@@ -262,11 +252,7 @@
 
 
 def test_a_peer_that_reads_nothing_costs_bounded_memory():
-    """A peer stops reading while many messages are told to it.
-
-    The queue fills to its bound; from then on tells are refused and counted,
-    and the sender can do something else.
-    """
+    """A peer that stops reading must not make the send queue grow unbounded."""
 
     async def run() -> None:
         target = Target()
--- a/tests/peers/test_keys.py
+++ b/tests/peers/test_keys.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between instances on loopback: strangers and new keys."""
+"""Mutual TLS between instances on loopback: refusals and key rotation."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Keys:
-    """The three files of one instance."""
+    """The TLS files of one instance."""
 
     def __init__(self, folder, name: str, authority: trustme.CA) -> None:
         self._folder = folder
@@ -51,7 +51,7 @@
 
 
 class Node:
-    """One instance's links over TCP."""
+    """A mesh of one instance over TCP."""
 
     def __init__(self, name: str, settings: models.PeerSettings) -> None:
         clock = clocks.Clock()
@@ -111,11 +111,9 @@
 
 
 async def test_strangers_are_refused_and_counted(make_keys):
-    """Somebody else on the network dials an instance's peer port.
+    """Unauthenticated peers could otherwise take over keys and roles.
 
-    One has no TLS, one a certificate of another authority, and one a good
-    certificate but gives another's name: each would else be heard as a peer
-    and could take over keys and roles.
+    Covers plain TCP, a foreign authority and a name not in the certificate.
     """
     authority = trustme.CA()
     async with contextlib.AsyncExitStack() as stack:
@@ -136,11 +134,7 @@
 
 
 async def test_new_keys_come_into_force_without_a_restart(make_keys):
-    """An operator moves two running instances to another authority.
-
-    Both trust both for a while; then the old one goes. Links are opened anew
-    under the new keys, and who has only the old authority's is a stranger.
-    """
+    """Rotating the authority keeps links working and shuts out old keys."""
     old, new = trustme.CA(), trustme.CA()
     async with contextlib.AsyncExitStack() as stack:
         first, second = make_keys("e1", old), make_keys("e2", old)
--- a/tests/peers/test_mesh.py
+++ b/tests/peers/test_mesh.py
@@ -1,4 +1,4 @@
-"""Links between instances of a bench: ask, tell, dial on demand, loss."""
+"""Links between instances: requests, dialling on demand, failed peers."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         bench = await _bench(("e1", "a"), ("e2", "a"), ("e3", "b"))
         mesh = bench.instances["e1"].core.peers
         answered = counters.AskOutcome.ANSWERED
-        # Other packages have asked on the same links while the bench began.
+        # Starting the bench has already sent requests on these links.
         before = mesh.counts.asks[answered]
         for peer in ("e1", "e2", "e3"):
             answer = await mesh.ask(
@@ -70,11 +70,7 @@
 
 
 def test_a_dead_peer_is_unreachable_and_suspected_at_once():
-    """A caller's key has its home on an instance that dies.
-
-    Its streams break; the next dial is refused, so asks fail as not sent at
-    once and owner choice goes past it, long before the list says anything.
-    """
+    """Requests to a dead peer must fail at once, before the list drops it."""
 
     async def run() -> None:
         bench = await _bench(("e1", "a"), ("e2", "a"))
@@ -91,12 +87,7 @@
 
 
 def test_a_link_on_demand_is_closed_and_stays_closed():
-    """An instance asks one that it keeps no link to.
-
-    The link serves the ask and is closed when idle. Were its end taken for a
-    death and dialled again, links would grow to one for every pair that ever
-    spoke.
-    """
+    """Redialling closed on-demand links would grow to a link for every pair."""
 
     async def run() -> None:
         names = [(f"e{n:02}", f"d{n % 6}") for n in range(18)]
