--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -34,9 +34,9 @@
     """Cost estimates of one instance, with their sample sizes.
 
     Attributes:
-        prefills: Number of prefills.
+        prefills: Number of prefills in the sample.
         prefill_ms: Time that one prompt keeps a prefill engine busy.
-        responses: Number of responses.
+        responses: Number of responses in the sample.
         decode_ms: Time that one response would hold a decode engine's whole
             memory.
     """
@@ -162,7 +162,7 @@
 
         The duration of the response times its share of the memory; ``None``
         before enough requests were observed. Until many responses have
-        completed, projected durations of running ones are used as well: short
+        completed, projected durations of running ones are used instead: short
         responses complete first and would make the estimate too low.
         """
         return self._best_decode.value
@@ -182,7 +182,7 @@
 
     @property
     def first_event_ms(self) -> float | None:
-        """Time from reservation to first event, or ``None``."""
+        """Upper quartile of the time from reservation to first event."""
         if len(self._first_event_ms) < _MIN_PREFILLS:
             return None
         ordered = sorted(self._first_event_ms)
--- a/src/jujubewharf/forwarding/engine_pool.py
+++ b/src/jujubewharf/forwarding/engine_pool.py
@@ -97,8 +97,8 @@
     """Tracks the state of engines and ranks them for requests.
 
     Args:
-        work: Cost estimates.
-        restraints: Rate limits, backoffs and drains that engines announced.
+        cost_estimates: Observed costs of requests.
+        backpressure: Rate limits, backoffs and drains that engines announced.
         clock: Clock for pauses and circuit breakers.
         rng: Breaks ties at random, so that instances don't all select the
             same engine.
@@ -169,14 +169,14 @@
         """
         # Looked up once per call: most fleets have none, while hundreds of
         # engines are ranked for each request.
-        waiting = self._backpressure.deferred_names()
+        deferred = self._backpressure.deferred_names()
         limited = self._backpressure.limited_names()
         candidates = [
             engine
             for engine in engines
             if engine.can_decode
-            and engine.name not in waiting
-            and self._standing(engine, tokens) is Availability.AVAILABLE
+            and engine.name not in deferred
+            and self._availability(engine, tokens) is Availability.AVAILABLE
         ]
         step_tokens = max(1.0, memory_tokens * _LOAD_STEP_SHARE)
         return sorted(
@@ -199,23 +199,21 @@
             tokens: Required memory, in tokens.
             memory_tokens: Memory of the engine, in tokens.
         """
-        held = self.state(name).reserved_tokens
-        return held + tokens <= memory_tokens * _AMPLE_MEMORY_SHARE
+        reserved_tokens = self.state(name).reserved_tokens
+        return reserved_tokens + tokens <= memory_tokens * _AMPLE_MEMORY_SHARE
 
     def names_by_availability(
         self, engines: Sequence[resources.Endpoint], *, tokens: int
     ) -> dict[str, list[str]]:
-        """Groups decode engines by their standing, for log lines."""
-        names_by_standing: dict[str, list[str]] = {}
+        """Groups decode engines by availability, for log lines."""
+        names: dict[str, list[str]] = {}
         for engine in engines:
             if engine.can_decode:
-                standing = self._standing(engine, tokens)
+                availability = self._availability(engine, tokens)
                 if self._backpressure.is_deferred(engine.name):
-                    standing = Availability.DEFERRED
-                names_by_standing.setdefault(standing.value, []).append(
-                    engine.name
-                )
-        return names_by_standing
+                    availability = Availability.DEFERRED
+                names.setdefault(availability.value, []).append(engine.name)
+        return names
 
     def prefill_candidates(
         self, engines: Sequence[resources.Endpoint], *, preferred_domain: str
@@ -227,13 +225,13 @@
             preferred_domain: Failure domain of the engine that will fetch the
                 result; transfers within a domain are faster and cheaper.
         """
-        waiting = self._backpressure.deferred_names()
+        deferred = self._backpressure.deferred_names()
         candidates = [
             engine
             for engine in engines
             if engine.role is resources.Role.PREFILL
-            and engine.name not in waiting
-            and self._standing(engine) is Availability.AVAILABLE
+            and engine.name not in deferred
+            and self._availability(engine) is Availability.AVAILABLE
         ]
         limited = self._backpressure.limited_names()
         return sorted(
@@ -332,7 +330,7 @@
         finally:
             state.prefill_tokens -= tokens
 
-    def _standing(
+    def _availability(
         self, engine: resources.Endpoint, tokens: int = 0
     ) -> Availability:
         state = self.state(engine.name)
--- a/src/jujubewharf/forwarding/margins.py
+++ b/src/jujubewharf/forwarding/margins.py
@@ -80,9 +80,9 @@
         self._estimates.append(tokens)
         self._count_sample()
 
-    def record_length(self, answer: ResponseLength) -> None:
+    def record_length(self, length: ResponseLength) -> None:
         """Records the length of a completed response."""
-        self._responses.append(answer)
+        self._responses.append(length)
         self._count_sample()
 
     def margin(self, *, prompt_tokens: float, memory_tokens: int) -> Margin:
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -54,7 +54,7 @@
     """Passes observations to the estimates and engine state of this instance.
 
     Args:
-        work: Cost estimates.
+        cost_estimates: Observed costs of requests.
         lengths: Statistics of response lengths.
         pool: State of the engines.
     """
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -80,13 +80,13 @@
         backends: Client of the engines.
         registry: Registered endpoints and whether they accept requests.
         pool: State of the engines as this instance knows it.
-        work: Cost estimates; updated when a response completes.
+        cost_estimates: Updated when a response completes.
         lengths: Statistics of response lengths.
         quotas: Quotas of client accounts.
         limits: Permits of engines that announced a rate limit.
-        restraints: Rate limits, backoffs and drains that engines announced.
-        counts_all: Returns whether this instance made all reservations that
-            engines hold at present.
+        backpressure: Rate limits, backoffs and drains that engines announced.
+        knows_all_reservations: Returns whether this instance made all
+            reservations that engines hold at present.
         clock: Clock for waits and timeouts.
         rng: Source of jitter for the times at which engines are asked.
     """
@@ -101,7 +101,7 @@
         quotas: all_quotas.Quotas,
         limits: all_limits.Permits,
         backpressure: all_backpressure.Backpressure,
-        counts_all: Callable[[], bool],
+        knows_all_reservations: Callable[[], bool],
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -113,10 +113,10 @@
         self._quotas = quotas
         self._limits = limits
         self._backpressure = backpressure
-        self._counts_all = counts_all
+        self._knows_all_reservations = knows_all_reservations
         self._clock = clock
         self._rng = rng
-        self._patience = wait_policy.WaitPolicy(cost_estimates, clock)
+        self._wait_policy = wait_policy.WaitPolicy(cost_estimates, clock)
         self._queues: dict[str, wait_queues.WaitQueue] = {}
         self._running = 0
 
@@ -131,32 +131,34 @@
                 exhausted. Nothing was run in this attempt.
         """
         with all_quotas.charged(self._quotas, run):
-            place, demand = await self._wait_for_reservation(run)
+            reservation, demand = await self._wait_for_reservation(run)
         self._running += 1
         try:
             with (
-                self._pool.holding_memory(place.engine.name, demand.tokens),
-                self._prefill_assigned(run, place),
+                self._pool.holding_memory(
+                    reservation.engine.name, demand.tokens
+                ),
+                self._prefill_assigned(run, reservation),
             ):
-                yield place
-            self.record_hold_time(place)
+                yield reservation
+            self.record_hold_time(reservation)
         finally:
             self._running -= 1
-            reservation_id = place.take_id()
+            reservation_id = reservation.take_id()
             if reservation_id is not None:
-                await self._release(place.engine, reservation_id)
+                await self._release(reservation.engine, reservation_id)
             self._queue_of(run.service).wake_first()
 
-    def record_hold_time(self, place: reservations.Reservation) -> None:
+    def record_hold_time(self, reservation: reservations.Reservation) -> None:
         """Records how long a completed response held its memory."""
-        took_ms = self._clock.now_ms() - place.reserved_at_ms
+        took_ms = self._clock.now_ms() - reservation.reserved_at_ms
         self._cost_estimates.record_decode(
-            took_ms, memory_share=place.memory_share
+            took_ms, memory_share=reservation.memory_share
         )
 
     @contextlib.contextmanager
     def _prefill_assigned(
-        self, run: runs.Run, place: reservations.Reservation
+        self, run: runs.Run, reservation: reservations.Reservation
     ) -> Iterator[None]:
         """Chooses prefill engines and tracks the prompt until it is prefilled.
 
@@ -170,25 +172,27 @@
             yield
             return
         engines = self._permitted_engines(run)
-        place.prefill_engines = self._pool.prefill_candidates(
-            engines, preferred_domain=place.engine.domain
+        reservation.prefill_engines = self._pool.prefill_candidates(
+            engines, preferred_domain=reservation.engine.domain
         )
         with contextlib.ExitStack() as exits:
-            if place.prefill_engines:
-                preferred = place.prefill_engines[0].name
+            if reservation.prefill_engines:
+                preferred = reservation.prefill_engines[0].name
                 exits.enter_context(
                     self._pool.prefilling(preferred, work.prompt_tokens)
                 )
-            place.on_prefill_done = exits.close
+            reservation.on_prefill_done = exits.close
             yield
 
     async def _wait_for_reservation(
         self, run: runs.Run
     ) -> tuple[reservations.Reservation, _MemoryDemand]:
         started_ms = self._clock.now_ms()
-        in_time_ms = self._patience.on_time_wait_ms(run)
-        is_late = in_time_ms <= 0.0
-        wait_ms = self._patience.late_wait_ms(run) if is_late else in_time_ms
+        on_time_wait_ms = self._wait_policy.on_time_wait_ms(run)
+        is_late = on_time_wait_ms <= 0.0
+        wait_ms = (
+            self._wait_policy.late_wait_ms(run) if is_late else on_time_wait_ms
+        )
         # A stream that is resumed is late but keeps its priority: its caller
         # already has part of the response, which a failure would waste.
         is_deprioritized = is_late and not run.may_have_run
@@ -198,21 +202,21 @@
         max_engines = _FIRST_ROUND_ENGINES
         with queue.enqueued(waiter):
             while self._clock.now_ms() <= waiter.due_ms:
-                place = await self._try_engines(
+                reservation = await self._try_engines(
                     run, demand, max_engines=max_engines
                 )
                 max_engines = _LATER_ROUND_ENGINES
                 queue.wake_after(waiter)
-                if place is not None:
+                if reservation is not None:
                     waited_ms = self._clock.now_ms() - started_ms
                     request_log.log_placement(
                         run,
-                        place.engine.name,
+                        reservation.engine.name,
                         tokens=demand.tokens,
                         free_tokens=demand.free_tokens,
                         waited_ms=waited_ms,
                     )
-                    return place, demand
+                    return reservation, demand
                 if self._is_unavailable_until(run, waiter.due_ms):
                     break
                 await self._pause(waiter)
@@ -359,10 +363,13 @@
         # where its own count shows plenty of memory. On a nearly full engine
         # only the engine knows how far responses have outgrown their
         # reservations.
-        has_ample_memory = self._counts_all() and self._pool.has_ample_memory(
-            engine.name,
-            tokens=demand.total_tokens,
-            memory_tokens=traits.memory_tokens,
+        has_ample_memory = (
+            self._knows_all_reservations()
+            and self._pool.has_ample_memory(
+                engine.name,
+                tokens=demand.total_tokens,
+                memory_tokens=traits.memory_tokens,
+            )
         )
         if demand.free_tokens and not has_ample_memory:
             # Checks for the whole amount first, so that a full engine costs one
@@ -391,7 +398,9 @@
         )
         if run.may_have_run:
             return run.failure()
-        retry_after_ms = self._patience.retry_after_ms(run.call, self._running)
+        retry_after_ms = self._wait_policy.retry_after_ms(
+            run.call, self._running
+        )
         retry_after_ms = max(retry_after_ms, self._available_in_ms(run) or 0.0)
         return errors.WharfError(
             errors.ErrorKind.QUEUE_FULL, retry_after_ms=retry_after_ms
--- a/src/jujubewharf/forwarding/role_controller.py
+++ b/src/jujubewharf/forwarding/role_controller.py
@@ -64,7 +64,7 @@
         backends: Client of the engines.
         registry: Registered engines and their roles.
         lease: Lease that permits orders.
-        observed: Returns the fleet's cost estimates.
+        cost_estimates: Returns the fleet's cost estimates.
         services: Returns the services of the current configuration.
         clock: Clock for intervals and timeouts.
         on_accepted: Called with the name of an engine that accepted an order.
--- a/src/jujubewharf/forwarding/wait_policy.py
+++ b/src/jujubewharf/forwarding/wait_policy.py
@@ -45,7 +45,7 @@
     """Computes wait times of requests and the retry-after of refused ones.
 
     Args:
-        work: Cost estimates.
+        cost_estimates: Observed costs of requests.
         clock: Clock that request times are measured with.
     """
 
@@ -65,11 +65,11 @@
         if run.may_have_run:
             return 0.0
         target_ms = run.route.target_ms
-        begin_ms = self._cost_estimates.first_event_ms
-        if begin_ms is None:
-            begin_ms = target_ms * _DEFAULT_START_SHARE
-        begin_ms = min(begin_ms, target_ms * _MAX_START_SHARE)
-        return max(0.0, target_ms - begin_ms - self._elapsed_ms(run))
+        start_ms = self._cost_estimates.first_event_ms
+        if start_ms is None:
+            start_ms = target_ms * _DEFAULT_START_SHARE
+        start_ms = min(start_ms, target_ms * _MAX_START_SHARE)
+        return max(0.0, target_ms - start_ms - self._elapsed_ms(run))
 
     def late_wait_ms(self, run: runs.Run) -> float:
         """Returns how long a request waits that has missed its target.
@@ -84,7 +84,7 @@
             max_wait_ms, run.left_ms(self._clock) - self._response_ms(run)
         )
 
-    def retry_after_ms(self, call: calls.Call, running: int) -> float:
+    def retry_after_ms(self, call: calls.Call, running_count: int) -> float:
         """Returns the retry-after of a refused request, in milliseconds.
 
         Each call returns a later time than the one before, spaced by the time
@@ -93,28 +93,30 @@
 
         Args:
             call: The refused request.
-            running: Number of responses that this instance is running.
+            running_count: Number of responses that this instance is running.
         """
-        patience_ms = call.patience_ms or _DEFAULT_CALLER_TIMEOUT_MS
-        max_retry_after_ms = patience_ms * retry_after.MAX_TIMEOUT_SHARE
-        stay_ms = (
+        timeout_ms = call.patience_ms or _DEFAULT_CALLER_TIMEOUT_MS
+        max_retry_after_ms = timeout_ms * retry_after.MAX_TIMEOUT_SHARE
+        memory_hold_ms = (
             self._cost_estimates.memory_hold_ms
-            or patience_ms * _DEFAULT_RESPONSE_SHARE
+            or timeout_ms * _DEFAULT_RESPONSE_SHARE
         )
         now_ms = self._clock.now_ms()
-        earliest_ms = now_ms + stay_ms * _EARLIEST_RETRY_SHARE
-        interval_ms = stay_ms / max(1, running) / _RETRY_MEMORY_SHARE
+        earliest_ms = now_ms + memory_hold_ms * _EARLIEST_RETRY_SHARE
+        interval_ms = (
+            memory_hold_ms / max(1, running_count) / _RETRY_MEMORY_SHARE
+        )
         retry_at_ms = max(earliest_ms, self._last_retry_at_ms + interval_ms)
         retry_at_ms = min(retry_at_ms, now_ms + max_retry_after_ms)
         self._last_retry_at_ms = max(self._last_retry_at_ms, retry_at_ms)
         return max(_MIN_RETRY_AFTER_MS, retry_at_ms - now_ms)
 
     def _response_ms(self, run: runs.Run) -> float:
-        stay_ms = self._cost_estimates.memory_hold_ms
-        if stay_ms is not None:
-            return stay_ms * _RESPONSE_TIME_FACTOR
-        patience_ms = run.call.patience_ms or run.route.timeout_ms
-        return patience_ms * _DEFAULT_RESPONSE_SHARE
+        memory_hold_ms = self._cost_estimates.memory_hold_ms
+        if memory_hold_ms is not None:
+            return memory_hold_ms * _RESPONSE_TIME_FACTOR
+        timeout_ms = run.call.patience_ms or run.route.timeout_ms
+        return timeout_ms * _DEFAULT_RESPONSE_SHARE
 
     def _elapsed_ms(self, run: runs.Run) -> float:
         """Returns how long the caller has been waiting.
@@ -123,12 +125,12 @@
         on its route. The difference is time spent before this attempt.
         """
         elapsed_ms = self._clock.now_ms() - run.call.arrived_ms
-        patience_ms = run.call.patience_ms
-        if patience_ms is None:
+        timeout_ms = run.call.patience_ms
+        if timeout_ms is None:
             return elapsed_ms
         route = run.route.name
         longest_timeout_ms = max(
-            self._longest_timeout_ms.get(route, 0.0), patience_ms
+            self._longest_timeout_ms.get(route, 0.0), timeout_ms
         )
         self._longest_timeout_ms[route] = longest_timeout_ms
-        return elapsed_ms + longest_timeout_ms - patience_ms
+        return elapsed_ms + longest_timeout_ms - timeout_ms
--- a/tests/forwarding/test_role_controller.py
+++ b/tests/forwarding/test_role_controller.py
@@ -48,16 +48,18 @@
             *_too_many_prefill_engines(), names=("e1", "e2", "e3")
         ) as deployment:
             await deployment.clock.sleep_ms(8_000.0)
-            given = _received_orders(deployment)
-            assert len(given) == 2
-            assert {order.role for _, order in given} == {resources.Role.DECODE}
-            assert {order.holder for _, order in given} == {"e1"}
-            for name, order in given:
+            orders = _received_orders(deployment)
+            assert len(orders) == 2
+            assert {order.role for _, order in orders} == {
+                resources.Role.DECODE
+            }
+            assert {order.holder for _, order in orders} == {"e1"}
+            for name, order in orders:
                 deployment.register(
                     deployment.backends.by_name[name], role=order.role
                 )
             await deployment.clock.sleep_ms(30_000.0)
-            assert _received_orders(deployment) == given
+            assert _received_orders(deployment) == orders
 
     deployments.run(main())
 
@@ -70,9 +72,9 @@
 
     async def main():
         async with _deployed(*_too_many_prefill_engines()) as deployment:
-            while not (given := _received_orders(deployment)):
+            while not (orders := _received_orders(deployment)):
                 await deployment.clock.sleep_ms(100.0)
-            changing = [deployment.backends.by_name[name] for name, _ in given]
+            changing = [deployment.backends.by_name[name] for name, _ in orders]
             for backend in changing:
                 backend.is_changing = True
             answers = await deployment.ask_all(*["/verdicts/1"] * 6)
@@ -92,14 +94,14 @@
         for engine in engines:
             engine.next_fault = client.EngineFault.LOST
         async with _deployed(*engines) as deployment:
-            given = []
+            orders = []
             for _ in range(400):
                 await deployment.clock.sleep_ms(100.0)
-                if _received_orders(deployment) and not given:
-                    given.append(deployment.clock.now_ms())
-            assert given
+                if _received_orders(deployment) and not orders:
+                    orders.append(deployment.clock.now_ms())
+            assert orders
             # The lease is acquired after 3 s; the order is lost soon after.
-            assert given[0] > 13_000.0
+            assert orders[0] > 13_000.0
 
     deployments.run(main())
 
@@ -304,10 +306,10 @@
     async def main():
         behind = [reader("p1"), *(writer(f"d{i}") for i in range(8))]
         async with deployments.deployed(*behind) as deployment:
-            work = deployment.instances["e1"].work
+            estimates = deployment.instances["e1"].work
             for _ in range(20):
-                work.record_prefill(2_000.0, prompt_tokens=5_200)
-                work.record_decode(2_000.0, memory_share=0.12)
+                estimates.record_prefill(2_000.0, prompt_tokens=5_200)
+                estimates.record_decode(2_000.0, memory_share=0.12)
             await deployment.clock.sleep_ms(9_000.0)
             assert len(_received_orders(deployment)) == 3
 
--- a/tests/forwarding/test_wait_policy.py
+++ b/tests/forwarding/test_wait_policy.py
@@ -17,8 +17,8 @@
 def _with_policy(test):
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
-        work = costs.CostEstimates()
-        await test(wait_policy.WaitPolicy(work, clock), work, clock)
+        estimates = costs.CostEstimates()
+        await test(wait_policy.WaitPolicy(estimates, clock), estimates, clock)
 
     virtual_time.run(main())
 
@@ -40,13 +40,13 @@
 
 
 def test_wait_leaves_time_for_first_event():
-    async def test(policy, work, clock):
+    async def test(policy, estimates, clock):
         unknown_ms = policy.on_time_wait_ms(_run(clock))
         for _ in range(20):
-            work.record_first_event(200.0)
+            estimates.record_first_event(200.0)
         assert policy.on_time_wait_ms(_run(clock)) == 700.0 > unknown_ms
         for _ in range(80):
-            work.record_first_event(5_000.0)
+            estimates.record_first_event(5_000.0)
         assert 0.0 < policy.on_time_wait_ms(_run(clock)) < 400.0
 
     _with_policy(test)
@@ -55,9 +55,9 @@
 def test_request_that_cannot_complete_in_time_does_not_wait():
     """A request that can't complete in time is refused without a wait."""
 
-    async def test(policy, work, clock):
+    async def test(policy, estimates, clock):
         for _ in range(20):
-            work.record_decode(4_000.0, memory_share=0.1)
+            estimates.record_decode(4_000.0, memory_share=0.1)
         assert policy.late_wait_ms(_run(clock, patience_ms=9_000.0)) > 2_000.0
         assert policy.late_wait_ms(_run(clock, patience_ms=4_000.0)) < 0.0
 
@@ -70,9 +70,9 @@
     Retries are spaced, start late enough and stay within the timeout.
     """
 
-    async def test(policy, work, clock):
+    async def test(policy, estimates, clock):
         for _ in range(20):
-            work.record_decode(3_000.0, memory_share=0.1)
+            estimates.record_decode(3_000.0, memory_share=0.1)
         call = _run(clock).call
         times_ms = [policy.retry_after_ms(call, 10) for _ in range(4)]
         assert times_ms[0] >= 2_400.0
