--- a/src/jujubewharf/forwarding/costs.py
+++ b/src/jujubewharf/forwarding/costs.py
@@ -130,7 +130,7 @@
         return len(self._reports)
 
     @property
-    def fleet(self) -> FleetCosts:
+    def estimates(self) -> FleetCosts:
         """Combined estimates of all instances."""
         return FleetCosts.from_reports(
             (*self._reports.values(), self._cost_estimates.report())
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -217,7 +217,7 @@
             backends,
             self.registry,
             self.lease,
-            lambda: self._costs.fleet,
+            lambda: self._costs.estimates,
             self._services,
             clock,
             on_accepted=engines.record_role_change,
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -247,9 +247,9 @@
     def _on_costs_observed(
         self, peer: str, message: leader_messages.CostsObserved
     ) -> None:
-        was_known = self._fleet_costs.fleet.is_known
+        was_known = self._fleet_costs.estimates.is_known
         self._fleet_costs.add_report(peer, _cost_report(message))
-        fleet = self._fleet_costs.fleet
+        fleet = self._fleet_costs.estimates
         if fleet.is_known and not was_known:
             state_log.log_known_costs(
                 fleet, reports=self._fleet_costs.report_count
