--- a/src/jujubewharf/forwarding/role_controller.py
+++ b/src/jujubewharf/forwarding/role_controller.py
@@ -193,7 +193,7 @@
             is_reachable = await self._is_reachable(missing_engine.engine)
             state_log.log_missing_engine(
                 missing_engine.engine.name,
-                answers=is_reachable,
+                is_reachable=is_reachable,
                 registry_age_ms=self._registry.age_ms,
             )
             if is_reachable:
--- a/src/jujubewharf/forwarding/state_log.py
+++ b/src/jujubewharf/forwarding/state_log.py
@@ -82,7 +82,7 @@
 
 
 def log_missing_engine(
-    engine: str, *, answers: bool, registry_age_ms: float
+    engine: str, *, is_reachable: bool, registry_age_ms: float
 ) -> None:
     """Logs an entry that disappeared without an announced drain.
 
@@ -91,7 +91,7 @@
     _logger.info(
         "engine_vanished",
         engine=engine,
-        answers=answers,
+        answers=is_reachable,
         registry_age_ms=round(registry_age_ms),
     )
 
