--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -78,7 +78,7 @@
         peers.handle(slot_messages.SlotAsk, self.on_ask)
         peers.handle(slot_messages.SlotEnd, self.on_end)
         peers.handle(slot_messages.SlotsHeld, self.on_held)
-        peers.handle(slot_messages.ReadAsk, self.on_read)
+        peers.handle(slot_messages.ReadAsk, self.on_prefill_announced)
         peers.handle(slot_messages.ReadEnd, self.on_read_end)
         members.listen(self._on_members)
 
@@ -161,7 +161,7 @@
             holder = slot_ledger.Holder(peer, number)
             queue.ledger.record_held(holder, now_ms - age_ms)
 
-    async def on_read(
+    async def on_prefill_announced(
         self, peer: str, ask: slot_messages.ReadAsk
     ) -> slot_messages.LoadDigest:
         """Records a prompt about to be sent; returns the load ahead of it."""
