--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -79,7 +79,7 @@
         peers.handle(slot_messages.SlotEnd, self.on_end)
         peers.handle(slot_messages.SlotsHeld, self.on_held)
         peers.handle(slot_messages.ReadAsk, self.on_prefill_announced)
-        peers.handle(slot_messages.ReadEnd, self.on_read_end)
+        peers.handle(slot_messages.ReadEnd, self.on_prefill_end)
         members.listen(self._on_members)
 
     async def on_start(self) -> None:
@@ -177,7 +177,9 @@
         prefills.begin(holder, ask.tokens, transfer_ms, now_ms)
         return slot_messages.LoadDigest(digest)
 
-    async def on_read_end(self, peer: str, end: slot_messages.ReadEnd) -> None:
+    async def on_prefill_end(
+        self, peer: str, end: slot_messages.ReadEnd
+    ) -> None:
         """Records that a prefill completed, failed or was cancelled."""
         prefills = self._prefill_ledgers.get(end.engine)
         if prefills is not None:
