--- a/src/jujubewharf/engines/notices.py
+++ b/src/jujubewharf/engines/notices.py
@@ -64,7 +64,7 @@
         """Whether there is any restriction."""
         return self.rate_limit_per_s is not None or self.is_leaving
 
-    def stricter(self, other: Terms) -> Terms:
+    def merge_stricter(self, other: Terms) -> Terms:
         """Merges the restrictions known to two instances; the stricter win."""
         limits = [
             limit
--- a/src/jujubewharf/forwarding/backpressure.py
+++ b/src/jujubewharf/forwarding/backpressure.py
@@ -109,7 +109,7 @@
         """
         state = self._get(terms.endpoint)
         if not is_news:
-            terms = terms.stricter(state.terms)
+            terms = terms.merge_stricter(state.terms)
         elif state.terms.is_leaving:
             terms = dataclasses.replace(terms, is_leaving=True)
         state.limit_received_ms = self._clock.now_ms()
