--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -161,7 +161,7 @@
                 adapters.weight_store,
                 clock,
             ),
-            owns=ownership.Ownership(self.membership).owns,
+            is_assigned=ownership.Ownership(self.membership).is_assigned,
         )
         self.departures = leaving_endpoints.LeavingEndpoints(
             self.facts,
--- a/src/jujubewharf/orders/ownership.py
+++ b/src/jujubewharf/orders/ownership.py
@@ -19,7 +19,7 @@
     def __init__(self, membership: view.MembershipView) -> None:
         self._membership = membership
 
-    def owns(self, endpoint: resources.Endpoint) -> bool:
+    def is_assigned(self, endpoint: resources.Endpoint) -> bool:
         """Whether this instance currently reconciles an engine."""
         present = self._membership.present()
         same_domain = [
--- a/src/jujubewharf/orders/reconciler.py
+++ b/src/jujubewharf/orders/reconciler.py
@@ -20,7 +20,7 @@
 _RETRY_MS = 3_000.0
 _MAX_PARALLEL = 8
 
-Owns = Callable[[resources.Endpoint], bool]
+AssignmentCheck = Callable[[resources.Endpoint], bool]
 
 
 class Reconciler(mode.Service):
@@ -32,16 +32,19 @@
 
     Args:
         context: Dependencies of reconciliations.
-        owns: Whether this instance reconciles an engine now. If two instances
-            both assume so, one loses the claim; there are never two holders.
+        is_assigned: Whether this instance reconciles an engine now. If two
+            instances both assume so, one loses the claim; there are never two
+            holders.
     """
 
     def __init__(
-        self, context: reconciliation.ReconciliationContext, owns: Owns
+        self,
+        context: reconciliation.ReconciliationContext,
+        is_assigned: AssignmentCheck,
     ) -> None:
         super().__init__()
         self._context = context
-        self._owns = owns
+        self._is_assigned = is_assigned
         self._clock = context.clock
         self._is_retired = False
         self._running: set[str] = set()
@@ -81,7 +84,7 @@
                 continue
             retry_at_ms = self._retry_at_ms.get(endpoint.name, 0.0)
             is_due = endpoint.name not in self._running
-            if is_due and now_ms >= retry_at_ms and self._owns(endpoint):
+            if is_due and now_ms >= retry_at_ms and self._is_assigned(endpoint):
                 due.append(endpoint)
         return due
 
