--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -74,7 +74,7 @@
         self._present: frozenset[str] = frozenset()
         self._prefill_ledgers: dict[str, prefill_ledger.PrefillLedger] = {}
         self._digest_rotation: collections.deque[str] = collections.deque()
-        self._keepers = coordinators.CoordinatorCache(members)
+        self._coordinators = coordinators.CoordinatorCache(members)
         peers.handle(slot_messages.SlotAsk, self.on_ask)
         peers.handle(slot_messages.SlotEnd, self.on_end)
         peers.handle(slot_messages.SlotsHeld, self.on_held)
@@ -92,7 +92,7 @@
 
     def is_coordinator(self, view: fleets.EngineView) -> bool:
         """Whether this instance coordinates an engine."""
-        return self._keepers.of(view.endpoint) == self._peers.instance
+        return self._coordinators.of(view.endpoint) == self._peers.instance
 
     def _coordinated_views(self) -> list[fleets.EngineView]:
         return [v for v in self._fleet.all_views() if self.is_coordinator(v)]
