--- a/src/jujubewharf/membership/fact_store.py
+++ b/src/jujubewharf/membership/fact_store.py
@@ -102,7 +102,7 @@
         self.refused = 0
         self._clock = clock
         self._facts: dict[_Key, Fact] = {}
-        self._of_topic: dict[str, dict[str, Fact]] = {}
+        self._by_topic: dict[str, dict[str, Fact]] = {}
         self._expiries: list[tuple[float, _Key]] = []
 
     def __len__(self) -> int:
@@ -120,10 +120,10 @@
 
     def about(self, topic: str) -> tuple[Fact, ...]:
         """Returns the unexpired facts on a topic, sorted by subject."""
-        of_topic = self._of_topic.get(topic, {})
+        by_subject = self._by_topic.get(topic, {})
         now_ms = self._clock.now_ms()
-        found = (f for f in of_topic.values() if f.expires_ms > now_ms)
-        return tuple(sorted(found, key=lambda fact: fact.subject))
+        unexpired = (f for f in by_subject.values() if f.expires_ms > now_ms)
+        return tuple(sorted(unexpired, key=lambda fact: fact.subject))
 
     def add(self, fact: Fact) -> bool:
         """Stores a fact if it is newer than the stored one.
@@ -131,20 +131,20 @@
         Returns:
             Whether the fact was stored.
         """
-        held = self._facts.get(fact.key)
-        if held is not None and held.order >= fact.order:
+        stored = self._facts.get(fact.key)
+        if stored is not None and stored.order >= fact.order:
             return False
-        if held is None and len(self._facts) >= MAX_FACTS:
+        if stored is None and len(self._facts) >= MAX_FACTS:
             self.refused += 1
             return False
         if max(len(fact.value), len(fact.subject)) > MAX_TEXT_LENGTH:
             self.refused += 1
             return False
-        if held is not None:
-            self.digest ^= held.content_hash
+        if stored is not None:
+            self.digest ^= stored.content_hash
         self.digest ^= fact.content_hash
         self._facts[fact.key] = fact
-        self._of_topic.setdefault(fact.topic, {})[fact.subject] = fact
+        self._by_topic.setdefault(fact.topic, {})[fact.subject] = fact
         heapq.heappush(self._expiries, (fact.expires_ms, fact.key))
         return True
 
@@ -157,19 +157,19 @@
             if fact is not None and fact.expires_ms <= now_ms:
                 self.digest ^= fact.content_hash
                 del self._facts[key]
-                del self._of_topic[fact.topic][fact.subject]
+                del self._by_topic[fact.topic][fact.subject]
 
     def to_wire(self, fact: Fact) -> fact_messages.WireFact:
         """Converts a fact for the wire, with its remaining time to live."""
-        left_ms = max(0, int(fact.expires_ms - self._clock.now_ms()))
+        ttl_ms = max(0, int(fact.expires_ms - self._clock.now_ms()))
         return fact_messages.WireFact(
-            fact.topic, fact.subject, fact.version, fact.value, left_ms
+            fact.topic, fact.subject, fact.version, fact.value, ttl_ms
         )
 
     def from_wire(self, wire: fact_messages.WireFact) -> Fact:
         """Converts a received fact, with its expiry on the local clock."""
-        left_ms = min(wire.left_ms, MAX_TTL_MS)
-        expires_ms = self._clock.now_ms() + left_ms
+        ttl_ms = min(wire.left_ms, MAX_TTL_MS)
+        expires_ms = self._clock.now_ms() + ttl_ms
         return Fact(
             wire.topic, wire.subject, wire.version, wire.value, expires_ms
         )
--- a/src/jujubewharf/membership/facts.py
+++ b/src/jujubewharf/membership/facts.py
@@ -33,11 +33,11 @@
 COPIES = 6
 
 _FANOUT = 3
-_TICK_MS = 200.0
-_MAX_FACTS_A_PUSH = 20
-_MAX_FACTS_A_SYNC = 200
+_PUSH_INTERVAL_MS = 200.0
+_MAX_FACTS_PER_PUSH = 20
+_MAX_FACTS_PER_SYNC = 200
 _SYNC_TIMEOUT_MS = 2_000.0
-_SYNC_PAUSE_MS = 1_000.0
+_SYNC_INTERVAL_MS = 1_000.0
 _MISMATCHES_TO_SYNC = 2
 _MISMATCHES_TO_TAKE_OVER = 4
 _PUSH_BYTES_PER_S = 1_000
@@ -45,13 +45,13 @@
 _FACT_OVERHEAD_BYTES = 16
 
 
-class _HotFact:
+class _PendingFact:
     """A fact that is still being pushed to peers."""
 
     def __init__(self, fact: Fact, source: str | None) -> None:
         self.fact = fact
         self.copies = 0
-        self.covered = {source}
+        self.informed = {source}
 
 
 class Facts(mode.Service):
@@ -71,14 +71,14 @@
         self._mesh = mesh
         self._clock = clock
         self._listeners: dict[str, list[Listener]] = {}
-        self._hot: dict[tuple[str, str], _HotFact] = {}
+        self._pending: dict[tuple[str, str], _PendingFact] = {}
         self._mismatches: dict[str, int] = {}
         self._random = random.Random(mesh.instance)
-        self._budget: aiolimiter.AsyncLimiter | None = None
-        self._due: list[str] = []
+        self._push_limiter: aiolimiter.AsyncLimiter | None = None
+        self._sync_queue: list[str] = []
         self._logger = structlog.get_logger()
         mesh.handle(fact_messages.FactsPush, self._on_push)
-        mesh.handle(fact_messages.FactsKnown, self._on_known)
+        mesh.handle(fact_messages.FactsKnown, self._on_sync_request)
         mesh.on_heartbeat(self._on_heartbeat)
         mesh.facts_digest = lambda: self.store.digest
 
@@ -107,7 +107,7 @@
         ttl_ms = min(ttl_ms, fact_store.MAX_TTL_MS)
         expires_ms = self._clock.now_ms() + ttl_ms
         fact = Fact(str(topic), subject, version, value, expires_ms)
-        return self._take_in(fact, None)
+        return self._add(fact, None)
 
     def get(self, topic: str, subject: str) -> Fact | None:
         """Returns a fact, or ``None`` if it is unknown or has expired."""
@@ -123,82 +123,88 @@
 
     async def on_start(self) -> None:
         """Creates the rate limiter, which is bound to the running loop."""
-        self._budget = aiolimiter.AsyncLimiter(
+        self._push_limiter = aiolimiter.AsyncLimiter(
             _PUSH_BURST_BYTES, _PUSH_BURST_BYTES / _PUSH_BYTES_PER_S
         )
 
     @mode.Service.task
-    async def _push_on(self) -> None:
+    async def _push_loop(self) -> None:
         while not self.should_stop:
-            await self._clock.sleep_ms(_TICK_MS)
+            await self._clock.sleep_ms(_PUSH_INTERVAL_MS)
             self.store.forget_expired()
-            if self._hot:
-                await self._push_some()
+            if self._pending:
+                await self._push_pending()
 
     @mode.Service.task
-    async def _sync_on(self) -> None:
+    async def _sync_loop(self) -> None:
         while not self.should_stop:
-            await self._clock.sleep_ms(_SYNC_PAUSE_MS)
-            peer = self._next_due()
+            await self._clock.sleep_ms(_SYNC_INTERVAL_MS)
+            peer = self._next_sync_peer()
             if peer is not None:
                 await self._sync(peer)
 
-    def _next_due(self) -> str | None:
+    def _next_sync_peer(self) -> str | None:
         """Returns the next peer to synchronize with, skipping unlinked ones."""
         linked = self._mesh.linked()
         for peer in [name for name in self._mismatches if name not in linked]:
             del self._mismatches[peer]
-        while self._due:
-            peer = self._due.pop(0)
+        while self._sync_queue:
+            peer = self._sync_queue.pop(0)
             self._mismatches.pop(peer, None)
             if peer in linked:
                 return peer
         return None
 
-    def _take_in(self, fact: Fact, source: str | None) -> bool:
+    def _add(self, fact: Fact, source: str | None) -> bool:
         if not self.store.add(fact):
             return False
-        self._hot[fact.key] = _HotFact(fact, source)
+        self._pending[fact.key] = _PendingFact(fact, source)
         for listener in self._listeners.get(fact.topic, ()):
             listener(fact)
         return True
 
-    def _take_in_all(
-        self, wires: Iterable[fact_messages.WireFact], source: str
+    def _add_all(
+        self, wire_facts: Iterable[fact_messages.WireFact], source: str
     ) -> None:
-        for wire in wires:
-            if wire.left_ms > 0:
-                self._take_in(self.store.from_wire(wire), source)
+        for wire_fact in wire_facts:
+            if wire_fact.left_ms > 0:
+                self._add(self.store.from_wire(wire_fact), source)
 
-    async def _push_some(self) -> None:
+    async def _push_pending(self) -> None:
         linked = self._mesh.linked()
         targets = self._random.sample(linked, min(_FANOUT, len(linked)))
         for target in targets:
             await self._push_to(target)
         if not linked:
             return
-        for key, hot in list(self._hot.items()):
-            if hot.copies >= COPIES or hot.covered.issuperset(linked):
-                del self._hot[key]
+        for key, pending in list(self._pending.items()):
+            if pending.copies >= COPIES or pending.informed.issuperset(linked):
+                del self._pending[key]
 
     async def _push_to(self, target: str) -> None:
-        fresh = [hot for hot in self._hot.values() if target not in hot.covered]
-        fresh.sort(key=lambda hot: hot.copies)
-        batch = fresh[:_MAX_FACTS_A_PUSH]
-        size_bytes = sum(_size_bytes(hot.fact) for hot in batch)
-        assert self._budget is not None
-        if not batch or not self._budget.has_capacity(size_bytes):
+        unsent = [
+            pending
+            for pending in self._pending.values()
+            if target not in pending.informed
+        ]
+        unsent.sort(key=lambda pending: pending.copies)
+        batch = unsent[:_MAX_FACTS_PER_PUSH]
+        size_bytes = sum(_size_bytes(pending.fact) for pending in batch)
+        assert self._push_limiter is not None
+        if not batch or not self._push_limiter.has_capacity(size_bytes):
             return
-        await self._budget.acquire(size_bytes)
-        wires = tuple(self.store.to_wire(hot.fact) for hot in batch)
-        if not self._mesh.tell(target, fact_messages.FactsPush(wires)):
+        await self._push_limiter.acquire(size_bytes)
+        wire_facts = tuple(
+            self.store.to_wire(pending.fact) for pending in batch
+        )
+        if not self._mesh.tell(target, fact_messages.FactsPush(wire_facts)):
             return
-        for hot in batch:
-            hot.copies += 1
-            hot.covered.add(target)
+        for pending in batch:
+            pending.copies += 1
+            pending.informed.add(target)
 
     async def _on_push(self, peer: str, push: fact_messages.FactsPush) -> None:
-        self._take_in_all(push.facts, peer)
+        self._add_all(push.facts, peer)
 
     def _on_heartbeat(self, peer: str, digest: int) -> None:
         """Schedules a sync with a peer whose digest keeps differing.
@@ -209,16 +215,16 @@
         """
         if digest == self.store.digest:
             self._mismatches.pop(peer, None)
-            if peer in self._due:
-                self._due.remove(peer)
+            if peer in self._sync_queue:
+                self._sync_queue.remove(peer)
             return
         count = self._mismatches.get(peer, 0) + 1
         self._mismatches[peer] = count
-        needed = _MISMATCHES_TO_SYNC
+        threshold = _MISMATCHES_TO_SYNC
         if self._mesh.instance > peer:
-            needed = _MISMATCHES_TO_TAKE_OVER
-        if count >= needed and peer not in self._due:
-            self._due.append(peer)
+            threshold = _MISMATCHES_TO_TAKE_OVER
+        if count >= threshold and peer not in self._sync_queue:
+            self._sync_queue.append(peer)
 
     async def _sync(self, peer: str) -> None:
         """Synchronizes the store with a peer's.
@@ -227,52 +233,54 @@
         """
         ordered = sorted(self.store, key=lambda fact: fact.key_hash)
         window = fact_messages.FactsKnown(0, 2**32, ())
-        if len(ordered) > _MAX_FACTS_A_SYNC:
-            last_start = len(ordered) - _MAX_FACTS_A_SYNC
+        if len(ordered) > _MAX_FACTS_PER_SYNC:
+            last_start = len(ordered) - _MAX_FACTS_PER_SYNC
             start = self._random.randint(0, last_start)
-            ordered = ordered[start : start + _MAX_FACTS_A_SYNC]
+            ordered = ordered[start : start + _MAX_FACTS_PER_SYNC]
             low, high = ordered[0].key_hash, ordered[-1].key_hash
             window = fact_messages.FactsKnown(low, high, ())
         known = tuple((f.key_hash, f.content_hash) for f in ordered)
-        question = fact_messages.FactsKnown(
+        request = fact_messages.FactsKnown(
             window.from_key, window.to_key, known
         )
         try:
-            answer = await self._mesh.ask(
-                peer, question, timeout_ms=_SYNC_TIMEOUT_MS
+            reply = await self._mesh.ask(
+                peer, request, timeout_ms=_SYNC_TIMEOUT_MS
             )
         except network.PeerError:
             return
-        if not isinstance(answer, fact_messages.FactsMissing):
+        if not isinstance(reply, fact_messages.FactsMissing):
             return
-        self._take_in_all(answer.facts, peer)
-        wanted = set(answer.wanted)
+        self._add_all(reply.facts, peer)
+        wanted = set(reply.wanted)
         facts = [fact for fact in ordered if fact.key_hash in wanted]
         if facts:
-            wires = tuple(self.store.to_wire(fact) for fact in facts)
-            self._mesh.tell(peer, fact_messages.FactsPush(wires))
+            wire_facts = tuple(self.store.to_wire(fact) for fact in facts)
+            self._mesh.tell(peer, fact_messages.FactsPush(wire_facts))
 
-    async def _on_known(
-        self, peer: str, question: fact_messages.FactsKnown
+    async def _on_sync_request(
+        self, peer: str, request: fact_messages.FactsKnown
     ) -> fact_messages.FactsMissing:
-        theirs = dict(question.known)
-        mine = {
+        remote = dict(request.known)
+        local = {
             fact.key_hash: fact
             for fact in self.store
-            if question.from_key <= fact.key_hash <= question.to_key
+            if request.from_key <= fact.key_hash <= request.to_key
         }
         differing = [
             fact
-            for key_hash, fact in mine.items()
-            if theirs.get(key_hash) != fact.content_hash
+            for key_hash, fact in local.items()
+            if remote.get(key_hash) != fact.content_hash
         ]
         wanted = [
             key_hash
-            for key_hash, content in theirs.items()
-            if key_hash not in mine or mine[key_hash].content_hash != content
+            for key_hash, content in remote.items()
+            if key_hash not in local or local[key_hash].content_hash != content
+        ]
+        wire_facts = [
+            self.store.to_wire(f) for f in differing[:_MAX_FACTS_PER_SYNC]
         ]
-        wires = [self.store.to_wire(f) for f in differing[:_MAX_FACTS_A_SYNC]]
-        return fact_messages.FactsMissing(tuple(wires), tuple(wanted))
+        return fact_messages.FactsMissing(tuple(wire_facts), tuple(wanted))
 
 
 def _size_bytes(fact: Fact) -> int:
--- a/src/jujubewharf/membership/member_facts.py
+++ b/src/jujubewharf/membership/member_facts.py
@@ -57,12 +57,12 @@
 
 def presence(fact: fact_store.Fact) -> Presence | None:
     """Decodes a presence; returns ``None`` if the format is unknown."""
-    return _read_presence(fact.value)
+    return _decode_presence(fact.value)
 
 
 def report(fact: fact_store.Fact) -> Report | None:
     """Decodes a report; returns ``None`` if the format is unknown."""
-    return _read_report(fact.value)
+    return _decode_report(fact.value)
 
 
 def report_subject(silent: str, watcher: str) -> str:
@@ -77,22 +77,22 @@
 
 # Every membership check decodes the same few values several times a second.
 @functools.lru_cache(maxsize=_CACHED_VALUES)
-def _read_presence(value: str) -> Presence | None:
+def _decode_presence(value: str) -> Presence | None:
     try:
-        return _presence.validate_python(_named(Presence, value))
+        return _presence.validate_python(_by_field_name(Presence, value))
     except ValueError:
         return None
 
 
 @functools.lru_cache(maxsize=_CACHED_VALUES)
-def _read_report(value: str) -> Report | None:
+def _decode_report(value: str) -> Report | None:
     try:
-        return _report.validate_python(_named(Report, value))
+        return _report.validate_python(_by_field_name(Report, value))
     except ValueError:
         return None
 
 
-def _named(value_type: type[Presence | Report], value: str) -> object:
+def _by_field_name(value_type: type[Presence | Report], value: str) -> object:
     items = json.loads(value)
     if not isinstance(items, list):
         raise ValueError("fact value is not a JSON list")
--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -26,8 +26,8 @@
 
 _CHECKS_PER_HEARTBEAT = 2
 _POLL_JITTER = 0.2
-_GATHER_MS = 50.0
-_REJOIN_MS = 10_000.0
+_BATCH_MS = 50.0
+_MERGE_INTERVAL_MS = 10_000.0
 _PRESENCE_TTL_MS = 120_000.0
 _LEAVING_TTL_MS = 600_000.0
 
@@ -65,7 +65,7 @@
         self._mesh = mesh
         self._facts = facts
         self._domain = domain
-        self._list = platform_list
+        self._live_list = platform_list
         self._clock = clock
         self._timing = timing
         self._poll_ms = poll_ms
@@ -77,11 +77,11 @@
         self._members: dict[str, view.Member] = {}
         self._suspected: frozenset[str] = frozenset()
         self._is_listed = False
-        self._presence_ms: float | None = None
+        self._presence_published_ms: float | None = None
         self._presence_incarnation = 0
         self._is_stale = True
-        self._joined_ms = 0.0
-        self._news = asyncio.Event()
+        self._merged_ms = 0.0
+        self._updated = asyncio.Event()
         self._listeners: list[Callable[[], None]] = []
         self._random = random.Random(mesh.instance)
         self._logger = structlog.get_logger()
@@ -105,8 +105,8 @@
 
     def members(self) -> tuple[view.Member, ...]:
         """Returns all members; see ``view.MembershipView``."""
-        everyone = self._members | {self._mesh.instance: self.myself}
-        return tuple(everyone[name] for name in sorted(everyone))
+        all_members = self._members | {self._mesh.instance: self.myself}
+        return tuple(all_members[name] for name in sorted(all_members))
 
     def is_suspected(self, instance: str) -> bool:
         """Whether a member is suspected; see ``view.MembershipView``."""
@@ -139,13 +139,13 @@
             version=self._mesh.incarnation,
             ttl_ms=_LEAVING_TTL_MS,
         )
-        self._refresh(has_news=True)
+        self._refresh(has_changed=True)
 
     @mode.Service.task
-    async def _poll(self) -> None:
+    async def _poll_live_list(self) -> None:
         while not self.should_stop:
             try:
-                self._on_list(await self._list.fetch())
+                self._on_list(await self._live_list.fetch())
             except live_list.LiveListUnavailableError as error:
                 # Keep the last list: an outage of the live list does not
                 # mean that the listed instances are down.
@@ -154,36 +154,36 @@
             await self._clock.sleep_ms(self._poll_ms * spread)
 
     @mode.Service.task
-    async def _watch(self) -> None:
+    async def _refresh_loop(self) -> None:
         while not self.should_stop:
-            self._news.clear()
-            self._say_presence()
+            self._updated.clear()
+            self._publish_presence()
             self._refresh()
             probed = self._suspicion.next_probe(self._members, self._suspected)
             if probed is not None:
                 self._mesh.probe(probed)
-            await self._wait_for_news()
+            await self._wait_for_update()
 
     def _on_list(self, listed: tuple[live_list.LiveMember, ...]) -> None:
         endpoints = tuple(m for m in listed if not m.is_entry)
-        has_news = endpoints != self._listed_endpoints
+        has_changed = endpoints != self._listed_endpoints
         self._listed_endpoints = endpoints
-        before = self._listed
+        previous = self._listed
         self._listed = {m.name: m for m in listed if m.is_entry}
-        mine = self._listed.pop(self._mesh.instance, None)
+        own_entry = self._listed.pop(self._mesh.instance, None)
         self._is_listed = (
-            mine is not None and mine.address == self._mesh.address
+            own_entry is not None and own_entry.address == self._mesh.address
         )
-        self._is_stale |= self._listed != before
-        self._refresh(has_news=has_news)
-        if self._is_listed and mine is not None:
-            if mine.state is live_list.LiveState.LEAVING:
+        self._is_stale |= self._listed != previous
+        self._refresh(has_changed=has_changed)
+        if self._is_listed and own_entry is not None:
+            if own_entry.state is live_list.LiveState.LEAVING:
                 self.leave()
 
     def _on_hello(self, hello: link_messages.Hello) -> None:
         self._suspicion.on_hello(hello.domain, self._members)
         self._is_stale = True
-        self._news.set()
+        self._updated.set()
 
     def _on_fact(self, fact: all_facts.Fact) -> None:
         if fact.topic != all_facts.Topic.SUSPICION:
@@ -192,40 +192,42 @@
             # An earlier failed dial may have been to a previous process.
             # Keeping it would fall back to the outdated listed address.
             self._mesh.forgive(fact.subject)
-        self._news.set()
+        self._updated.set()
 
-    async def _wait_for_news(self) -> None:
+    async def _wait_for_update(self) -> None:
         """Waits until the next check is due or an update arrives.
 
         Always waits for a short time first, to batch the many facts and
         hellos of one event, such as a healed partition, into one refresh.
         """
-        await self._clock.sleep_ms(_GATHER_MS)
+        await self._clock.sleep_ms(_BATCH_MS)
         check_ms = self._timing.heartbeat_ms / _CHECKS_PER_HEARTBEAT
         try:
-            async with self._clock.timeout_ms(check_ms - _GATHER_MS):
-                await self._news.wait()
+            async with self._clock.timeout_ms(check_ms - _BATCH_MS):
+                await self._updated.wait()
         except TimeoutError:
             return
 
-    def _say_presence(self) -> None:
+    def _publish_presence(self) -> None:
         """Publishes and renews the presence fact until the list has it."""
         incarnation = self._mesh.incarnation
         now_ms = self._clock.now_ms()
-        is_said = self._presence_incarnation == incarnation
-        if self._presence_ms is not None and is_said:
-            is_fresh = now_ms < self._presence_ms + _PRESENCE_TTL_MS / 2
+        is_published = self._presence_incarnation == incarnation
+        if self._presence_published_ms is not None and is_published:
+            is_fresh = (
+                now_ms < self._presence_published_ms + _PRESENCE_TTL_MS / 2
+            )
             if self._is_listed or is_fresh:
                 return
         self._presence_incarnation = incarnation
-        self._presence_ms = now_ms
+        self._presence_published_ms = now_ms
         presence = member_facts.Presence(
             self._domain, self._mesh.address, incarnation
         )
-        held = self._facts.get(all_facts.Topic.MEMBER, self._mesh.instance)
+        stored = self._facts.get(all_facts.Topic.MEMBER, self._mesh.instance)
         version = incarnation
-        if held is not None:
-            version = max(version, held.version + 1)
+        if stored is not None:
+            version = max(version, stored.version + 1)
         self._facts.publish(
             all_facts.Topic.MEMBER,
             self._mesh.instance,
@@ -234,7 +236,7 @@
             ttl_ms=_PRESENCE_TTL_MS,
         )
 
-    def _refresh(self, *, has_news: bool = False) -> None:
+    def _refresh(self, *, has_changed: bool = False) -> None:
         """Updates the view and notifies the listeners of changes.
 
         Merging the sources takes time proportional to the fleet's size and is
@@ -242,22 +244,22 @@
         runs on every call.
         """
         now_ms = self._clock.now_ms()
-        if self._is_stale or now_ms >= self._joined_ms + _REJOIN_MS:
-            self._joined_ms = now_ms
+        if self._is_stale or now_ms >= self._merged_ms + _MERGE_INTERVAL_MS:
+            self._merged_ms = now_ms
             self._is_stale = False
-            has_news |= self._rejoin()
+            has_changed |= self._update_members()
         suspected = self._suspicion.find(self._members)
         if suspected != self._suspected:
             self._suspected = suspected
             self._is_stale = True
-            has_news = True
-        if has_news:
+            has_changed = True
+        if has_changed:
             for listener in self._listeners:
                 listener()
 
-    def _rejoin(self) -> bool:
+    def _update_members(self) -> bool:
         """Merges all sources again; returns whether a member changed."""
-        members = self._join()
+        members = self._merge()
         self._suspicion.on_members(members)
         if members == self._members:
             return False
@@ -268,51 +270,55 @@
         self._mesh.keep_links(neighbours.choose(self.myself, members.values()))
         return True
 
-    def _join(self) -> dict[str, view.Member]:
-        told = self._told()
-        names = {*self._listed, *told, *self._mesh.greeted()}
+    def _merge(self) -> dict[str, view.Member]:
+        presences = self._published_presences()
+        names = {*self._listed, *presences, *self._mesh.greeted()}
         members = {}
         for name in sorted(names - {self._mesh.instance}):
-            member = self._join_one(name, told)
+            member = self._merge_member(name, presences)
             if member is not None:
                 members[name] = member
         return members
 
-    def _told(self) -> dict[str, member_facts.Presence]:
-        found = {}
+    def _published_presences(self) -> dict[str, member_facts.Presence]:
+        presences = {}
         for fact in self._facts.about(all_facts.Topic.MEMBER):
             presence = member_facts.presence(fact)
             if presence is not None:
-                found[fact.subject] = presence
-        return found
+                presences[fact.subject] = presence
+        return presences
 
-    def _join_one(
-        self, name: str, told: Mapping[str, member_facts.Presence]
+    def _merge_member(
+        self, name: str, presences: Mapping[str, member_facts.Presence]
     ) -> view.Member | None:
         """Returns the merged member, or ``None`` if it is gone."""
         listed = self._listed.get(name)
         is_heard = self._suspicion.is_heard(name)
-        said = self._said_of_itself(name, told)
+        presence = self._newest_presence(name, presences)
         if listed is None:
             # An unlisted instance that is silent is gone. One that is heard
             # is new, and the list lags behind.
-            if said is None or (name in self._suspected and not is_heard):
+            if presence is None or (name in self._suspected and not is_heard):
                 return None
-            return self._member(name, said.domain, said.address, False)
+            return self._make_member(
+                name, presence.domain, presence.address, False
+            )
         is_leaving = listed.state is live_list.LiveState.LEAVING
-        if said is None:
-            return self._member(name, listed.domain, listed.address, is_leaving)
-        address = said.address
+        if presence is None:
+            return self._make_member(
+                name, listed.domain, listed.address, is_leaving
+            )
+        address = presence.address
         if self._mesh.contact(name).failed_ms is not None and not is_heard:
             # The announced address failed; it may be outdated, so try the
             # listed one.
             address = listed.address
-        return self._member(name, said.domain, address, is_leaving)
+        return self._make_member(name, presence.domain, address, is_leaving)
 
-    def _said_of_itself(
-        self, name: str, told: Mapping[str, member_facts.Presence]
+    def _newest_presence(
+        self, name: str, presences: Mapping[str, member_facts.Presence]
     ) -> member_facts.Presence | None:
-        presence = told.get(name)
+        presence = presences.get(name)
         hello = self._mesh.hello_of(name)
         if hello is None:
             return presence
@@ -322,7 +328,7 @@
             hello.domain, hello.address, hello.incarnation
         )
 
-    def _member(
+    def _make_member(
         self, name: str, domain: str, address: str, is_leaving: bool
     ) -> view.Member:
         hello = self._mesh.hello_of(name)
--- a/src/jujubewharf/membership/neighbours.py
+++ b/src/jujubewharf/membership/neighbours.py
@@ -27,12 +27,12 @@
     by_domain: dict[str, list[str]] = {}
     for member in others:
         by_domain.setdefault(member.domain, []).append(member.instance)
-    near = by_domain.pop(myself.domain, [])
-    if len(near) > ALL_IN_DOMAIN:
-        near = hashing.rank(myself.instance, near)[:DOMAIN_LINKS]
+    same_domain = by_domain.pop(myself.domain, [])
+    if len(same_domain) > ALL_IN_DOMAIN:
+        same_domain = hashing.rank(myself.instance, same_domain)[:DOMAIN_LINKS]
     domains = hashing.rank(myself.instance, by_domain)[:CROSS_LINKS]
-    far = [
+    other_domains = [
         hashing.rank(myself.instance, by_domain[domain])[0]
         for domain in domains
     ]
-    return tuple(sorted([*near, *far]))
+    return tuple(sorted([*same_domain, *other_domains]))
--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -26,16 +26,16 @@
 
 REPORTS_TO_BELIEVE = 2
 
-_ENOUGH_REPORTS = 3
+_SUFFICIENT_REPORTS = 3
 _REPORT_TTL_MS = 30_000.0
-_RENEW_MS = 15_000.0
-_REPORT_SPREAD_MS = 1_500.0
-_PROBE_MS = 2_000.0
-_PROBE_AGAIN_MS = 10_000.0
+_REPORT_RENEWAL_MS = 15_000.0
+_MAX_REPORT_DELAY_MS = 1_500.0
+_PROBE_INTERVAL_MS = 2_000.0
+_MEMBER_PROBE_INTERVAL_MS = 10_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Reported:
+class _PublishedReport:
     """A report published by this instance.
 
     Attributes:
@@ -73,8 +73,8 @@
         self._clock = clock
         self._timing = timing
         self._known_since_ms: dict[str, float] = {}
-        self._reports: dict[str, _Reported] = {}
-        self._due_ms: dict[str, float] = {}
+        self._published: dict[str, _PublishedReport] = {}
+        self._report_due_ms: dict[str, float] = {}
         self._random = random.Random(mesh.instance)
         self._probed_ms: dict[str, float] = {}
         self._last_probe_ms = 0.0
@@ -87,35 +87,37 @@
         Checks only peers known to the links and members with reports, whose
         number does not grow with the fleet.
         """
-        self._notice_pause()
-        told = self._reported(members)
-        found = set()
+        self._detect_pause()
+        reports_by_name = self._valid_reports(members)
+        suspected = set()
         for name in self._mesh.known():
             if name not in members:
                 continue
             is_silent = self.is_silent(name)
-            self._report(name, is_silent, len(told.get(name, ())))
+            self._update_report(
+                name, is_silent, len(reports_by_name.get(name, ()))
+            )
             if is_silent:
-                found.add(name)
-        for name, reports in told.items():
-            if self._is_told(name, reports):
-                found.add(name)
-        return frozenset(found)
+                suspected.add(name)
+        for name, reports in reports_by_name.items():
+            if self._is_suspected_by_reports(name, reports):
+                suspected.add(name)
+        return frozenset(suspected)
 
     def on_members(self, members: Mapping[str, view.Member]) -> None:
         """Records when members became known; drops state of removed ones."""
         now_ms = self._clock.now_ms()
         for name in members:
             self._known_since_ms.setdefault(name, now_ms)
-        held: dict[str, Any]
-        for held in (
+        state: dict[str, Any]
+        for state in (
             self._known_since_ms,
-            self._reports,
-            self._due_ms,
+            self._published,
+            self._report_due_ms,
             self._probed_ms,
         ):
-            for name in [name for name in held if name not in members]:
-                del held[name]
+            for name in [name for name in state if name not in members]:
+                del state[name]
 
     def is_heard(self, name: str) -> bool:
         """Whether a frame came from the peer within the suspicion timeout."""
@@ -164,18 +166,18 @@
         would stay suspected because nothing dials it again.
         """
         now_ms = self._clock.now_ms()
-        if not suspected or now_ms < self._last_probe_ms + _PROBE_MS:
+        if not suspected or now_ms < self._last_probe_ms + _PROBE_INTERVAL_MS:
             return None
-        doubtful = {
+        suspect_domains = {
             members[name].domain for name in suspected if name in members
         }
         for name, member in members.items():
-            if member.domain not in doubtful:
+            if member.domain not in suspect_domains:
                 continue
             if self._mesh.contact(name).is_watched or self.is_heard(name):
                 continue
             probed_ms = self._probed_ms.get(name, float("-inf"))
-            if now_ms >= probed_ms + _PROBE_AGAIN_MS:
+            if now_ms >= probed_ms + _MEMBER_PROBE_INTERVAL_MS:
                 self._probed_ms[name] = now_ms
                 self._last_probe_ms = now_ms
                 return name
@@ -186,7 +188,7 @@
         silence_ms = self._clock.now_ms() - since_ms
         return silence_ms <= self._timing.suspect_after_ms
 
-    def _notice_pause(self) -> None:
+    def _detect_pause(self) -> None:
         """Detects a pause of this process, whose silence must not count.
 
         After a pause, all peers seem silent until the sockets are read.
@@ -201,12 +203,12 @@
         if now_ms - last_ms > self._timing.suspect_after_ms / 2:
             self._resumed_ms = now_ms
 
-    def _reported(
+    def _valid_reports(
         self, members: Mapping[str, view.Member]
     ) -> dict[str, list[member_facts.Report]]:
         """Returns the valid reports by silent member."""
-        found: dict[str, list[member_facts.Report]]
-        found = collections.defaultdict(list)
+        reports: dict[str, list[member_facts.Report]]
+        reports = collections.defaultdict(list)
         for fact in self._facts.about(all_facts.Topic.SUSPICION):
             name = member_facts.silent_in(fact.subject)
             report = member_facts.report(fact)
@@ -215,45 +217,51 @@
                 continue
             is_near = report.domain in (self._domain, member.domain)
             if is_near and report.incarnation >= self._incarnation(name):
-                found[name].append(report)
-        return found
+                reports[name].append(report)
+        return reports
 
-    def _is_told(self, name: str, reports: list[member_facts.Report]) -> bool:
+    def _is_suspected_by_reports(
+        self, name: str, reports: list[member_facts.Report]
+    ) -> bool:
         contact = self._mesh.contact(name)
         if contact.is_watched or (contact.is_linked and self.is_heard(name)):
             return False
         return len(reports) >= REPORTS_TO_BELIEVE
 
-    def _report(self, name: str, is_silent: bool, told_by: int) -> None:
+    def _update_report(
+        self, name: str, is_silent: bool, report_count: int
+    ) -> None:
         """Publishes, renews or withdraws this instance's report on a member.
 
         All watchers detect a failed instance at about the same time. Each
         waits for a random delay and reports only if too few others have.
         """
         now_ms = self._clock.now_ms()
-        reported = self._reports.get(name)
-        if is_silent and reported is not None:
-            if now_ms >= reported.at_ms + _RENEW_MS:
-                self._publish(name, is_silent=True)
+        published = self._published.get(name)
+        if is_silent and published is not None:
+            if now_ms >= published.at_ms + _REPORT_RENEWAL_MS:
+                self._publish_report(name, is_silent=True)
         elif is_silent:
-            spread_ms = self._random.uniform(0, _REPORT_SPREAD_MS)
-            due_ms = self._due_ms.setdefault(name, now_ms + spread_ms)
-            if now_ms >= due_ms and told_by < _ENOUGH_REPORTS:
-                self._publish(name, is_silent=True)
+            delay_ms = self._random.uniform(0, _MAX_REPORT_DELAY_MS)
+            due_ms = self._report_due_ms.setdefault(name, now_ms + delay_ms)
+            if now_ms >= due_ms and report_count < _SUFFICIENT_REPORTS:
+                self._publish_report(name, is_silent=True)
         else:
-            self._due_ms.pop(name, None)
-            if reported is not None:
-                self._take_back(name, reported)
+            self._report_due_ms.pop(name, None)
+            if published is not None:
+                self._withdraw(name, published)
 
-    def _take_back(self, name: str, reported: _Reported) -> None:
+    def _withdraw(self, name: str, published: _PublishedReport) -> None:
         """Withdraws a report unless it is about an earlier process."""
-        if self._incarnation(name) <= reported.incarnation:
-            self._publish(name, is_silent=False)
-        del self._reports[name]
+        if self._incarnation(name) <= published.incarnation:
+            self._publish_report(name, is_silent=False)
+        del self._published[name]
 
-    def _publish(self, name: str, *, is_silent: bool) -> None:
+    def _publish_report(self, name: str, *, is_silent: bool) -> None:
         incarnation = self._incarnation(name)
-        self._reports[name] = _Reported(self._clock.now_ms(), incarnation)
+        self._published[name] = _PublishedReport(
+            self._clock.now_ms(), incarnation
+        )
         report = member_facts.Report(self._domain, incarnation, is_silent)
         self._facts.publish(
             all_facts.Topic.SUSPICION,
@@ -265,7 +273,11 @@
 
     def _incarnation(self, name: str) -> int:
         hello = self._mesh.hello_of(name)
-        heard = 0 if hello is None else hello.incarnation
+        hello_incarnation = 0 if hello is None else hello.incarnation
         fact = self._facts.get(all_facts.Topic.MEMBER, name)
-        said = None if fact is None else member_facts.presence(fact)
-        return heard if said is None else max(heard, said.incarnation)
+        announced = None if fact is None else member_facts.presence(fact)
+        return (
+            hello_incarnation
+            if announced is None
+            else max(hello_incarnation, announced.incarnation)
+        )
--- a/src/jujubewharf/peers/codec.py
+++ b/src/jujubewharf/peers/codec.py
@@ -105,7 +105,7 @@
         )
         fields = list(dumped.values())
     parts = [int(frame.kind), frame.correlation, number, fields]
-    body = msgpack.packb(parts, default=_plain)
+    body = msgpack.packb(parts, default=_encode_default)
     return _LENGTH.pack(len(body)) + body
 
 
@@ -115,7 +115,7 @@
     Raises:
         DroppedFrameError: The frame is invalid; the stream remains usable.
     """
-    kind, correlation, number, fields = _header(body)
+    kind, correlation, number, fields = _decode_header(body)
     if number == 0:
         return Frame(kind, correlation)
     message_type: Any = messages.TYPE_OF_NUMBER.get(number)
@@ -170,7 +170,7 @@
     return _LENGTH.size + len(body)
 
 
-def _header(body: bytes) -> tuple[FrameKind, int, int, list[Any]]:
+def _decode_header(body: bytes) -> tuple[FrameKind, int, int, list[Any]]:
     try:
         parts = msgpack.unpackb(body, strict_map_key=False)
     except (
@@ -184,13 +184,13 @@
     if not isinstance(parts, list) or len(parts) < _HEADER_ITEMS:
         raise DroppedFrameError(counters.Drop.MALFORMED)
     kind, correlation, number, fields = parts[:_HEADER_ITEMS]
-    are_typed = (
+    has_valid_types = (
         type(kind) is int
         and type(correlation) is int
         and type(number) is int
         and isinstance(fields, list)
     )
-    if not are_typed or not 0 <= correlation < _MAX_CORRELATION:
+    if not has_valid_types or not 0 <= correlation < _MAX_CORRELATION:
         raise DroppedFrameError(counters.Drop.MALFORMED)
     try:
         return FrameKind(kind), correlation, number, fields
@@ -212,7 +212,7 @@
     return tuple(field.name for field in dataclasses.fields(message_type))
 
 
-def _plain(value: object) -> object:
+def _encode_default(value: object) -> object:
     if isinstance(value, enum.Enum):
         return value.value
     raise TypeError(f"{type(value).__name__} can't be encoded as msgpack")
--- a/src/jujubewharf/peers/handlers.py
+++ b/src/jujubewharf/peers/handlers.py
@@ -67,19 +67,19 @@
         Raises:
             PeerError: The handler gave no reply in time.
         """
-        refused = network.PeerError(network.PeerFault.REFUSED, self._instance)
+        refusal = network.PeerError(network.PeerFault.REFUSED, self._instance)
         try:
             async with self._clock.timeout_ms(timeout_ms):
-                answer = await self.dispatch(self._instance, message)
+                reply = await self.dispatch(self._instance, message)
         except TimeoutError as error:
             raise network.PeerError(
                 network.PeerFault.LOST, self._instance
             ) from error
         except links.HandlerMissingError as error:
-            raise refused from error
-        if answer is None:
-            raise refused
-        return answer
+            raise refusal from error
+        if reply is None:
+            raise refusal
+        return reply
 
     async def tell_myself(self, message: messages.Message) -> None:
         """Handles a one-way message that this instance sends to itself."""
--- a/src/jujubewharf/peers/keys.py
+++ b/src/jujubewharf/peers/keys.py
@@ -73,18 +73,18 @@
         self._logger = structlog.get_logger()
 
     @mode.Service.task
-    async def _watch(self) -> None:
+    async def _poll_loop(self) -> None:
         while not self.should_stop:
             await self._clock.sleep_ms(self._poll_ms)
             try:
-                self._look()
+                self._reload_if_changed()
             except tls.TlsFilesError as error:
                 # Files are replaced one after the other, so a poll may see
                 # them half replaced. Keep the old keys until the next poll.
                 self.failures += 1
                 self._logger.warning("peer_keys_unusable", detail=str(error))
 
-    def _look(self) -> None:
+    def _reload_if_changed(self) -> None:
         stamp = self._files.stamp()
         if stamp == self._stamp:
             return
--- a/src/jujubewharf/peers/link.py
+++ b/src/jujubewharf/peers/link.py
@@ -29,7 +29,7 @@
 MAX_QUEUED_BYTES = 8_000_000
 MAX_HANDLERS = 256
 
-_CORRELATIONS = 2**32
+_CORRELATION_MODULUS = 2**32
 
 Dispatch = Callable[[str, messages.Message], Awaitable[messages.Message | None]]
 
@@ -95,11 +95,11 @@
         self._counts = counts
         self._dispatch = dispatch
         self._correlations = itertools.count(1)
-        self._asks: dict[int, asyncio.Future[messages.Message]] = {}
-        self._handlers: dict[asyncio.Task[None], codec.FrameKind] = {}
+        self._pending_replies: dict[int, asyncio.Future[messages.Message]] = {}
+        self._handler_tasks: dict[asyncio.Task[None], codec.FrameKind] = {}
         self._queue: collections.deque[bytes] = collections.deque()
         self._queued_bytes = 0
-        self._queued = asyncio.Event()
+        self._has_queued = asyncio.Event()
         self._logger = structlog.get_logger()
 
     def __repr__(self) -> str:
@@ -114,17 +114,17 @@
     @property
     def pending_asks(self) -> int:
         """Number of requests that wait for a reply."""
-        return len(self._asks)
+        return len(self._pending_replies)
 
     @property
     def running_handlers(self) -> int:
         """Number of messages from the peer that are being handled."""
-        return len(self._handlers)
+        return len(self._handler_tasks)
 
     @property
     def is_busy(self) -> bool:
         """Whether requests, handlers or queued frames are pending."""
-        return bool(self._asks or self._handlers or self._queue)
+        return bool(self._pending_replies or self._handler_tasks or self._queue)
 
     async def run(self) -> None:
         """Reads and writes until the stream ends.
@@ -133,17 +133,17 @@
         reply. Handlers of one-way messages run to completion, so that a
         release takes effect even if its sender has failed since.
         """
-        writing = asyncio.ensure_future(self._write_on())
+        writer_task = asyncio.ensure_future(self._write_loop())
         try:
-            await self._read_on()
+            await self._read_loop()
             self.has_broken = not self.is_closed and self.farewell is None
         finally:
             self.close()
-            writing.cancel()
-            for handler, kind in tuple(self._handlers.items()):
+            writer_task.cancel()
+            for handler, kind in tuple(self._handler_tasks.items()):
                 if kind is codec.FrameKind.ASK:
                     handler.cancel()
-            await asyncio.gather(writing, return_exceptions=True)
+            await asyncio.gather(writer_task, return_exceptions=True)
 
     def tell(self, message: messages.Message) -> bool:
         """Queues a one-way message.
@@ -158,7 +158,7 @@
     def tell_encoded(self, data: bytes) -> bool:
         """Queues an encoded one-way frame, which several links may share."""
         self.last_used_ms = self._clock.now_ms()
-        return self._queue_up(data)
+        return self._enqueue(data)
 
     def beat(self, heartbeat: link_messages.Heartbeat) -> None:
         """Queues a heartbeat, which doesn't count as use of the link."""
@@ -172,22 +172,22 @@
         Raises:
             PeerError: There was no reply.
         """
-        correlation = next(self._correlations) % _CORRELATIONS
+        correlation = next(self._correlations) % _CORRELATION_MODULUS
         frame = codec.Frame(codec.FrameKind.ASK, correlation, message)
         self.last_used_ms = self._clock.now_ms()
         if not self._send(frame):
             raise network.PeerError(network.PeerFault.UNREACHABLE, self.peer)
-        answer: asyncio.Future[messages.Message] = asyncio.Future()
-        self._asks[correlation] = answer
+        reply: asyncio.Future[messages.Message] = asyncio.Future()
+        self._pending_replies[correlation] = reply
         try:
             async with self._clock.timeout_ms(timeout_ms):
-                return await answer
+                return await reply
         except TimeoutError as error:
             raise network.PeerError(
                 network.PeerFault.LOST, self.peer
             ) from error
         finally:
-            self._asks.pop(correlation, None)
+            self._pending_replies.pop(correlation, None)
 
     def close(self, farewell: link_messages.Farewell | None = None) -> None:
         """Closes the link; pending requests fail as lost."""
@@ -198,20 +198,20 @@
             self._write(codec.encode(frame))
         self.is_closed = True
         self._queue.clear()
-        self._queued.set()
+        self._has_queued.set()
         self._writer.close()
-        for answer in self._asks.values():
-            if not answer.done():
-                answer.set_exception(
+        for reply in self._pending_replies.values():
+            if not reply.done():
+                reply.set_exception(
                     network.PeerError(network.PeerFault.LOST, self.peer)
                 )
 
     def _send(self, frame: codec.Frame) -> bool:
         if self.is_closed:
             return False
-        return self._queue_up(codec.encode(frame))
+        return self._enqueue(codec.encode(frame))
 
-    def _queue_up(self, data: bytes) -> bool:
+    def _enqueue(self, data: bytes) -> bool:
         if self.is_closed:
             return False
         if len(data) > codec.MAX_FRAME_BYTES:
@@ -222,13 +222,13 @@
             return False
         self._queue.append(data)
         self._queued_bytes += len(data)
-        self._queued.set()
+        self._has_queued.set()
         return True
 
-    async def _write_on(self) -> None:
+    async def _write_loop(self) -> None:
         while not self.is_closed:
-            await self._queued.wait()
-            self._queued.clear()
+            await self._has_queued.wait()
+            self._has_queued.clear()
             while self._queue:
                 data = self._queue.popleft()
                 self._write(data)
@@ -243,7 +243,7 @@
         self._writer.write(data)
         self._counts.sent(len(data))
 
-    async def _read_on(self) -> None:
+    async def _read_loop(self) -> None:
         while not self.is_closed and self.farewell is None:
             try:
                 body = await codec.read_body(self._reader)
@@ -269,15 +269,15 @@
             case codec.FrameKind.ASK:
                 self._refuse(error.correlation)
             case codec.FrameKind.ANSWER:
-                self._on_answer(error.correlation, None)
+                self._on_reply(error.correlation, None)
 
     def _on_frame(self, frame: codec.Frame) -> None:
         match frame.kind:
             case codec.FrameKind.ANSWER:
-                self._on_answer(frame.correlation, frame.message)
+                self._on_reply(frame.correlation, frame.message)
                 return
             case codec.FrameKind.REFUSAL:
-                self._on_answer(frame.correlation, None)
+                self._on_reply(frame.correlation, None)
                 return
         match frame.message:
             case link_messages.Heartbeat() as heartbeat:
@@ -290,37 +290,37 @@
             case _:
                 self._start_handler(frame)
 
-    def _on_answer(
+    def _on_reply(
         self, correlation: int, message: messages.Message | None
     ) -> None:
-        answer = self._asks.get(correlation)
-        if answer is None or answer.done():
+        reply = self._pending_replies.get(correlation)
+        if reply is None or reply.done():
             self._counts.drop(counters.Drop.LATE_ANSWER)
             return
         if message is None:
-            answer.set_exception(
+            reply.set_exception(
                 network.PeerError(network.PeerFault.REFUSED, self.peer)
             )
             return
-        answer.set_result(message)
+        reply.set_result(message)
 
     def _start_handler(self, frame: codec.Frame) -> None:
         """Runs the handler in a task, so that it does not block reading."""
         self.last_used_ms = self._clock.now_ms()
-        if len(self._handlers) >= MAX_HANDLERS:
+        if len(self._handler_tasks) >= MAX_HANDLERS:
             self._counts.drop(counters.Drop.BUSY)
             if frame.kind is codec.FrameKind.ASK:
                 self._refuse(frame.correlation)
             return
         task = asyncio.ensure_future(self._handle(frame))
-        self._handlers[task] = frame.kind
-        task.add_done_callback(self._handlers.pop)
+        self._handler_tasks[task] = frame.kind
+        task.add_done_callback(self._handler_tasks.pop)
 
     async def _handle(self, frame: codec.Frame) -> None:
         assert frame.message is not None
-        answer: messages.Message | None = None
+        reply: messages.Message | None = None
         try:
-            answer = await self._dispatch(self.peer, frame.message)
+            reply = await self._dispatch(self.peer, frame.message)
         except HandlerMissingError:
             self._counts.drop(counters.Drop.NO_HANDLER)
         except Exception:
@@ -334,11 +334,11 @@
             )
         if frame.kind is not codec.FrameKind.ASK:
             return
-        if answer is None:
+        if reply is None:
             self._refuse(frame.correlation)
             return
         sent = self._send(
-            codec.Frame(codec.FrameKind.ANSWER, frame.correlation, answer)
+            codec.Frame(codec.FrameKind.ANSWER, frame.correlation, reply)
         )
         if not sent:
             self._refuse(frame.correlation)
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -71,12 +71,12 @@
         )
         self._timing = timing
         self._listener: streams.Listener | None = None
-        self._peers = peer_table.PeerTable(self._make)
+        self._peers = peer_table.PeerTable(self._make_peer)
         self._handlers = handlers.Handlers(instance, clock, self.counts)
         self._hello_listeners: list[Callable[[link_messages.Hello], None]] = []
         self._heartbeat_listeners: list[Callable[[str, int], None]] = []
-        self._running = all_tasks.Tasks(self._on_fault)
-        self._tended: set[str] = set()
+        self._background_tasks = all_tasks.Tasks(self._on_task_failure)
+        self._maintained: set[str] = set()
         self._logger = structlog.get_logger()
 
     @property
@@ -119,12 +119,12 @@
     ) -> messages.Message:
         """Sends a request, dialling if needed; see ``PeerNetwork``."""
         try:
-            answer = await self._ask(peer, message, timeout_ms)
+            reply = await self._ask(peer, message, timeout_ms)
         except network.PeerError as error:
             self.counts.ask(counters.AskOutcome(error.fault.value))
             raise
         self.counts.ask(counters.AskOutcome.ANSWERED)
-        return answer
+        return reply
 
     def tell(self, peer: str, message: messages.Message) -> bool:
         """Sends a one-way message, dialling if needed; see ``PeerNetwork``.
@@ -134,29 +134,29 @@
             dialled. Delivery is not guaranteed.
         """
         if peer == self._instance:
-            self._running.spawn(self._handlers.tell_myself(message))
+            self._background_tasks.spawn(self._handlers.tell_myself(message))
             return True
-        known = self._peers.reachable(peer)
-        if known is None:
+        entry = self._peers.reachable(peer)
+        if entry is None:
             return False
-        link = known.best_link()
+        link = entry.best_link()
         if link is not None:
             return link.tell(message)
-        is_kept = known.tell_later(message)
-        self._tend(known)
+        is_kept = entry.tell_later(message)
+        self._ensure_maintained(entry)
         return is_kept
 
     def probe(self, peer: str) -> None:
         """Dials a peer without a link to check whether it is reachable."""
-        known = self._peers.reachable(peer)
-        if known is not None and known.best_link() is None:
-            self._running.spawn(self._probe(known))
+        entry = self._peers.reachable(peer)
+        if entry is not None and entry.best_link() is None:
+            self._background_tasks.spawn(self._probe(entry))
 
     def forgive(self, peer: str) -> None:
         """Clears a failed dial and its backoff."""
-        known = self._peers.get(peer)
-        if known is not None:
-            known.forgive()
+        entry = self._peers.get(peer)
+        if entry is not None:
+            entry.forgive()
 
     def set_addresses(self, addresses: Mapping[str, str]) -> None:
         """Sets the listening address of each other instance, by name."""
@@ -166,27 +166,27 @@
         """Sets the peers to which to keep a standing link."""
         wanted = {name: None for name in names if name != self._instance}
         for name in wanted:
-            known = self._peers.reachable(name)
-            if known is not None:
-                known.want(True)
-                self._tend(known)
-        for known in tuple(self._peers):
-            if known.name not in wanted:
-                known.want(False)
-                self._peers.forget(known)
+            entry = self._peers.reachable(name)
+            if entry is not None:
+                entry.want(True)
+                self._ensure_maintained(entry)
+        for entry in tuple(self._peers):
+            if entry.name not in wanted:
+                entry.want(False)
+                self._peers.forget(entry)
 
     def renew_links(self) -> None:
         """Replaces all links by new ones after a change of TLS keys."""
-        for known in self._peers:
-            known.renew()
+        for entry in self._peers:
+            entry.renew()
 
     def linked(self) -> tuple[str, ...]:
         """Returns the names of peers with a standing link, sorted."""
         return tuple(
             sorted(
-                known.name
-                for known in self._peers
-                if (link := known.best_link()) is not None and link.is_standing
+                entry.name
+                for entry in self._peers
+                if (link := entry.best_link()) is not None and link.is_standing
             )
         )
 
@@ -200,12 +200,12 @@
 
     def link_count(self) -> int:
         """Returns the number of open links, including on-demand links."""
-        return sum(len(known.links) for known in self._peers)
+        return sum(len(entry.links) for entry in self._peers)
 
     def contact(self, peer: str) -> peers.Contact:
         """Returns the state of the contact with a peer."""
-        known = self._peers.get(peer)
-        return peers.NO_CONTACT if known is None else known.contact()
+        entry = self._peers.get(peer)
+        return peers.NO_CONTACT if entry is None else entry.contact()
 
     def hello_of(self, peer: str) -> link_messages.Hello | None:
         """Returns the newest hello of a peer, ``None`` if there is none."""
@@ -229,29 +229,29 @@
         """Closes all links with a farewell and cancels all tasks."""
         if self._listener is not None:
             await self._listener.close()
-        for known in self._peers:
-            for link in list(known.links):
+        for entry in self._peers:
+            for link in list(entry.links):
                 link.close(_farewell(_Goodbye.STOPPING))
-        await self._running.stop()
+        await self._background_tasks.stop()
 
     async def _ask(
         self, peer: str, message: messages.Message, timeout_ms: float
     ) -> messages.Message:
         if peer == self._instance:
             return await self._handlers.ask_myself(message, timeout_ms)
-        until_ms = self._clock.now_ms() + timeout_ms
+        deadline_ms = self._clock.now_ms() + timeout_ms
         unreachable = network.PeerError(network.PeerFault.UNREACHABLE, peer)
-        known = self._peers.reachable(peer)
-        if known is None:
+        entry = self._peers.reachable(peer)
+        if entry is None:
             raise unreachable
         try:
             async with self._clock.timeout_ms(timeout_ms):
-                link = await known.link()
+                link = await entry.link()
         except OSError as error:
             raise unreachable from error
         sent_ms = self._clock.now_ms()
         try:
-            return await link.ask(message, timeout_ms=until_ms - sent_ms)
+            return await link.ask(message, timeout_ms=deadline_ms - sent_ms)
         except network.PeerError as error:
             is_silent = link.last_heard_ms < sent_ms
             if error.fault is network.PeerFault.LOST and is_silent:
@@ -261,13 +261,13 @@
                     link.close()
             raise
 
-    async def _probe(self, known: peers.Peer) -> None:
+    async def _probe(self, entry: peers.Peer) -> None:
         try:
-            await known.link()
+            await entry.link()
         except OSError:
             return
 
-    def _make(self, name: str) -> peers.Peer:
+    def _make_peer(self, name: str) -> peers.Peer:
         return peers.Peer(
             name,
             self._instance,
@@ -280,23 +280,23 @@
     def _make_heartbeat(self, hears_you: bool) -> link_messages.Heartbeat:
         return link_messages.Heartbeat(hears_you, self.facts_digest())
 
-    def _tend(self, known: peers.Peer) -> None:
+    def _ensure_maintained(self, entry: peers.Peer) -> None:
         """Starts the maintenance task of a peer if it is needed."""
-        if known.name in self._tended or not known.is_needed:
+        if entry.name in self._maintained or not entry.is_needed:
             return
-        self._tended.add(known.name)
-        self._running.spawn(self._tend_on(known))
+        self._maintained.add(entry.name)
+        self._background_tasks.spawn(self._maintain(entry))
 
-    async def _tend_on(self, known: peers.Peer) -> None:
+    async def _maintain(self, entry: peers.Peer) -> None:
         try:
-            await known.run()
+            await entry.run()
         finally:
-            self._tended.discard(known.name)
-            self._peers.forget(known)
+            self._maintained.discard(entry.name)
+            self._peers.forget(entry)
 
-    def _on_fault(self, fault: BaseException) -> None:
+    def _on_task_failure(self, exception: BaseException) -> None:
         self.counts.task_failures += 1
-        self._logger.error("peer_task_failed", exc_info=fault)
+        self._logger.error("peer_task_failed", exc_info=exception)
 
     async def _dial(self, name: str, is_standing: bool) -> links.Link:
         """Opens a link.
@@ -309,15 +309,15 @@
             raise ConnectionRefusedError(name)
         opened = await self._opener.dial(name, address, is_standing=is_standing)
         link = self._make_link(opened)
-        self._running.spawn(self._run(link))
+        self._background_tasks.spawn(self._run_link(link))
         return link
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: streams.StreamWriter
     ) -> None:
-        self._running.spawn(self._greet(reader, writer))
+        self._background_tasks.spawn(self._handshake(reader, writer))
 
-    async def _greet(
+    async def _handshake(
         self, reader: asyncio.StreamReader, writer: streams.StreamWriter
     ) -> None:
         opened = await self._opener.accept(reader, writer)
@@ -327,7 +327,7 @@
         if self.should_stop or (is_new and len(self._peers) >= _MAX_PEERS):
             self._opener.refuse_busy(opened)
             return
-        self._running.spawn(self._run(self._make_link(opened)))
+        self._background_tasks.spawn(self._run_link(self._make_link(opened)))
 
     def _make_link(self, opened: openers.Opened) -> links.Link:
         link = links.Link(
@@ -341,39 +341,39 @@
             dispatch=self._handlers.dispatch,
         )
         link.on_heartbeat = self._on_heartbeat
-        self._take_in(link)
+        self._add_link(link)
         return link
 
-    def _take_in(self, link: links.Link) -> None:
-        known = self._peers.made(link.peer)
+    def _add_link(self, link: links.Link) -> None:
+        entry = self._peers.made(link.peer)
         newest = self._peers.hellos.get(link.peer)
         if newest is not None and newest.incarnation < link.hello.incarnation:
-            for old in list(known.links):
+            for old in list(entry.links):
                 old.close(_farewell(_Goodbye.REPLACED))
         self._peers.hellos[link.peer] = link.hello
-        known.add(link)
-        self._tend(known)
+        entry.add(link)
+        self._ensure_maintained(entry)
         for listener in self._hello_listeners:
             listener(link.hello)
 
-    async def _run(self, link: links.Link) -> None:
-        known = self._peers.made(link.peer)
+    async def _run_link(self, link: links.Link) -> None:
+        entry = self._peers.made(link.peer)
         try:
             await link.run()
         finally:
-            known.remove(link)
-            self._peers.forget(known)
-        self._look_after(known, link)
+            entry.remove(link)
+            self._peers.forget(entry)
+        self._probe_if_broken(entry, link)
 
-    def _look_after(self, known: peers.Peer, link: links.Link) -> None:
+    def _probe_if_broken(self, entry: peers.Peer, link: links.Link) -> None:
         """Probes a peer whose link broke, to detect a failure at once.
 
         Peers with a standing link are redialled anyway. Without the probe,
         the failure of any other peer would be noticed only by the next
         request to it.
         """
-        if link.has_broken and not known.is_wanted and not self.should_stop:
-            self.probe(known.name)
+        if link.has_broken and not entry.is_wanted and not self.should_stop:
+            self.probe(entry.name)
 
     def _on_heartbeat(
         self, link: links.Link, heartbeat: link_messages.Heartbeat
--- a/src/jujubewharf/peers/opener.py
+++ b/src/jujubewharf/peers/opener.py
@@ -21,7 +21,7 @@
 MAX_HANDSHAKES = 64
 
 _DIAL_TIMEOUT_MS = 2_000.0
-_FRESH_MS = 60_000.0
+_STARTUP_MS = 60_000.0
 
 _Goodbye = link_messages.Goodbye
 
@@ -103,12 +103,14 @@
         """
         async with self._clock.timeout_ms(_DIAL_TIMEOUT_MS):
             reader, writer = await self._transport.dial(address)
-        greeting = self._handshake(reader, writer, is_standing=is_standing)
+        hello_exchange = self._handshake(
+            reader, writer, is_standing=is_standing
+        )
         try:
             async with self._clock.timeout_ms(handshake.HELLO_TIMEOUT_MS):
-                hello = await greeting.dial(name)
+                hello = await hello_exchange.dial(name)
         except handshake.RefusedHelloError as error:
-            self._on_refused(greeting, error, name)
+            self._on_refused(hello_exchange, error, name)
             writer.close()
             raise ConnectionRefusedError(error.reason) from error
         except BaseException:
@@ -125,16 +127,16 @@
             The opened stream; ``None`` if the handshake failed, in which case
             the stream is closed.
         """
-        greeting = self._handshake(reader, writer, is_standing=False)
+        hello_exchange = self._handshake(reader, writer, is_standing=False)
         if self.handshakes >= MAX_HANDSHAKES:
-            self._refuse_busy(greeting)
+            self._refuse_busy(hello_exchange)
             return None
         self.handshakes += 1
         try:
             async with self._clock.timeout_ms(handshake.HELLO_TIMEOUT_MS):
-                hello = await greeting.accept()
+                hello = await hello_exchange.accept()
         except handshake.RefusedHelloError as error:
-            self._on_refused(greeting, error, "")
+            self._on_refused(hello_exchange, error, "")
             writer.close()
             return None
         except OSError:
@@ -150,9 +152,9 @@
             self._handshake(opened.reader, opened.writer, is_standing=False)
         )
 
-    def _refuse_busy(self, greeting: handshake.Handshake) -> None:
-        greeting.refuse(handshake.RefusedHelloError(_Goodbye.BUSY.value))
-        greeting.writer.close()
+    def _refuse_busy(self, hello_exchange: handshake.Handshake) -> None:
+        hello_exchange.refuse(handshake.RefusedHelloError(_Goodbye.BUSY.value))
+        hello_exchange.writer.close()
 
     def _handshake(
         self,
@@ -182,11 +184,11 @@
 
     def _on_refused(
         self,
-        greeting: handshake.Handshake,
+        hello_exchange: handshake.Handshake,
         error: handshake.RefusedHelloError,
         peer: str,
     ) -> None:
-        greeting.refuse(error)
+        hello_exchange.refuse(error)
         self._logger.warning(
             "peer_link_refused",
             peer=peer,
@@ -205,7 +207,7 @@
         """
         if newest <= self.incarnation:
             return
-        if self._clock.now_ms() - self._started_ms < _FRESH_MS:
+        if self._clock.now_ms() - self._started_ms < _STARTUP_MS:
             self.incarnation = newest + 1
             return
         self.is_replaced = True
--- a/src/jujubewharf/peers/peer.py
+++ b/src/jujubewharf/peers/peer.py
@@ -19,12 +19,12 @@
 
 MAX_WAITING_TELLS = 64
 
-_FIRST_BACKOFF_MS = 250.0
-_LAST_BACKOFF_MS = 4_000.0
-_IDLE_MS = 10_000.0
-_YIELD_DIAL_MS = 300.0
-_SHORTEST_PAUSE_MS = 10.0
-_STALE_MS = 60_000.0
+_MIN_BACKOFF_MS = 250.0
+_MAX_BACKOFF_MS = 4_000.0
+_IDLE_TIMEOUT_MS = 10_000.0
+_DEFERRED_DIAL_MS = 300.0
+_MIN_WAIT_MS = 10.0
+_MAX_STALE_MS = 60_000.0
 _JITTER = 0.1
 _STOPPING = link_messages.Goodbye.STOPPING.value
 
@@ -117,13 +117,13 @@
         self._timing = timing
         self._dial = dial
         self._make_heartbeat = make_heartbeat
-        self._dialling: asyncio.Task[links.Link] | None = None
-        self._waiting: collections.deque[messages.Message]
-        self._waiting = collections.deque()
-        self._news = asyncio.Event()
+        self._dial_task: asyncio.Task[links.Link] | None = None
+        self._waiting_messages: collections.deque[messages.Message]
+        self._waiting_messages = collections.deque()
+        self._changed = asyncio.Event()
         self._backoff_ms = 0.0
-        self._lacking_ms: float | None = None
-        self._tended_ms = float("-inf")
+        self._link_missing_since_ms: float | None = None
+        self._maintained_ms = float("-inf")
         self._random = random.Random(f"{instance}>{name}")
 
     def __repr__(self) -> str:
@@ -145,15 +145,17 @@
     @property
     def is_needed(self) -> bool:
         """Whether the peer needs its maintenance task."""
-        return self.is_wanted or bool(self.links) or bool(self._waiting)
+        return (
+            self.is_wanted or bool(self.links) or bool(self._waiting_messages)
+        )
 
     def contact(self) -> Contact:
         """Returns the state of the contact with the peer."""
         link = self.best_link()
-        is_kept = link is not None and link.is_standing
+        has_standing_link = link is not None and link.is_standing
         return Contact(
             is_linked=link is not None,
-            is_watched=self.is_wanted or is_kept,
+            is_watched=self.is_wanted or has_standing_link,
             heard_ms=self.heard_ms,
             hears_us=self.hears_us,
             failed_ms=self.failed_ms,
@@ -168,43 +170,43 @@
         open_links = [link for link in self.links if not link.is_closed]
         if len(open_links) == 1:
             return open_links[0]
-        return min(open_links, key=self._order, default=None)
+        return min(open_links, key=self._link_priority, default=None)
 
     def add(self, link: links.Link) -> None:
         """Adds a new link and sends the waiting messages on it."""
         self.links.append(link)
         self.failed_ms = None
         self._backoff_ms = 0.0
-        while self._waiting:
-            link.tell(self._waiting.popleft())
+        while self._waiting_messages:
+            link.tell(self._waiting_messages.popleft())
 
     def remove(self, link: links.Link) -> None:
         """Removes a link that ended."""
         self._heard_ms = self.heard_ms
         self.links.remove(link)
-        self._news.set()
+        self._changed.set()
         if link.farewell is not None and link.farewell.reason == _STOPPING:
             # The peer announced that it stops: treat it as a failed dial.
-            self._on_failed()
+            self._record_failure()
 
     def want(self, is_wanted: bool) -> None:
         """Sets whether to keep a standing link."""
         if is_wanted != self.is_wanted:
             self.is_wanted = is_wanted
             self._backoff_ms = 0.0
-            self._news.set()
+            self._changed.set()
 
     def forgive(self) -> None:
         """Clears a failed dial and its backoff."""
         self.failed_ms = None
         self._backoff_ms = 0.0
-        self._news.set()
+        self._changed.set()
 
     def renew(self) -> None:
         """Replaces all links by new ones without losing pending requests."""
         for link in self.links:
             link.stale_ms = self._clock.now_ms()
-        self._news.set()
+        self._changed.set()
 
     def tell_later(self, message: messages.Message) -> bool:
         """Queues a message for the link that is about to be dialled.
@@ -212,10 +214,13 @@
         Returns:
             False during the backoff of a failed dial or if the queue is full.
         """
-        if self._is_backing_off() or len(self._waiting) >= MAX_WAITING_TELLS:
+        if (
+            self._is_backing_off()
+            or len(self._waiting_messages) >= MAX_WAITING_TELLS
+        ):
             return False
-        self._waiting.append(message)
-        self._news.set()
+        self._waiting_messages.append(message)
+        self._changed.set()
         return True
 
     async def link(self) -> links.Link:
@@ -233,87 +238,89 @@
 
     async def run(self) -> None:
         """Maintains the links until the peer is no longer needed."""
-        self._news.clear()
+        self._changed.clear()
         while self.is_needed:
-            if self._may_dial() and not self._is_backing_off():
+            if self._should_dial() and not self._is_backing_off():
                 await self._try_dial()
-            self._tend()
-            await self._wait(self._pause_ms())
+            self._maintain_links()
+            await self._wait(self._wait_ms())
 
-    def _may_dial(self) -> bool:
+    def _should_dial(self) -> bool:
         link = self.best_link()
-        if link is None and self._waiting:
+        if link is None and self._waiting_messages:
             return True
-        is_kept = link is not None and link.is_standing
-        if not self.is_wanted or (is_kept and not _is_stale(link)):
-            self._lacking_ms = None
+        has_standing_link = link is not None and link.is_standing
+        if not self.is_wanted or (has_standing_link and not _is_stale(link)):
+            self._link_missing_since_ms = None
             return False
         # Both sides may want the link. The instance with the lower name dials
         # at once and the other after a delay, to avoid duplicate links.
         now_ms = self._clock.now_ms()
-        if self._lacking_ms is None:
-            self._lacking_ms = now_ms
+        if self._link_missing_since_ms is None:
+            self._link_missing_since_ms = now_ms
         if self._instance < self.name:
             return True
-        return now_ms >= self._lacking_ms + _YIELD_DIAL_MS
+        return now_ms >= self._link_missing_since_ms + _DEFERRED_DIAL_MS
 
     async def _try_dial(self) -> None:
         try:
             await self._dial_once(self.is_wanted)
         except OSError:
-            self._waiting.clear()
+            self._waiting_messages.clear()
 
     async def _dial_once(self, is_standing: bool) -> links.Link:
         """Dials, or waits for the dial in progress."""
-        if self._dialling is None or self._dialling.done():
-            self._dialling = asyncio.ensure_future(
+        if self._dial_task is None or self._dial_task.done():
+            self._dial_task = asyncio.ensure_future(
                 self._dial(self.name, is_standing)
             )
-            self._dialling.add_done_callback(_look_at)
-        dialling = self._dialling
+            self._dial_task.add_done_callback(_retrieve_exception)
+        dial_task = self._dial_task
         # Do not cancel the dial with this caller: others may wait for it.
-        await asyncio.wait((dialling,))
+        await asyncio.wait((dial_task,))
         try:
-            return dialling.result()
+            return dial_task.result()
         except OSError:
-            self._on_failed()
+            self._record_failure()
             raise
 
-    def _on_failed(self) -> None:
+    def _record_failure(self) -> None:
         now_ms = self._clock.now_ms()
         if self.failed_ms == now_ms:
             return
         self.failed_ms = now_ms
-        doubled_ms = max(_FIRST_BACKOFF_MS, 2 * self._backoff_ms)
-        self._backoff_ms = min(doubled_ms, _LAST_BACKOFF_MS)
+        doubled_ms = max(_MIN_BACKOFF_MS, 2 * self._backoff_ms)
+        self._backoff_ms = min(doubled_ms, _MAX_BACKOFF_MS)
 
     def _is_backing_off(self) -> bool:
         if self.failed_ms is None:
             return False
         return self._clock.now_ms() < self.failed_ms + self._backoff_ms
 
-    def _tend(self) -> None:
+    def _maintain_links(self) -> None:
         best = self.best_link()
         now_ms = self._clock.now_ms()
         for link in list(self.links):
-            is_kept = link is best and link.is_standing
-            if is_kept and (self.is_wanted or not link.is_dialled):
+            is_best_standing = link is best and link.is_standing
+            if is_best_standing and (self.is_wanted or not link.is_dialled):
                 link.last_used_ms = now_ms
-            if self._is_idle(link) or self._is_spent(link, best):
-                link.close(_idle())
-            elif is_kept or link.is_busy:
-                self._beat(link)
-        self._tended_ms = now_ms
+            if self._is_idle(link) or self._is_superseded(link, best):
+                link.close(_idle_farewell())
+            elif is_best_standing or link.is_busy:
+                self._send_heartbeat(link)
+        self._maintained_ms = now_ms
 
-    def _beat(self, link: links.Link) -> None:
+    def _send_heartbeat(self, link: links.Link) -> None:
         now_ms = self._clock.now_ms()
         silence_ms = now_ms - link.last_heard_ms
         # After a pause of this process, received frames are still unread.
         # Silence only counts if this task has run recently.
-        has_looked = now_ms - self._tended_ms < self._timing.suspect_after_ms
-        if silence_ms > self._timing.dead_after_ms and has_looked:
+        has_run_recently = (
+            now_ms - self._maintained_ms < self._timing.suspect_after_ms
+        )
+        if silence_ms > self._timing.dead_after_ms and has_run_recently:
             link.close()
-            self._on_failed()
+            self._record_failure()
             return
         is_heard = silence_ms <= self._timing.suspect_after_ms
         link.beat(self._make_heartbeat(is_heard))
@@ -321,44 +328,49 @@
     def _is_idle(self, link: links.Link) -> bool:
         if not link.is_dialled or link.is_busy:
             return False
-        return self._clock.now_ms() - link.last_used_ms > _IDLE_MS
+        return self._clock.now_ms() - link.last_used_ms > _IDLE_TIMEOUT_MS
 
-    def _is_spent(self, link: links.Link, best: links.Link | None) -> bool:
+    def _is_superseded(self, link: links.Link, best: links.Link | None) -> bool:
         """Whether to close a link that was opened with replaced TLS keys.
 
-        It is closed once a newer link takes over, and after ``_STALE_MS`` in
-        any case, so that revoked keys do not stay in use.
+        It is closed once a newer link takes over, and in any case after
+        ``_MAX_STALE_MS``, so that revoked keys do not stay in use.
         """
         if link.stale_ms is None:
             return False
-        if self._clock.now_ms() - link.stale_ms > _STALE_MS:
+        if self._clock.now_ms() - link.stale_ms > _MAX_STALE_MS:
             return True
         return link.is_dialled and link is not best and not link.is_busy
 
-    def _pause_ms(self) -> float:
-        pause_ms = self._timing.heartbeat_ms
+    def _wait_ms(self) -> float:
+        wait_ms = self._timing.heartbeat_ms
         if not self.links and self.is_wanted:
-            pause_ms = self._until_dial_ms()
-        return pause_ms * self._random.uniform(1 - _JITTER, 1 + _JITTER)
+            wait_ms = self._until_dial_ms()
+        return wait_ms * self._random.uniform(1 - _JITTER, 1 + _JITTER)
 
     def _until_dial_ms(self) -> float:
         now_ms = self._clock.now_ms()
-        at_ms = now_ms
+        due_ms = now_ms
         if self.failed_ms is not None:
-            at_ms = self.failed_ms + self._backoff_ms
-        if self._instance > self.name and self._lacking_ms is not None:
-            at_ms = max(at_ms, self._lacking_ms + _YIELD_DIAL_MS)
-        return max(_SHORTEST_PAUSE_MS, at_ms - now_ms)
+            due_ms = self.failed_ms + self._backoff_ms
+        if (
+            self._instance > self.name
+            and self._link_missing_since_ms is not None
+        ):
+            due_ms = max(
+                due_ms, self._link_missing_since_ms + _DEFERRED_DIAL_MS
+            )
+        return max(_MIN_WAIT_MS, due_ms - now_ms)
 
     async def _wait(self, duration_ms: float) -> None:
         try:
             async with self._clock.timeout_ms(duration_ms):
-                await self._news.wait()
+                await self._changed.wait()
         except TimeoutError:
             return
-        self._news.clear()
+        self._changed.clear()
 
-    def _order(self, link: links.Link) -> tuple[bool, bool, bool, int]:
+    def _link_priority(self, link: links.Link) -> tuple[bool, bool, bool, int]:
         lower_dialled = link.is_dialled == (self._instance < self.name)
         return (
             _is_stale(link),
@@ -368,15 +380,15 @@
         )
 
 
-def _look_at(dialling: asyncio.Task[links.Link]) -> None:
+def _retrieve_exception(dial_task: asyncio.Task[links.Link]) -> None:
     """Retrieves an exception that no caller waits for any more."""
-    if not dialling.cancelled():
-        dialling.exception()
+    if not dial_task.cancelled():
+        dial_task.exception()
 
 
 def _is_stale(link: links.Link | None) -> bool:
     return link is not None and link.stale_ms is not None
 
 
-def _idle() -> link_messages.Farewell:
+def _idle_farewell() -> link_messages.Farewell:
     return link_messages.Farewell(link_messages.Goodbye.IDLE.value)
--- a/src/jujubewharf/peers/peer_table.py
+++ b/src/jujubewharf/peers/peer_table.py
@@ -50,23 +50,23 @@
         Returns:
             ``None`` for a peer with neither a link nor an address.
         """
-        known = self._peers.get(name)
-        if known is not None and (known.links or name in self.addresses):
-            return known
+        entry = self._peers.get(name)
+        if entry is not None and (entry.links or name in self.addresses):
+            return entry
         if name not in self.addresses:
             return None
         return self.made(name)
 
     def made(self, name: str) -> peers.Peer:
         """Returns a peer, created if it is not in the table."""
-        known = self._peers.get(name)
-        if known is None:
-            known = self._make(name)
-            self._peers[name] = known
-        return known
+        entry = self._peers.get(name)
+        if entry is None:
+            entry = self._make(name)
+            self._peers[name] = entry
+        return entry
 
-    def forget(self, known: peers.Peer) -> None:
+    def forget(self, entry: peers.Peer) -> None:
         """Removes a peer that is not needed and has no known address."""
-        if not known.is_needed and known.name not in self.addresses:
-            self._peers.pop(known.name, None)
-            self.hellos.pop(known.name, None)
+        if not entry.is_needed and entry.name not in self.addresses:
+            self._peers.pop(entry.name, None)
+            self.hellos.pop(entry.name, None)
--- a/src/jujubewharf/peers/streams.py
+++ b/src/jujubewharf/peers/streams.py
@@ -23,7 +23,7 @@
 _TLS_TIMEOUT_S = 5.0
 # Without this limit the kernel retransmits for minutes, and a leader would
 # count an unreachable instance as a follower in the meantime.
-_UNANSWERED_MS = 3_000
+_USER_TIMEOUT_MS = 3_000
 
 
 class StreamWriter(Protocol):
@@ -84,12 +84,12 @@
         ...
 
 
-def _bound_silence(writer: asyncio.StreamWriter) -> None:
+def _set_user_timeout(writer: asyncio.StreamWriter) -> None:
     """Limits the time that sent data may stay unacknowledged."""
-    found = writer.get_extra_info("socket")
-    if found is not None:
-        found.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNANSWERED_MS
+    raw_socket = writer.get_extra_info("socket")
+    if raw_socket is not None:
+        raw_socket.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS
         )
 
 
@@ -148,23 +148,25 @@
                 ssl=self._contexts.client,
                 ssl_handshake_timeout=_TLS_TIMEOUT_S,
             )
-        _bound_silence(writer)
+        _set_user_timeout(writer)
         return reader, writer
 
     async def listen(self, on_stream: OnStream) -> Listener:
         """Listens; see ``Transport``."""
 
-        async def on_raw(
+        async def on_connection(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            _bound_silence(writer)
-            if await self._secure(writer):
+            _set_user_timeout(writer)
+            if await self._start_tls(writer):
                 await on_stream(reader, writer)
 
-        server = await asyncio.start_server(on_raw, self._host, self._port)
+        server = await asyncio.start_server(
+            on_connection, self._host, self._port
+        )
         return _TcpListener(server)
 
-    async def _secure(self, writer: asyncio.StreamWriter) -> bool:
+    async def _start_tls(self, writer: asyncio.StreamWriter) -> bool:
         """Runs the TLS handshake on an accepted stream if TLS is enabled.
 
         ``asyncio.start_server`` would keep the context that it was started
--- a/src/jujubewharf/peers/tasks.py
+++ b/src/jujubewharf/peers/tasks.py
@@ -17,26 +17,26 @@
 
     def __init__(self, on_fault: Callable[[BaseException], None]) -> None:
         self._on_fault = on_fault
-        self._running: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
 
     def __len__(self) -> int:
-        return len(self._running)
+        return len(self._tasks)
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Starts a task."""
-        task = asyncio.ensure_future(work)
-        self._running.add(task)
+        task = asyncio.ensure_future(coroutine)
+        self._tasks.add(task)
         task.add_done_callback(self._on_done)
 
     async def stop(self) -> None:
         """Cancels all tasks and waits until they have ended."""
-        tasks = tuple(self._running)
+        tasks = tuple(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _on_done(self, task: asyncio.Task[None]) -> None:
-        self._running.discard(task)
+        self._tasks.discard(task)
         if task.cancelled():
             return
         fault = task.exception()
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -30,10 +30,10 @@
         assert sorted(core.peers.greeted()) == ["e2", "e3"]
         assert len(core.facts.store) == 0
         assert core.facts.store.digest == 0
-        held = core.membership._suspicion
-        assert sorted(held._known_since_ms) == ["e2", "e3"]
-        assert not held._reports
-        assert not held._due_ms
+        suspicion = core.membership._suspicion
+        assert sorted(suspicion._known_since_ms) == ["e2", "e3"]
+        assert not suspicion._published
+        assert not suspicion._report_due_ms
         await bench.stop()
 
     virtual_time.run(run())
--- a/tests/peers/test_hostile.py
+++ b/tests/peers/test_hostile.py
@@ -116,7 +116,7 @@
         assert self.mesh.counts.task_failures == 0
         assert self.mesh.link_count() == 0
         assert not self.mesh._peers
-        assert not self.mesh._running
+        assert not self.mesh._background_tasks
         assert self.mesh._opener.handshakes == 0
 
 
