--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -76,7 +76,7 @@
         budget: Retry budget of the fleet.
         observations: Records engine latencies and failures.
         limits: Rate limits set by engines.
-        restraints: Rate limits, backoffs and drain notices sent by engines.
+        backpressure: Rate limits, backoffs and drain notices sent by engines.
         clock: Time source.
     """
 
--- a/src/jujubewharf/forwarding/backpressure.py
+++ b/src/jujubewharf/forwarding/backpressure.py
@@ -48,7 +48,7 @@
 
 
 class Backpressure:
-    """Stores the restraints of endpoints and tells which must not be called.
+    """Stores what endpoints have asked for and which must not be called.
 
     A drain notice is never withdrawn: the next start of the endpoint is a
     separate endpoint with its own name.
@@ -130,7 +130,7 @@
 
     @property
     def has_any(self) -> bool:
-        """Whether any endpoint has restraints."""
+        """Whether any endpoint limits its requests."""
         return bool(self._by_name)
 
     def limited_names(self) -> frozenset[str]:
--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -93,7 +93,7 @@
         admission: Counts requests in flight; closed on shutdown.
         source: Configuration in force.
         registry: Registered endpoints.
-        restraints: Rate limits, backoffs and drain notices of endpoints.
+        backpressure: Rate limits, backoffs and drain notices of endpoints.
         share: This instance's share of fleet-wide limits if there is no leader.
         fleet: Link to the leader, or to the followers if this instance leads.
         lease: Lease that is required to send orders to engines.
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -44,7 +44,7 @@
         chooser: Selects endpoints.
         budget: Retry budget of the fleet.
         limits: Rate limits set by endpoints.
-        restraints: Rate limits, backoffs and drain notices sent by endpoints.
+        backpressure: Rate limits, backoffs and drain notices sent by endpoints.
         clock: Time source.
         rng: Jitter of retry-after times.
     """
--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -36,7 +36,7 @@
 
     Args:
         fleet: The leader of this instance, or its followers.
-        restraints: Limits and backoffs of endpoints.
+        backpressure: Limits and backoffs of endpoints.
         share: Returns this instance's equal share of the fleet, 0 to 1.
         clock: Clock.
         rng: Random jitter of permits without a leader.
--- a/src/jujubewharf/leadership/shared_state.py
+++ b/src/jujubewharf/leadership/shared_state.py
@@ -16,7 +16,7 @@
     """State that an instance shares with its leader or followers.
 
     Attributes:
-        restraints: Limits, backoffs and leaving notices of endpoints.
+        backpressure: Limits, backoffs and leaving notices of endpoints.
         history: Engines that crashed while running which requests.
     """
 
