--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -121,7 +121,7 @@
             prefilled = await exit_stack.enter_async_context(
                 self._prefill_result(run, place)
             )
-            sending = calls.OutboundRequest(
+            outbound = calls.OutboundRequest(
                 run.call,
                 run.left_ms(self._clock),
                 source=prefilled.source,
@@ -130,12 +130,16 @@
             )
             try:
                 await self._check_not_deferred(place)
-                reply = await self._send(exit_stack, run, place.engine, sending)
+                reply = await self._send(
+                    exit_stack, run, place.engine, outbound
+                )
             except client.EngineError as error:
-                sending = await self._replacement_sending(
-                    run, error, sending, prefilled
+                outbound = await self._replacement_request(
+                    run, error, outbound, prefilled
+                )
+                reply = await self._send(
+                    exit_stack, run, place.engine, outbound
                 )
-                reply = await self._send(exit_stack, run, place.engine, sending)
             prefilled.is_fetched = True
             return Upstream(
                 place.engine,
@@ -145,11 +149,11 @@
                 place.memory_share,
             )
 
-    async def _replacement_sending(
+    async def _replacement_request(
         self,
         run: runs.Run,
         error: client.EngineError,
-        sending: calls.OutboundRequest,
+        outbound: calls.OutboundRequest,
         prefilled: _Prefilled,
     ) -> calls.OutboundRequest:
         """Returns a replacement for a request that the engine refused.
@@ -172,7 +176,7 @@
             changing = client.EngineError(fault, error.engine, "changing")
             self._observations.record_role_change(error.engine)
             raise changing from error
-        if sending.source is None or prefilled.engine is None:
+        if outbound.source is None or prefilled.engine is None:
             raise error
         if not await self._limits.take(error.engine):
             raise error
@@ -187,7 +191,7 @@
             raise run.failure() from error
         request_log.log_retry(run, "kv_gone", budget_left=left)
         return dataclasses.replace(
-            sending, source=None, left_ms=run.left_ms(self._clock)
+            outbound, source=None, left_ms=run.left_ms(self._clock)
         )
 
     def _record_failure(self, error: client.EngineError) -> None:
@@ -242,15 +246,15 @@
             if not prefilled.is_fetched:
                 await self._drop_result(prefilled)
 
-    async def _accepts_prefill(self, reader: resources.Endpoint) -> bool:
+    async def _accepts_prefill(self, engine: resources.Endpoint) -> bool:
         """Returns whether an engine accepts a prefill request at the moment."""
-        if self._backpressure.is_deferred(reader.name):
+        if self._backpressure.is_deferred(engine.name):
             return False
-        if not await self._limits.take(reader.name):
+        if not await self._limits.take(engine.name):
             return False
-        if self._backpressure.is_backing_off(reader.name):
+        if self._backpressure.is_backing_off(engine.name):
             return False
-        return self._registry.takes_work(reader.name)
+        return self._registry.takes_work(engine.name)
 
     def _may_retry_prefill(
         self, run: runs.Run, error: client.EngineError
@@ -332,7 +336,7 @@
         exit_stack: contextlib.AsyncExitStack,
         run: runs.Run,
         engine: resources.Endpoint,
-        sending: calls.OutboundRequest,
+        outbound: calls.OutboundRequest,
     ) -> calls.Reply:
         if not self._registry.takes_work(engine.name):
             # The engine started to drain during prefill.
@@ -344,12 +348,12 @@
             run,
             engine.name,
             stage="decode",
-            left_ms=sending.left_ms,
+            left_ms=outbound.left_ms,
             age_ms=self._registry.age_ms,
         )
         try:
             reply = await exit_stack.enter_async_context(
-                self._backends.send(engine, sending)
+                self._backends.send(engine, outbound)
             )
         except client.EngineError as error:
             run.record_failure(error, before=before)
--- a/src/jujubewharf/forwarding/crash_detection.py
+++ b/src/jujubewharf/forwarding/crash_detection.py
@@ -42,25 +42,25 @@
 
     @contextlib.asynccontextmanager
     async def send(
-        self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
+        self, endpoint: resources.Endpoint, outbound: calls.OutboundRequest
     ) -> AsyncIterator[calls.Reply]:
         """Sends a request; see ``ports.Backends``.
 
         Raises:
             WharfError: ``QUARANTINED``.
         """
-        self._history.check(sending.call)
+        self._history.check(outbound.call)
         async with contextlib.AsyncExitStack() as stack:
             try:
                 reply = await stack.enter_async_context(
-                    self._backends.send(endpoint, sending)
+                    self._backends.send(endpoint, outbound)
                 )
             except client.EngineError as error:
                 await self._handle_failure(
-                    endpoint, sending.call, error, stage="run"
+                    endpoint, outbound.call, error, stage="run"
                 )
                 raise
-            body = self._watched_body(endpoint, sending.call, reply)
+            body = self._watched_body(endpoint, outbound.call, reply)
             yield dataclasses.replace(reply, body=body)
 
     async def _watched_body(
@@ -77,19 +77,19 @@
             raise
 
     async def prefill(
-        self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
+        self, endpoint: resources.Endpoint, outbound: calls.OutboundRequest
     ) -> calls.PrefillSource:
         """Runs prefill; see ``ports.Backends``.
 
         Raises:
             WharfError: ``QUARANTINED``.
         """
-        self._history.check(sending.call)
+        self._history.check(outbound.call)
         try:
-            return await self._backends.prefill(endpoint, sending)
+            return await self._backends.prefill(endpoint, outbound)
         except client.EngineError as error:
             await self._handle_failure(
-                endpoint, sending.call, error, stage="prefill"
+                endpoint, outbound.call, error, stage="prefill"
             )
             raise
 
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -192,7 +192,7 @@
         endpoint: resources.Endpoint,
         timeout_ms: float | None,
     ) -> calls.Reply:
-        sending = calls.OutboundRequest(
+        outbound = calls.OutboundRequest(
             run.call,
             run.left_ms(self._clock),
             after_event=run.call.last_event,
@@ -202,7 +202,7 @@
             try:
                 async with self._clock.timeout_ms(timeout_ms):
                     reply = await attempt.enter_async_context(
-                        self._backends.send(endpoint, sending)
+                        self._backends.send(endpoint, outbound)
                     )
                     if not run.route.is_stream:
                         reply = await _buffered(reply)
--- a/src/jujubewharf/forwarding/ports.py
+++ b/src/jujubewharf/forwarding/ports.py
@@ -60,13 +60,13 @@
         ...
 
     def send(
-        self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
+        self, endpoint: resources.Endpoint, outbound: calls.OutboundRequest
     ) -> contextlib.AbstractAsyncContextManager[calls.Reply]:
         """Sends a request; leaving the context cancels it on the engine."""
         ...
 
     async def prefill(
-        self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
+        self, endpoint: resources.Endpoint, outbound: calls.OutboundRequest
     ) -> calls.PrefillSource:
         """Runs prefill only; the engine keeps the result for a short time."""
         ...
--- a/tests/forwarding/test_accounts.py
+++ b/tests/forwarding/test_accounts.py
@@ -18,7 +18,7 @@
 SHOP = accounts.Account("shop", (bearer.digest_of(KEY),))
 
 
-def _configured(world, version, *found, routes=()):
+def _put_configuration(world, version, *found, routes=()):
     configuration = deployments.configuration(version, *routes)
     world.configurations.put(
         "config", dataclasses.replace(configuration, accounts=found)
@@ -29,7 +29,7 @@
     return (("X-Own", "1"), *(("Authorization", value) for value in values))
 
 
-async def _served(world, path="/sale/1", *values, **more):
+async def _send(world, path="/sale/1", *values, **more):
     return await world.ask(path, headers=_with(*values), **more)
 
 
@@ -47,9 +47,9 @@
 def test_without_a_known_key_nothing_runs(values):
     async def main():
         async with deployments.deployed(deployments.shop("s1")) as world:
-            _configured(world, 2, SHOP)
+            _put_configuration(world, 2, SHOP)
             await world.clock.sleep_ms(300.0)
-            answer = await _served(world, "/sale/1", *values)
+            answer = await _send(world, "/sale/1", *values)
             assert answer.error.kind is errors.ErrorKind.UNAUTHENTICATED
             assert "configuration 2" in answer.error.detail
             assert KEY not in answer.error.detail
@@ -65,10 +65,10 @@
             deployments.reader("p1"),
             deployments.writer("d1"),
         ) as world:
-            _configured(world, 2, SHOP)
+            _put_configuration(world, 2, SHOP)
             await world.clock.sleep_ms(300.0)
             for path in ("/sale/1", "/verdicts/1"):
-                answer = await _served(world, path, f"Bearer {KEY}")
+                answer = await _send(world, path, f"Bearer {KEY}")
                 assert answer.status == 200
             assert [run.account for run in world.backends.runs] == ["shop"] * 2
             assert all(
@@ -81,7 +81,7 @@
 def test_where_no_account_is_configured_a_token_is_the_endpoints_own():
     async def main():
         async with deployments.deployed(deployments.shop("s1")) as world:
-            await _served(world, "/sale/1", "Bearer theirs")
+            await _send(world, "/sale/1", "Bearer theirs")
             (run,) = world.backends.runs
             assert ("Authorization", "Bearer theirs") in run.headers
             assert run.account is None
@@ -93,10 +93,10 @@
     async def main():
         async with deployments.deployed(deployments.shop("s1")) as world:
             public = dataclasses.replace(deployments.SALE, is_public=True)
-            _configured(world, 2, SHOP, routes=(public,))
+            _put_configuration(world, 2, SHOP, routes=(public,))
             await world.clock.sleep_ms(300.0)
             for values in ((), ("Bearer other",), (f"Bearer {KEY}",)):
-                answer = await _served(world, "/sale/1", *values)
+                answer = await _send(world, "/sale/1", *values)
                 assert answer.status == 200
             told = [run.account for run in world.backends.runs]
             assert told == [None, None, "shop"]
@@ -117,19 +117,19 @@
         async with deployments.deployed(
             deployments.reader("p1"), deployments.writer("d1", events=40)
         ) as world:
-            _configured(world, 2, SHOP)
+            _put_configuration(world, 2, SHOP)
             await world.clock.sleep_ms(300.0)
             running = asyncio.ensure_future(
-                _served(world, "/verdicts/1", f"Bearer {KEY}")
+                _send(world, "/verdicts/1", f"Bearer {KEY}")
             )
             await world.clock.sleep_ms(500.0)
-            _configured(world, 5)
+            _put_configuration(world, 5)
             await world.clock.sleep_ms(300.0)
-            refused = await _served(world, "/verdicts/2", f"Bearer {KEY}")
+            refused = await _send(world, "/verdicts/2", f"Bearer {KEY}")
             assert refused.error.kind is errors.ErrorKind.UNAUTHENTICATED
-            _configured(world, 3, SHOP)
+            _put_configuration(world, 3, SHOP)
             await world.clock.sleep_ms(1_500.0)
-            refused = await _served(world, "/verdicts/3", f"Bearer {KEY}")
+            refused = await _send(world, "/verdicts/3", f"Bearer {KEY}")
             assert refused.error.kind is errors.ErrorKind.UNAUTHENTICATED
             assert (await running).numbers == list(range(1, 41))
 
@@ -140,7 +140,7 @@
     async def main():
         async with deployments.deployed(deployments.shop("s1")) as world:
             first = dataclasses.replace(SHOP, priority=0)
-            _configured(world, 2, first)
+            _put_configuration(world, 2, first)
             await world.clock.sleep_ms(300.0)
             call = world.call("/sale/1", headers=_with(f"Bearer {KEY}"))
             run = world.instances["e1"]._forwarder._new_run(call)
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -155,14 +155,14 @@
 
 def test_what_is_told_arrives_whole():
     async def test(world):
-        teller, hearer = world.history(), world.history()
-        _crash(teller, world.call(), "a", "b", "c")
-        news = crash_messages.CrashesKnown(teller.reports())
+        sender, receiver = world.history(), world.history()
+        _crash(sender, world.call(), "a", "b", "c")
+        news = crash_messages.CrashesKnown(sender.reports())
         frame = codec.Frame(codec.FrameKind.TELL, 0, news)
         (report,) = codec.decode(codec.encode(frame)[4:]).message.reports
-        assert hearer.merge(report)
-        assert not hearer.merge(report)
-        assert _is_quarantined(hearer, world.call())
+        assert receiver.merge(report)
+        assert not receiver.merge(report)
+        assert _is_quarantined(receiver, world.call())
 
     _run(test)
 
@@ -218,15 +218,15 @@
             else:
                 _crash(history, world.call(body), f"e{number % 9}")
             if rng.random() < 0.3:
-                teller, hearer = rng.sample(histories, 2)
-                for report in teller.reports():
-                    hearer.merge(report)
+                sender, receiver = rng.sample(histories, 2)
+                for report in sender.reports():
+                    receiver.merge(report)
             await world.clock.sleep_ms(2_000.0)
         for _ in range(2):
-            for teller in histories:
-                for hearer in histories:
-                    for report in teller.reports():
-                        hearer.merge(report)
+            for sender in histories:
+                for receiver in histories:
+                    for report in sender.reports():
+                        receiver.merge(report)
         for body in bodies:
             counts = {h.count(world.call(body)) for h in histories}
             assert len(counts) == 1
@@ -269,14 +269,14 @@
     """A stored trial is not granted again after a restart or an election."""
 
     async def test(world):
-        teller, hearer = world.history(), world.history()
-        _crash(teller, world.call(), "a", "b", "c")
+        sender, receiver = world.history(), world.history()
+        _crash(sender, world.call(), "a", "b", "c")
         fingerprint = fingerprints.Fingerprint.from_call(world.call())
-        assert teller.begin_trial(fingerprint)
-        (report,) = teller.reports()
+        assert sender.begin_trial(fingerprint)
+        (report,) = sender.reports()
         data = crash_records.encode(report, wall_ms=0.0)
-        hearer.merge(crash_records.decode(data, wall_ms=0.0))
-        assert not hearer.begin_trial(fingerprint)
+        receiver.merge(crash_records.decode(data, wall_ms=0.0))
+        assert not receiver.begin_trial(fingerprint)
 
     _run(test)
 
--- a/tests/forwarding/test_events.py
+++ b/tests/forwarding/test_events.py
@@ -15,19 +15,19 @@
 @given(strategies.lists(strategies.integers(0, len(STREAM)), max_size=6))
 def test_any_split_gives_the_same_events(cuts):
     places = [0, *sorted(cuts), len(STREAM)]
-    cutter = events.EventSplitter()
+    splitter = events.EventSplitter()
     found = [
         event
         for start, end in itertools.pairwise(places)
-        for event in cutter.feed(STREAM[start:end])
+        for event in splitter.feed(STREAM[start:end])
     ]
     assert [event.number for event in found] == [1, None, 2]
     assert b"".join(event.data for event in found) == STREAM
-    assert not cutter.has_partial
+    assert not splitter.has_partial
 
 
 def test_a_part_of_an_event_is_kept_back():
-    cutter = events.EventSplitter()
-    found = cutter.feed(b"id: 7\ndata: x\n\nid: 8\nda")
+    splitter = events.EventSplitter()
+    found = splitter.feed(b"id: 7\ndata: x\n\nid: 8\nda")
     assert [event.number for event in found] == [7]
-    assert cutter.has_partial
+    assert splitter.has_partial
--- a/tests/forwarding/test_follower.py
+++ b/tests/forwarding/test_follower.py
@@ -12,7 +12,7 @@
 PACE = follower.PollIntervals(wait_ms=500.0, pause_ms=50.0)
 
 
-def _following(test):
+def _run(test):
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         table = tables.StandInTable(clock)
@@ -47,7 +47,7 @@
         assert known == {"a": 2}
         assert not lost
 
-    _following(test)
+    _run(test)
 
 
 def test_an_outage_is_told_and_ends_by_itself():
@@ -62,7 +62,7 @@
         await clock.sleep_ms(700.0)
         assert known == {"a": 2}
 
-    _following(test)
+    _run(test)
 
 
 def test_forgotten_changes_are_read_from_the_whole_table():
@@ -80,7 +80,7 @@
         await clock.sleep_ms(1_000.0)
         assert known == {"a": 2, "b": 3}
 
-    _following(test)
+    _run(test)
 
 
 def test_it_doesnt_ask_all_the_time_while_the_store_is_down():
@@ -89,4 +89,4 @@
         await clock.sleep_ms(10_000.0)
         assert len(lost) < 10_000.0 / 125.0
 
-    _following(test)
+    _run(test)
--- a/tests/forwarding/test_limits.py
+++ b/tests/forwarding/test_limits.py
@@ -12,13 +12,13 @@
 
 
 def _granted(
-    ledger, rate_per_s: float, *, every_ms: float, part: float = 1.0
+    limiter, rate_per_s: float, *, every_ms: float, part: float = 1.0
 ) -> list[float]:
     """Times at which requests at a fixed interval get a permit."""
     times = []
     now_ms = 0.0
     while now_ms < 60_000.0:
-        if ledger.take("s1", rate_per_s, now_ms, part=part) <= 0.0:
+        if limiter.take("s1", rate_per_s, now_ms, part=part) <= 0.0:
             times.append(now_ms)
         now_ms += every_ms
     return times
@@ -31,8 +31,8 @@
 @pytest.mark.parametrize("rate_per_s", [0.5, 1.8, 7.0, 60.0])
 def test_no_window_has_more_than_the_limit_and_what_was_saved(rate_per_s):
     """Most of the limit is used, and bursts are bounded."""
-    ledger = limits.EndpointRateLimiter(lambda: 0.0)
-    times = _granted(ledger, rate_per_s, every_ms=7.0)
+    limiter = limits.EndpointRateLimiter(lambda: 0.0)
+    times = _granted(limiter, rate_per_s, every_ms=7.0)
     allowed = rate_per_s * WINDOW_MS / 1_000.0
     assert _most(times) <= allowed + max(1.0, rate_per_s / 4.0) + 1.0
     assert len(times) >= 0.85 * rate_per_s * 60.0
@@ -45,9 +45,9 @@
     rate_per_s = 1.5
     times = []
     for _ in range(instances):
-        ledger = limits.EndpointRateLimiter(rng.random)
+        limiter = limits.EndpointRateLimiter(rng.random)
         times += _granted(
-            ledger,
+            limiter,
             rate_per_s,
             every_ms=28.0 * instances,
             part=1.0 / instances / 2,
@@ -56,13 +56,13 @@
 
 
 def test_who_gets_no_permit_is_told_another_time_each():
-    ledger = limits.EndpointRateLimiter(lambda: 0.0)
-    waits = [ledger.take("s1", 2.0, 0.0) for _ in range(5)]
+    limiter = limits.EndpointRateLimiter(lambda: 0.0)
+    waits = [limiter.take("s1", 2.0, 0.0) for _ in range(5)]
     assert waits == [500.0, 1_000.0, 1_500.0, 2_000.0, 2_500.0]
 
 
 def test_a_limit_of_nothing_is_tried_now_and_then():
     """Without any request nobody would learn that the limit has ended."""
-    ledger = limits.EndpointRateLimiter(lambda: 0.0)
-    times = _granted(ledger, 0.0, every_ms=100.0)
+    limiter = limits.EndpointRateLimiter(lambda: 0.0)
+    times = _granted(limiter, 0.0, every_ms=100.0)
     assert 4 <= len(times) <= 6
--- a/tests/forwarding/test_quotas.py
+++ b/tests/forwarding/test_quotas.py
@@ -14,79 +14,79 @@
 
 
 def _full() -> quotas.QuotaBuckets:
-    ledger = quotas.QuotaBuckets()
-    ledger.set_balance(NAME, QUOTA.burst, 0.0)
-    return ledger
+    buckets = quotas.QuotaBuckets()
+    buckets.set_balance(NAME, QUOTA.burst, 0.0)
+    return buckets
 
 
 def test_an_account_may_use_its_burst_and_then_its_rate():
-    ledger = _full()
-    assert ledger.take(NAME, QUOTA, 1_500.0, 0.0) == 0.0
-    assert ledger.take(NAME, QUOTA, 500.0, 0.0) == 0.0
-    assert ledger.take(NAME, QUOTA, 500.0, 0.0) > 0.0
-    assert ledger.take(NAME, QUOTA, 500.0, 501.0) == 0.0
+    buckets = _full()
+    assert buckets.take(NAME, QUOTA, 1_500.0, 0.0) == 0.0
+    assert buckets.take(NAME, QUOTA, 500.0, 0.0) == 0.0
+    assert buckets.take(NAME, QUOTA, 500.0, 0.0) > 0.0
+    assert buckets.take(NAME, QUOTA, 500.0, 501.0) == 0.0
 
 
 def test_a_request_larger_than_the_burst_runs_and_is_paid_for_after():
-    ledger = _full()
-    assert ledger.take(NAME, QUOTA, 5_000.0, 0.0) == 0.0
-    assert ledger.take(NAME, QUOTA, 1.0, 2_900.0) > 0.0
-    assert ledger.take(NAME, QUOTA, 1.0, 3_001.0) == 0.0
+    buckets = _full()
+    assert buckets.take(NAME, QUOTA, 5_000.0, 0.0) == 0.0
+    assert buckets.take(NAME, QUOTA, 1.0, 2_900.0) > 0.0
+    assert buckets.take(NAME, QUOTA, 1.0, 3_001.0) == 0.0
 
 
 def test_a_refused_request_that_comes_back_when_told_is_admitted():
-    ledger = _full()
-    ledger.charge(NAME, QUOTA, 2_600.0, 0.0)
-    told = [ledger.take(NAME, QUOTA, 400.0, 0.0) for _ in range(5)]
+    buckets = _full()
+    buckets.charge(NAME, QUOTA, 2_600.0, 0.0)
+    told = [buckets.take(NAME, QUOTA, 400.0, 0.0) for _ in range(5)]
     # Successive callers get increasing times, by the units that each needs.
     assert told == sorted(told)
     assert len(set(told)) == len(told)
     for wait_ms in told:
-        assert ledger.take(NAME, QUOTA, 400.0, wait_ms) == 0.0
+        assert buckets.take(NAME, QUOTA, 400.0, wait_ms) == 0.0
 
 
 def test_what_didnt_run_is_given_back():
-    ledger = _full()
-    ledger.take(NAME, QUOTA, 2_000.0, 0.0)
-    ledger.charge(NAME, QUOTA, -2_000.0, 0.0)
-    assert ledger.balance(NAME, QUOTA, 0.0) == QUOTA.burst
+    buckets = _full()
+    buckets.take(NAME, QUOTA, 2_000.0, 0.0)
+    buckets.charge(NAME, QUOTA, -2_000.0, 0.0)
+    assert buckets.balance(NAME, QUOTA, 0.0) == QUOTA.burst
 
 
 def test_a_small_request_is_admitted_in_a_debt_that_is_tolerated():
     """A small request is admitted up to the tolerated debt of a large one."""
-    ledger = _full()
-    ledger.charge(NAME, QUOTA, 2_300.0, 0.0)
-    assert ledger.take(NAME, QUOTA, 20.0, 0.0) > 0.0
+    buckets = _full()
+    buckets.charge(NAME, QUOTA, 2_300.0, 0.0)
+    assert buckets.take(NAME, QUOTA, 20.0, 0.0) > 0.0
     for _ in range(10):
-        assert ledger.take(NAME, QUOTA, 20.0, 0.0, debt=500.0) == 0.0
-    assert ledger.take(NAME, QUOTA, 20.0, 0.0, debt=500.0) > 0.0
-    assert ledger.balance(NAME, QUOTA, 0.0) == -500.0
+        assert buckets.take(NAME, QUOTA, 20.0, 0.0, debt=500.0) == 0.0
+    assert buckets.take(NAME, QUOTA, 20.0, 0.0, debt=500.0) > 0.0
+    assert buckets.balance(NAME, QUOTA, 0.0) == -500.0
 
 
 def test_a_lower_quota_binds_at_once():
-    ledger = _full()
+    buckets = _full()
     lower = accounts.Quota(rate_per_s=10.0, burst=20.0)
-    assert ledger.balance(NAME, lower, 0.0) == 20.0
-    assert ledger.balance(NAME, QUOTA, 0.0) == 20.0
+    assert buckets.balance(NAME, lower, 0.0) == 20.0
+    assert buckets.balance(NAME, QUOTA, 0.0) == 20.0
 
 
 def test_a_count_begun_anew_grants_no_second_burst():
-    ledger = quotas.QuotaBuckets(5_000.0)
-    assert ledger.balance(NAME, QUOTA, 5_000.0) < QUOTA.burst / 2
+    buckets = quotas.QuotaBuckets(5_000.0)
+    assert buckets.balance(NAME, QUOTA, 5_000.0) < QUOTA.burst / 2
     # First seen long after counting started: the whole burst is available.
-    assert ledger.balance("other", QUOTA, 9_000.0) == QUOTA.burst
-    ledger.set_balance(NAME, QUOTA.burst, 5_000.0)
-    ledger.resume(9_000.0)
-    assert ledger.balance(NAME, QUOTA, 9_000.0) < QUOTA.burst / 2
-    assert ledger.balance(NAME, QUOTA, 12_000.0) == QUOTA.burst
+    assert buckets.balance("other", QUOTA, 9_000.0) == QUOTA.burst
+    buckets.set_balance(NAME, QUOTA.burst, 5_000.0)
+    buckets.resume(9_000.0)
+    assert buckets.balance(NAME, QUOTA, 9_000.0) < QUOTA.burst / 2
+    assert buckets.balance(NAME, QUOTA, 12_000.0) == QUOTA.burst
 
 
 def test_a_count_that_goes_on_keeps_its_debts():
     """Two instances that alternate in counting grant no additional burst."""
-    ledger = _full()
-    ledger.charge(NAME, QUOTA, 5_000.0, 0.0)
-    ledger.resume(1_000.0)
-    assert ledger.balance(NAME, QUOTA, 1_000.0) == -2_000.0
+    buckets = _full()
+    buckets.charge(NAME, QUOTA, 5_000.0, 0.0)
+    buckets.resume(1_000.0)
+    assert buckets.balance(NAME, QUOTA, 1_000.0) == -2_000.0
 
 
 @hypothesis.given(
@@ -99,12 +99,12 @@
 )
 def test_no_window_holds_more_than_rate_burst_and_one_request(asked):
     """The bound holds for any arrivals and any sliding window."""
-    ledger = _full()
+    buckets = _full()
     admitted: list[tuple[float, float]] = []
     now_ms = 0.0
     for gap_ms, units in asked:
         now_ms += gap_ms
-        if ledger.take(NAME, QUOTA, units, now_ms) == 0.0:
+        if buckets.take(NAME, QUOTA, units, now_ms) == 0.0:
             admitted.append((now_ms, units))
     window_ms = 4_000.0
     bound = QUOTA.burst + QUOTA.rate_per_s * window_ms / 1_000.0 + 900.0
@@ -117,7 +117,7 @@
         assert used <= bound + 1e-6
 
 
-class _Counted:
+class _RecordingQuotas:
     """Records charges and refunds instead of counting them."""
 
     def __init__(self) -> None:
@@ -137,7 +137,7 @@
 
 
 def test_a_block_that_fails_gives_back_what_it_took():
-    counts, run = _Counted(), _Run()
+    counts, run = _RecordingQuotas(), _Run()
     with (
         pytest.raises(ZeroDivisionError),
         quotas.charged(counts, run),
@@ -148,7 +148,7 @@
 
 def test_a_second_try_that_fails_keeps_the_first_ones_count():
     """A failed attempt to resume refunds nothing, since the stream ran."""
-    counts, run = _Counted(), _Run()
+    counts, run = _RecordingQuotas(), _Run()
     run.is_counted = True
     with (
         pytest.raises(ZeroDivisionError),
--- a/tests/forwarding/test_registry.py
+++ b/tests/forwarding/test_registry.py
@@ -18,7 +18,7 @@
     return registries.Record("s1", offset, endpoint)
 
 
-def _on_clock(test):
+def _run(test):
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         await test(registries.Registry(clock), clock)
@@ -33,7 +33,7 @@
         assert not registry.takes_work("s1")
         assert registry.of_service("shop") == ()
 
-    _on_clock(test)
+    _run(test)
 
 
 def test_what_a_whole_reading_lacks_was_removed():
@@ -42,7 +42,7 @@
         registry.apply_all([], end=9)
         assert not registry.takes_work("s1")
 
-    _on_clock(test)
+    _run(test)
 
 
 def test_a_stale_whole_reading_removes_nothing_newer():
@@ -51,7 +51,7 @@
         registry.apply_all([], end=6)
         assert registry.takes_work("s1")
 
-    _on_clock(test)
+    _run(test)
 
 
 def test_entries_that_lapse_over_an_outage_are_kept_for_a_while():
@@ -73,7 +73,7 @@
         assert not registry.takes_work("s1")
         assert len(registry.of_service("shop")) == 0
 
-    _on_clock(test)
+    _run(test)
 
 
 def test_one_that_is_back_after_an_outage_stays():
@@ -87,7 +87,7 @@
         assert registry.takes_work("s1")
         assert len(registry.of_service("shop")) == 1
 
-    _on_clock(test)
+    _run(test)
 
 
 def test_one_that_said_it_leaves_is_not_kept_over_an_outage():
@@ -98,7 +98,7 @@
         registry.apply([_record(4, None)])
         assert not registry.takes_work("s1")
 
-    _on_clock(test)
+    _run(test)
 
 
 def test_a_removal_in_calm_times_counts_at_once():
@@ -108,7 +108,7 @@
         registry.apply([_record(4, None)])
         assert not registry.takes_work("s1")
 
-    _on_clock(test)
+    _run(test)
 
 
 def test_a_replaced_endpoint_comes_back_by_its_own_word_only():
@@ -121,18 +121,18 @@
         registry.apply([_record(6)])
         assert registry.takes_work("s1")
 
-    _on_clock(test)
+    _run(test)
 
 
 def test_listeners_hear_of_every_change():
     async def test(registry, clock):
-        heard = []
-        registry.listen(lambda endpoints: heard.append(len(endpoints)))
+        counts = []
+        registry.listen(lambda endpoints: counts.append(len(endpoints)))
         registry.apply([_record(3)])
         registry.apply([_record(4, LEAVING)])
-        assert heard == [1, 0]
+        assert counts == [1, 0]
 
-    _on_clock(test)
+    _run(test)
 
 
 def test_an_entry_that_became_unreadable_names_no_endpoint_until_it_is_good():
@@ -148,7 +148,7 @@
         registry.apply([_record(5)])
         assert registry.takes_work("s1")
 
-    _on_clock(test)
+    _run(test)
 
 
 FIRST = registration.Registration(
@@ -176,7 +176,7 @@
         registry.remove_replaced("s1@1")
         assert registry.takes_work("s1@2")
 
-    _on_clock(test)
+    _run(test)
 
 
 def test_a_late_word_of_an_earlier_start_is_left_out():
@@ -190,4 +190,4 @@
         registry.apply([_record(5, None)])
         assert registry.of_service("shop") == ()
 
-    _on_clock(test)
+    _run(test)
--- a/tests/forwarding/test_reloading.py
+++ b/tests/forwarding/test_reloading.py
@@ -14,7 +14,7 @@
 from tests.forwarding import test_settings
 
 
-class _Watched:
+class _ReloadedFile:
     """A settings file, its reloader and the settings that were applied."""
 
     def __init__(self, tmp_path):
@@ -33,15 +33,15 @@
         self.path.write_text(json.dumps(test_settings.GOOD | changes))
 
 
-def _play(tmp_path, story):
+def _run(tmp_path, scenario):
     """Runs a test and returns the events that were logged."""
 
     async def main():
-        watched = _Watched(tmp_path)
+        watched = _ReloadedFile(tmp_path)
         await watched.reloader.start()
         try:
             with structlog.testing.capture_logs() as lines:
-                await story(watched)
+                await scenario(watched)
         finally:
             await watched.reloader.stop()
         return lines
@@ -55,38 +55,38 @@
 def test_a_signal_puts_a_change_in_force_at_once(tmp_path):
     """Live settings take effect without a restart."""
 
-    async def story(watched):
+    async def scenario(watched):
         watched.write(_RETRIES)
         watched.reloader.request()
         await watched.clock.sleep_ms(10.0)
         assert [s.retries.slack for s in watched.applied] == [7.0]
 
-    (line,) = _play(tmp_path, story)
+    (line,) = _run(tmp_path, scenario)
     assert line["event"] == "settings_reloaded"
     assert line["changed"] == ["retries"]
     assert line["needs_restart"] == []
 
 
 def test_a_change_without_a_signal_is_found(tmp_path):
-    async def story(watched):
+    async def scenario(watched):
         watched.write(_RETRIES)
         await watched.clock.sleep_ms(reloading.CHECK_MS + 10.0)
         assert len(watched.applied) == 1
         await watched.clock.sleep_ms(3 * reloading.CHECK_MS)
         assert len(watched.applied) == 1
 
-    assert len(_play(tmp_path, story)) == 1
+    assert len(_run(tmp_path, scenario)) == 1
 
 
 def test_what_needs_a_restart_is_told_and_left(tmp_path):
-    async def story(watched):
+    async def scenario(watched):
         watched.write({"domain": "b"})
         watched.reloader.request()
         await watched.clock.sleep_ms(10.0)
         assert watched.applied == []
         assert watched.reloader.settings.domain == "a"
 
-    (line,) = _play(tmp_path, story)
+    (line,) = _run(tmp_path, scenario)
     assert line["needs_restart"] == ["domain"]
 
 
@@ -96,7 +96,7 @@
     The second read needs no signal.
     """
 
-    async def story(watched):
+    async def scenario(watched):
         watched.path.write_text('{"instance": "e1", "dom')
         watched.reloader.request()
         await watched.clock.sleep_ms(10.0)
@@ -105,7 +105,7 @@
         await watched.clock.sleep_ms(reloading.CHECK_MS + 10.0)
         assert len(watched.applied) == 1
 
-    events = [line["event"] for line in _play(tmp_path, story)]
+    events = [line["event"] for line in _run(tmp_path, scenario)]
     assert events == ["settings_rejected", "settings_reloaded"]
 
 
