--- a/src/jujubewharf/forwarding/accounts.py
+++ b/src/jujubewharf/forwarding/accounts.py
@@ -79,7 +79,7 @@
             case QuotaUnit.TOKENS:
                 return float(work.prompt_tokens + work.output_tokens)
 
-    def part(self, part: float) -> Quota:
+    def scaled(self, part: float) -> Quota:
         """Returns the quota scaled by a factor, for one instance of several."""
         return dataclasses.replace(
             self, rate_per_s=self.rate_per_s * part, burst=self.burst * part
--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -298,7 +298,7 @@
 
     def _local_quota(self, name: str, quota: accounts.Quota) -> accounts.Quota:
         """Returns the part of a quota that this instance may grant."""
-        return quota.part(self._quota_share(name))
+        return quota.scaled(self._quota_share(name))
 
     def _quota_share(self, name: str) -> float:
         """Returns this instance's share of an account's quota, 0 to 1."""
