--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -401,7 +401,7 @@
         is_whole: bool,
     ) -> None:
         for record in page.records:
-            if record.value is not None and self.source.take(record.value):
+            if record.value is not None and self.source.apply(record.value):
                 self.quotas.remove_unconfigured()
                 state_log.log_active_configuration(
                     record.value, offset=record.offset
--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -39,7 +39,7 @@
         self.accounts = accounts.AccountTable(None)
         self._table = routes.RouteTable(())
 
-    def take(self, configuration: routes.RoutingConfiguration) -> bool:
+    def apply(self, configuration: routes.RoutingConfiguration) -> bool:
         """Puts a configuration in force if it is newer than the current one.
 
         The store can return an older state after a newer one, and a version
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -68,10 +68,10 @@
 
 def test_the_same_version_changes_nothing():
     source = forwarder.ActiveConfiguration()
-    assert source.take(deployments.configuration(3))
-    assert not source.take(deployments.configuration(3))
-    assert not source.take(deployments.configuration(2))
-    assert source.take(deployments.configuration(4))
+    assert source.apply(deployments.configuration(3))
+    assert not source.apply(deployments.configuration(3))
+    assert not source.apply(deployments.configuration(2))
+    assert source.apply(deployments.configuration(4))
 
 
 def test_the_callers_patience_bounds_the_wait():
