--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -206,12 +206,12 @@
             is_leaving=self._rejects_work,
             is_limited=self.backpressure.is_limited,
         )
-        self.registry.listen(chooser.set_endpoints)
+        self.registry.add_listener(chooser.set_endpoints)
         engines = engine_pool.EnginePool(
             self.work, self.backpressure, clock, rng
         )
         lengths = margins.ResponseLengths()
-        self.registry.listen(engines.update_engines)
+        self.registry.add_listener(engines.update_engines)
         self._orders = role_controller.RoleController(
             self._settings.instance,
             backends,
--- a/src/jujubewharf/forwarding/registry.py
+++ b/src/jujubewharf/forwarding/registry.py
@@ -104,7 +104,7 @@
             if record.endpoint
         ]
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Registers a callback that gets all endpoints that accept work."""
         self._listeners.append(listener)
 
--- a/tests/forwarding/test_registry.py
+++ b/tests/forwarding/test_registry.py
@@ -127,7 +127,7 @@
 def test_listeners_hear_of_every_change():
     async def test(registry, clock):
         counts = []
-        registry.listen(lambda endpoints: counts.append(len(endpoints)))
+        registry.add_listener(lambda endpoints: counts.append(len(endpoints)))
         registry.apply([_record(3)])
         registry.apply([_record(4, LEAVING)])
         assert counts == [1, 0]
