--- a/tests/forwarding/deployments.py
+++ b/tests/forwarding/deployments.py
@@ -79,7 +79,7 @@
     return backend_state.StandInBackend(endpoint, **faults)
 
 
-def reader(name: str, domain: str = "a", **faults: Any):
+def prefill_engine(name: str, domain: str = "a", **faults: Any):
     """A stand-in prefill engine."""
     return engine(name, resources.Role.PREFILL, domain, **faults)
 
@@ -99,7 +99,12 @@
 
 def of_both_kinds(*, memory_tokens: int = 400_000):
     """Two stand-ins each of plain endpoints, prefill and decode engines."""
-    behind = [shop("s1"), shop("s2"), reader("p1"), reader("p2")]
+    behind = [
+        shop("s1"),
+        shop("s2"),
+        prefill_engine("p1"),
+        prefill_engine("p2"),
+    ]
     behind += [writer("d1"), writer("d2")]
     for backend in behind:
         backend.memory_tokens = memory_tokens
--- a/tests/forwarding/test_accounts.py
+++ b/tests/forwarding/test_accounts.py
@@ -62,7 +62,7 @@
     async def main():
         async with deployments.deployed(
             deployments.shop("s1"),
-            deployments.reader("p1"),
+            deployments.prefill_engine("p1"),
             deployments.writer("d1"),
         ) as world:
             _put_configuration(world, 2, SHOP)
@@ -115,7 +115,8 @@
 
     async def main():
         async with deployments.deployed(
-            deployments.reader("p1"), deployments.writer("d1", events=40)
+            deployments.prefill_engine("p1"),
+            deployments.writer("d1", events=40),
         ) as world:
             _put_configuration(world, 2, SHOP)
             await world.clock.sleep_ms(300.0)
--- a/tests/forwarding/test_attempts.py
+++ b/tests/forwarding/test_attempts.py
@@ -9,13 +9,15 @@
 from jujubewharf.engines import client
 from tests.forwarding import deployments
 
-reader = deployments.reader
+prefill_engine = deployments.prefill_engine
 writer = deployments.writer
 
 
 def test_a_prompt_is_read_apart_and_the_answer_is_whole():
     async def main():
-        async with deployments.deployed(reader("p1"), writer("d1")) as world:
+        async with deployments.deployed(
+            prefill_engine("p1"), writer("d1")
+        ) as world:
             answer = await world.ask("/verdicts/1")
             assert answer.status == 200
             assert answer.numbers == [1, 2, 3, 4, 5]
@@ -43,7 +45,7 @@
 
     async def main():
         full = writer("d1", memory_tokens=100)
-        async with deployments.deployed(reader("p1"), full) as world:
+        async with deployments.deployed(prefill_engine("p1"), full) as world:
             answer = await world.ask("/verdicts/1", patience_ms=14_000.0)
             assert answer.error is not None
             assert answer.error.kind is errors.ErrorKind.QUEUE_FULL
@@ -65,7 +67,7 @@
 
     async def main():
         full = writer("d1", memory_tokens=100)
-        async with deployments.deployed(reader("p1"), full) as world:
+        async with deployments.deployed(prefill_engine("p1"), full) as world:
             first = await world.ask("/verdicts/1", patience_ms=14_000.0)
             again = await world.ask("/verdicts/1", patience_ms=10_500.0)
             assert again.took_ms > 3 * first.took_ms
@@ -83,7 +85,7 @@
 
     async def main():
         tight = writer("d1", memory_tokens=16_000, events=6)
-        async with deployments.deployed(reader("p1"), tight) as world:
+        async with deployments.deployed(prefill_engine("p1"), tight) as world:
             first = asyncio.ensure_future(
                 world.ask("/verdicts/1", patience_ms=14_000.0)
             )
@@ -105,7 +107,7 @@
 def test_memory_that_comes_free_in_time_is_taken():
     async def main():
         tight = writer("d1", memory_tokens=20_000, events=6)
-        async with deployments.deployed(reader("p1"), tight) as world:
+        async with deployments.deployed(prefill_engine("p1"), tight) as world:
             answers = await world.ask_all("/verdicts/1", "/verdicts/2")
             assert [a.numbers[-1] for a in answers] == [6, 6]
             assert max(a.first_ms for a in answers) < 900.0
@@ -121,7 +123,7 @@
 
     async def main():
         deaf = writer("d1", refuses_sources=True)
-        async with deployments.deployed(reader("p1"), deaf) as world:
+        async with deployments.deployed(prefill_engine("p1"), deaf) as world:
             answer = await world.ask("/verdicts/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
             assert [r.had_source for r in world.backends.runs] == [False]
@@ -141,7 +143,7 @@
     async def main():
         changing = writer("d1", is_changing=True)
         async with deployments.deployed(
-            reader("p1"), changing, writer("d2", "b")
+            prefill_engine("p1"), changing, writer("d2", "b")
         ) as world:
             answers = [await world.ask(f"/verdicts/{i}") for i in range(5)]
             assert [a.numbers for a in answers] == [[1, 2, 3, 4, 5]] * 5
@@ -158,7 +160,7 @@
     async def main():
         replaced = writer("d1", is_replaced=True)
         async with deployments.deployed(
-            reader("p1"), replaced, writer("d2", "b")
+            prefill_engine("p1"), replaced, writer("d2", "b")
         ) as world:
             world.endpoints.is_down = True
             for i in range(4):
@@ -174,7 +176,7 @@
     """An engine that starts to drain during prefill gets no request."""
 
     async def main():
-        slow_reader = reader("p1", prefill_token_ms=0.4)
+        slow_reader = prefill_engine("p1", prefill_token_ms=0.4)
         leaving = writer("d1")
         async with deployments.deployed(
             slow_reader, leaving, writer("d2", "b")
@@ -193,7 +195,7 @@
     async def main():
         other = writer("d1")
         async with deployments.deployed(
-            reader("p1"), other, writer("d2", "b")
+            prefill_engine("p1"), other, writer("d2", "b")
         ) as world:
             # The registration lags behind the engine's actual role.
             other.endpoint = other.endpoint.__class__(
@@ -210,7 +212,7 @@
 def test_unreachable_engines_cost_no_attempt():
     async def main():
         async with deployments.deployed(
-            reader("p1"),
+            prefill_engine("p1"),
             writer("d1", is_unreachable=True),
             writer("d2", "b"),
         ) as world:
@@ -227,9 +229,9 @@
     """
 
     async def main():
-        changing = reader("p1")
+        changing = prefill_engine("p1")
         async with deployments.deployed(
-            changing, reader("p2", "b"), writer("d1")
+            changing, prefill_engine("p2", "b"), writer("d1")
         ) as world:
             changing.endpoint = writer("p1").endpoint
             for i in range(3):
@@ -247,7 +249,9 @@
     async def main():
         dead = writer("d1", is_unreachable=True)
         full = writer("d2", memory_tokens=100)
-        async with deployments.deployed(reader("p1"), dead, full) as world:
+        async with deployments.deployed(
+            prefill_engine("p1"), dead, full
+        ) as world:
             asked = 0
             reserve = world.backends.reserve
 
@@ -301,7 +305,9 @@
 
 def test_a_request_without_size_is_sent_all_the_same():
     async def main():
-        async with deployments.deployed(reader("p1"), writer("d1")) as world:
+        async with deployments.deployed(
+            prefill_engine("p1"), writer("d1")
+        ) as world:
             answer = await world.ask("/verdicts/1", work=None)
             assert answer.numbers == [1, 2, 3, 4, 5]
             assert world.backends.prefills == []
@@ -313,7 +319,7 @@
     """A run after a refused prefill counts against the retry budget."""
 
     async def main():
-        busy = reader("p1", refuses_readings=True)
+        busy = prefill_engine("p1", refuses_readings=True)
         async with deployments.deployed(busy, writer("d1")) as world:
             budget = world.instances["e1"].budget
             while budget.take(deployments.ENGINES):
@@ -334,7 +340,7 @@
     """
 
     async def main():
-        dark = reader("p1", loses_readings=True)
+        dark = prefill_engine("p1", loses_readings=True)
         async with deployments.deployed(dark, writer("d1")) as world:
             budget = world.instances["e1"].budget
             while budget.take(deployments.ENGINES):
@@ -352,7 +358,7 @@
     """A second prefill counts against the retry budget."""
 
     async def main():
-        lossy = reader("p1", loses_readings=True)
+        lossy = prefill_engine("p1", loses_readings=True)
         changing = writer("d1", is_changing=True)
         async with deployments.deployed(
             lossy, changing, writer("d2", "b")
@@ -375,7 +381,9 @@
 
     async def main():
         dark, well = writer("d1"), writer("d2")
-        async with deployments.deployed(reader("p1"), dark, well) as world:
+        async with deployments.deployed(
+            prefill_engine("p1"), dark, well
+        ) as world:
             reserve = world.backends.reserve
             asked = []
 
--- a/tests/forwarding/test_crash_detection.py
+++ b/tests/forwarding/test_crash_detection.py
@@ -20,7 +20,7 @@
 
     async def main():
         async with deployments.deployed(
-            deployments.reader("p1"),
+            deployments.prefill_engine("p1"),
             deployments.writer("d1"),
             deployments.writer("d2"),
         ) as world:
--- a/tests/forwarding/test_golden_session.py
+++ b/tests/forwarding/test_golden_session.py
@@ -54,7 +54,7 @@
 
     async def main():
         async with deployments.deployed(
-            deployments.reader("p1"),
+            deployments.prefill_engine("p1"),
             deployments.writer("d1"),
             deployments.writer("d2", "b"),
             deployments.shop("s1"),
--- a/tests/forwarding/test_role_controller.py
+++ b/tests/forwarding/test_role_controller.py
@@ -10,13 +10,13 @@
 from jujubewharf.engines import client
 from tests.forwarding import deployments
 
-reader = deployments.reader
+prefill_engine = deployments.prefill_engine
 writer = deployments.writer
 
 
 def _too_many_prefill_engines():
     """Returns three prefill engines where the plan wants one."""
-    readers = [reader(f"p{i}") for i in range(3)]
+    readers = [prefill_engine(f"p{i}") for i in range(3)]
     return [*readers, *(writer(f"d{i}") for i in range(3))]
 
 
@@ -133,7 +133,10 @@
 
 def _balanced():
     """Returns one prefill and three decode engines, as the plan wants."""
-    return [reader("p0", "a"), *(writer(f"d{i}", "b") for i in range(3))]
+    return [
+        prefill_engine("p0", "a"),
+        *(writer(f"d{i}", "b") for i in range(3)),
+    ]
 
 
 def test_short_absence_causes_no_order():
@@ -304,7 +307,7 @@
     """A wrong cost estimate must not reassign most engines at once."""
 
     async def main():
-        behind = [reader("p1"), *(writer(f"d{i}") for i in range(8))]
+        behind = [prefill_engine("p1"), *(writer(f"d{i}") for i in range(8))]
         async with deployments.deployed(*behind) as deployment:
             estimates = deployment.instances["e1"].work
             for _ in range(20):
--- a/tests/forwarding/test_role_plan.py
+++ b/tests/forwarding/test_role_plan.py
@@ -55,9 +55,9 @@
 
 def test_prefill_engines_are_spread_over_domains():
     engines = [
-        deployments.reader("p1", "a").endpoint,
-        deployments.reader("p2", "a").endpoint,
-        deployments.reader("p3", "b").endpoint,
+        deployments.prefill_engine("p1", "a").endpoint,
+        deployments.prefill_engine("p2", "a").endpoint,
+        deployments.prefill_engine("p3", "b").endpoint,
         *(deployments.writer(f"d{i}", "c").endpoint for i in range(3)),
     ]
     found = role_plan.plan_changes(engines, prefill_ms=90.0, decode_ms=480.0)
--- a/tests/forwarding/test_shutdown.py
+++ b/tests/forwarding/test_shutdown.py
@@ -13,7 +13,7 @@
 
     async def main():
         async with deployments.deployed(
-            deployments.reader("p1"),
+            deployments.prefill_engine("p1"),
             deployments.writer("d1", events=60),
             deployments.shop("s1"),
         ) as world:
@@ -39,7 +39,7 @@
     async def main():
         endless = deployments.writer("d1", events=10_000)
         async with deployments.deployed(
-            deployments.reader("p1"), endless
+            deployments.prefill_engine("p1"), endless
         ) as world:
             stream = asyncio.create_task(world.ask("/verdicts/1"))
             await world.clock.sleep_ms(200.0)
--- a/tests/forwarding/test_stream.py
+++ b/tests/forwarding/test_stream.py
@@ -10,7 +10,7 @@
 from jujubewharf import errors
 from tests.forwarding import deployments
 
-reader = deployments.reader
+prefill_engine = deployments.prefill_engine
 writer = deployments.writer
 
 
@@ -20,7 +20,7 @@
     async def main():
         dying = writer("d1", breaks_after=2)
         async with deployments.deployed(
-            reader("p1"), dying, writer("d2", "b")
+            prefill_engine("p1"), dying, writer("d2", "b")
         ) as world:
             answer = await world.ask("/verdicts/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
@@ -41,7 +41,7 @@
     async def main():
         dark = writer("d1", stalls_after=2)
         async with deployments.deployed(
-            reader("p1"), dark, writer("d2", "b")
+            prefill_engine("p1"), dark, writer("d2", "b")
         ) as world:
             answer = await world.ask("/verdicts/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
@@ -58,7 +58,9 @@
         tight = writer("d2")
         tight.held["others"] = tight.memory_tokens // 2
         lost = writer("d1", stalls_after=2)
-        async with deployments.deployed(reader("p1"), lost, tight) as world:
+        async with deployments.deployed(
+            prefill_engine("p1"), lost, tight
+        ) as world:
             asked = asyncio.ensure_future(world.ask("/verdicts/1"))
             await world.clock.sleep_ms(800.0)
             lost.is_unreachable = True
@@ -73,7 +75,7 @@
     async def main():
         dying = writer("d1", breaks_after=2)
         async with deployments.deployed(
-            reader("p1"), dying, writer("d2", "b")
+            prefill_engine("p1"), dying, writer("d2", "b")
         ) as world:
             answer = await world.ask("/once/1")
             assert answer.numbers[:2] == [1, 2]
@@ -89,7 +91,9 @@
 
     async def main():
         async with deployments.deployed(
-            reader("p1"), writer("d1", loses_answers=True), writer("d2", "b")
+            prefill_engine("p1"),
+            writer("d1", loses_answers=True),
+            writer("d2", "b"),
         ) as world:
             answer = await world.ask("/once/1")
             assert answer.error is not None
@@ -103,7 +107,7 @@
 def test_a_caller_that_leaves_ends_the_engines_work():
     async def main():
         slow = writer("d1", events=100)
-        async with deployments.deployed(reader("p1"), slow) as world:
+        async with deployments.deployed(prefill_engine("p1"), slow) as world:
             await world.ask("/verdicts/1", leave_after_ms=700.0)
             assert not slow.at_work
             assert not slow.held
@@ -113,7 +117,7 @@
 
 def test_a_caller_that_leaves_while_its_prompt_is_read_leaves_nothing():
     async def main():
-        long_reader = reader("p1", prefill_token_ms=0.2)
+        long_reader = prefill_engine("p1", prefill_token_ms=0.2)
         async with deployments.deployed(long_reader, writer("d1")) as world:
             await world.ask("/verdicts/1", leave_after_ms=300.0)
             await world.clock.sleep_ms(10.0)
@@ -126,7 +130,7 @@
 def test_the_deadline_ends_a_stream():
     async def main():
         endless = writer("d1", events=1_000)
-        async with deployments.deployed(reader("p1"), endless) as world:
+        async with deployments.deployed(prefill_engine("p1"), endless) as world:
             answer = await world.ask("/verdicts/1")
             timeout_ms = deployments.STREAM.timeout_ms
             assert answer.took_ms == pytest.approx(timeout_ms, abs=20.0)
@@ -142,7 +146,7 @@
     async def main():
         dying = writer("d1", breaks_after=2)
         async with deployments.deployed(
-            reader("p1"), dying, writer("d2", "b")
+            prefill_engine("p1"), dying, writer("d2", "b")
         ) as world:
             await world.ask("/verdicts/1")
             assert [r.had_source for r in world.backends.runs] == [True, True]
@@ -158,7 +162,7 @@
         dying = writer("d1", breaks_after=2)
         dead = writer("d2", "a")
         async with deployments.deployed(
-            reader("p1"), dying, dead, writer("d3", "b")
+            prefill_engine("p1"), dying, dead, writer("d3", "b")
         ) as world:
             dead.is_unreachable = True
             answer = await world.ask("/verdicts/1")
@@ -173,7 +177,7 @@
 
     async def main():
         async with deployments.deployed(
-            reader("p1"), writer("d1", skips=3), writer("d2", "b")
+            prefill_engine("p1"), writer("d1", skips=3), writer("d2", "b")
         ) as world:
             answer = await world.ask("/verdicts/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
@@ -187,7 +191,9 @@
 
     async def main():
         async with deployments.deployed(
-            reader("p1"), writer("d1", loses_answers=True), writer("d2", "b")
+            prefill_engine("p1"),
+            writer("d1", loses_answers=True),
+            writer("d2", "b"),
         ) as world:
             route = dataclasses.replace(deployments.ONE_STREAM, max_attempts=3)
             world.configurations.put(
--- a/tests/leadership/test_backoff.py
+++ b/tests/leadership/test_backoff.py
@@ -16,7 +16,7 @@
 from tests.forwarding import deployments
 
 shop = deployments.shop
-reader = deployments.reader
+prefill_engine = deployments.prefill_engine
 writer = deployments.writer
 
 NAMES = ("e1", "e2", "e3", "e4")
@@ -74,8 +74,8 @@
     """The leader offers the engine to all; each checks its own backoff."""
 
     async def main():
-        overloaded = reader("p1")
-        backends = [overloaded, reader("p2"), writer("d1")]
+        overloaded = prefill_engine("p1")
+        backends = [overloaded, prefill_engine("p2"), writer("d1")]
         backends[2].memory_tokens = 400_000
         async with _deployed(*backends, names=NAMES[:3]) as world:
             await world.clock.sleep_ms(2_000.0)
@@ -101,7 +101,7 @@
     """
 
     async def main():
-        backends = [reader("p1"), writer("d1"), writer("d2")]
+        backends = [prefill_engine("p1"), writer("d1"), writer("d2")]
         for backend in backends:
             backend.memory_tokens = 400_000
         async with _deployed(*backends) as world:
@@ -147,7 +147,7 @@
 
 def test_stream_is_refused_at_once_while_all_engines_back_off():
     async def main():
-        backends = [reader("p1"), writer("d1", backoff_ms=5_000.0)]
+        backends = [prefill_engine("p1"), writer("d1", backoff_ms=5_000.0)]
         async with _deployed(*backends) as world:
             await world.clock.sleep_ms(2_000.0)
             await world.ask("/verdicts/1")
@@ -171,7 +171,7 @@
     async def main():
         rng = random.Random(seed)
         backends = [shop(f"s{n}") for n in range(4)]
-        backends += [reader("p1"), reader("p2")]
+        backends += [prefill_engine("p1"), prefill_engine("p2")]
         backends += [writer(f"d{n}") for n in range(3)]
         async with _deployed(*backends) as world:
             await world.clock.sleep_ms(2_000.0)
--- a/tests/leadership/test_crashing_requests.py
+++ b/tests/leadership/test_crashing_requests.py
@@ -17,7 +17,7 @@
 from tests.forwarding import deployments
 
 shop = deployments.shop
-reader = deployments.reader
+prefill_engine = deployments.prefill_engine
 writer = deployments.writer
 
 CRASHING = b"crashes each engine that runs it"
@@ -37,7 +37,7 @@
 
 
 def _backends():
-    backends = [reader("p1"), reader("p2", "b")]
+    backends = [prefill_engine("p1"), prefill_engine("p2", "b")]
     backends += [writer(f"d{n}", "abcd"[n % 4]) for n in range(6)]
     backends += [shop(f"s{n}", "abcd"[n % 4]) for n in range(6)]
     for backend in backends:
--- a/tests/leadership/test_fleet_quotas.py
+++ b/tests/leadership/test_fleet_quotas.py
@@ -52,7 +52,7 @@
 
 def _engines():
     return [
-        deployments.reader("p1"),
+        deployments.prefill_engine("p1"),
         *(deployments.writer(f"d{n}", memory_tokens=10**7) for n in range(3)),
     ]
 
@@ -194,7 +194,7 @@
     async def main():
         full = deployments.writer("d1", memory_tokens=10)
         async with deployments.deployed(
-            deployments.reader("p1"), full, names=NAMES, is_led=True
+            deployments.prefill_engine("p1"), full, names=NAMES, is_led=True
         ) as world:
             await _started(world, ("hot", SMALL))
             answers = await asyncio.gather(
@@ -218,7 +218,7 @@
 def test_resumed_stream_is_counted_once():
     async def main():
         async with deployments.deployed(
-            deployments.reader("p1"),
+            deployments.prefill_engine("p1"),
             deployments.writer("d1", breaks_after=2),
             deployments.writer("d2"),
             deployments.writer("d3"),
--- a/tests/leadership/test_leaving_endpoints.py
+++ b/tests/leadership/test_leaving_endpoints.py
@@ -16,7 +16,7 @@
 from tests.forwarding import deployments
 
 shop = deployments.shop
-reader = deployments.reader
+prefill_engine = deployments.prefill_engine
 writer = deployments.writer
 
 NAMES = ("e1", "e2", "e3", "e4")
@@ -77,7 +77,7 @@
 
     async def main():
         leaving_backend = writer("d1")
-        slow = reader("p1", prefill_token_ms=0.1)
+        slow = prefill_engine("p1", prefill_token_ms=0.1)
         async with _deployed(slow, leaving_backend, names=("e1",)) as world:
             await world.clock.sleep_ms(2_000.0)
             asked = asyncio.ensure_future(world.ask("/verdicts/1"))
--- a/tests/leadership/test_orders.py
+++ b/tests/leadership/test_orders.py
@@ -8,7 +8,7 @@
 from jujubewharf.forwarding import costs
 from tests.forwarding import deployments
 
-reader = deployments.reader
+prefill_engine = deployments.prefill_engine
 writer = deployments.writer
 
 # Time in ms until all instances follow a leader that may use its lease.
@@ -33,7 +33,7 @@
 
 
 def _engines():
-    readers = [reader(f"p{i}") for i in range(3)]
+    readers = [prefill_engine(f"p{i}") for i in range(3)]
     return [*readers, *(writer(f"d{i}") for i in range(3))]
 
 
--- a/tests/scenarios/test_forwarding.py
+++ b/tests/scenarios/test_forwarding.py
@@ -28,8 +28,8 @@
     def __init__(self) -> None:
         self.loop = virtual_time.VirtualLoop()
         self.world = deployments.Deployment(
-            deployments.reader("p1", "a"),
-            deployments.reader("p2", "b"),
+            deployments.prefill_engine("p1", "a"),
+            deployments.prefill_engine("p2", "b"),
             *(deployments.writer(f"d{d}", d) for d in "abc"),
             deployments.shop("s1", "a"),
             deployments.shop("s2", "b"),
