--- a/tests/forwarding/deployments.py
+++ b/tests/forwarding/deployments.py
@@ -84,7 +84,7 @@
     return engine(name, resources.Role.PREFILL, domain, **faults)
 
 
-def writer(name: str, domain: str = "a", **faults: Any):
+def decode_engine(name: str, domain: str = "a", **faults: Any):
     """A stand-in decode engine."""
     return engine(name, resources.Role.DECODE, domain, **faults)
 
@@ -105,7 +105,7 @@
         prefill_engine("p1"),
         prefill_engine("p2"),
     ]
-    behind += [writer("d1"), writer("d2")]
+    behind += [decode_engine("d1"), decode_engine("d2")]
     for backend in behind:
         backend.memory_tokens = memory_tokens
     return behind
--- a/tests/forwarding/test_accounts.py
+++ b/tests/forwarding/test_accounts.py
@@ -63,7 +63,7 @@
         async with deployments.deployed(
             deployments.shop("s1"),
             deployments.prefill_engine("p1"),
-            deployments.writer("d1"),
+            deployments.decode_engine("d1"),
         ) as world:
             _put_configuration(world, 2, SHOP)
             await world.clock.sleep_ms(300.0)
@@ -116,7 +116,7 @@
     async def main():
         async with deployments.deployed(
             deployments.prefill_engine("p1"),
-            deployments.writer("d1", events=40),
+            deployments.decode_engine("d1", events=40),
         ) as world:
             _put_configuration(world, 2, SHOP)
             await world.clock.sleep_ms(300.0)
--- a/tests/forwarding/test_attempts.py
+++ b/tests/forwarding/test_attempts.py
@@ -10,13 +10,13 @@
 from tests.forwarding import deployments
 
 prefill_engine = deployments.prefill_engine
-writer = deployments.writer
+decode_engine = deployments.decode_engine
 
 
 def test_a_prompt_is_read_apart_and_the_answer_is_whole():
     async def main():
         async with deployments.deployed(
-            prefill_engine("p1"), writer("d1")
+            prefill_engine("p1"), decode_engine("d1")
         ) as world:
             answer = await world.ask("/verdicts/1")
             assert answer.status == 200
@@ -31,7 +31,7 @@
 
 def test_without_a_prefill_engine_the_decode_engine_reads():
     async def main():
-        async with deployments.deployed(writer("d1")) as world:
+        async with deployments.deployed(decode_engine("d1")) as world:
             answer = await world.ask("/verdicts/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
             (ran,) = world.backends.runs
@@ -44,7 +44,7 @@
     """Prefill without reserved memory is wasted, since its result expires."""
 
     async def main():
-        full = writer("d1", memory_tokens=100)
+        full = decode_engine("d1", memory_tokens=100)
         async with deployments.deployed(prefill_engine("p1"), full) as world:
             answer = await world.ask("/verdicts/1", patience_ms=14_000.0)
             assert answer.error is not None
@@ -66,7 +66,7 @@
     """
 
     async def main():
-        full = writer("d1", memory_tokens=100)
+        full = decode_engine("d1", memory_tokens=100)
         async with deployments.deployed(prefill_engine("p1"), full) as world:
             first = await world.ask("/verdicts/1", patience_ms=14_000.0)
             again = await world.ask("/verdicts/1", patience_ms=10_500.0)
@@ -84,7 +84,7 @@
     """
 
     async def main():
-        tight = writer("d1", memory_tokens=16_000, events=6)
+        tight = decode_engine("d1", memory_tokens=16_000, events=6)
         async with deployments.deployed(prefill_engine("p1"), tight) as world:
             first = asyncio.ensure_future(
                 world.ask("/verdicts/1", patience_ms=14_000.0)
@@ -106,7 +106,7 @@
 
 def test_memory_that_comes_free_in_time_is_taken():
     async def main():
-        tight = writer("d1", memory_tokens=20_000, events=6)
+        tight = decode_engine("d1", memory_tokens=20_000, events=6)
         async with deployments.deployed(prefill_engine("p1"), tight) as world:
             answers = await world.ask_all("/verdicts/1", "/verdicts/2")
             assert [a.numbers[-1] for a in answers] == [6, 6]
@@ -122,7 +122,7 @@
     """
 
     async def main():
-        deaf = writer("d1", refuses_sources=True)
+        deaf = decode_engine("d1", refuses_sources=True)
         async with deployments.deployed(prefill_engine("p1"), deaf) as world:
             answer = await world.ask("/verdicts/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
@@ -141,9 +141,9 @@
     """
 
     async def main():
-        changing = writer("d1", is_changing=True)
+        changing = decode_engine("d1", is_changing=True)
         async with deployments.deployed(
-            prefill_engine("p1"), changing, writer("d2", "b")
+            prefill_engine("p1"), changing, decode_engine("d2", "b")
         ) as world:
             answers = [await world.ask(f"/verdicts/{i}") for i in range(5)]
             assert [a.numbers for a in answers] == [[1, 2, 3, 4, 5]] * 5
@@ -158,9 +158,9 @@
     """A replaced engine is dropped on its refusal, without the store."""
 
     async def main():
-        replaced = writer("d1", is_replaced=True)
+        replaced = decode_engine("d1", is_replaced=True)
         async with deployments.deployed(
-            prefill_engine("p1"), replaced, writer("d2", "b")
+            prefill_engine("p1"), replaced, decode_engine("d2", "b")
         ) as world:
             world.endpoints.is_down = True
             for i in range(4):
@@ -177,9 +177,9 @@
 
     async def main():
         slow_reader = prefill_engine("p1", prefill_token_ms=0.4)
-        leaving = writer("d1")
+        leaving = decode_engine("d1")
         async with deployments.deployed(
-            slow_reader, leaving, writer("d2", "b")
+            slow_reader, leaving, decode_engine("d2", "b")
         ) as world:
             asked = asyncio.create_task(world.ask("/verdicts/1"))
             await world.clock.sleep_ms(50.0)
@@ -193,9 +193,9 @@
 
 def test_an_engine_with_another_role_is_left_for_another():
     async def main():
-        other = writer("d1")
+        other = decode_engine("d1")
         async with deployments.deployed(
-            prefill_engine("p1"), other, writer("d2", "b")
+            prefill_engine("p1"), other, decode_engine("d2", "b")
         ) as world:
             # The registration lags behind the engine's actual role.
             other.endpoint = other.endpoint.__class__(
@@ -213,8 +213,8 @@
     async def main():
         async with deployments.deployed(
             prefill_engine("p1"),
-            writer("d1", is_unreachable=True),
-            writer("d2", "b"),
+            decode_engine("d1", is_unreachable=True),
+            decode_engine("d2", "b"),
         ) as world:
             answer = await world.ask("/once/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
@@ -231,9 +231,9 @@
     async def main():
         changing = prefill_engine("p1")
         async with deployments.deployed(
-            changing, prefill_engine("p2", "b"), writer("d1")
+            changing, prefill_engine("p2", "b"), decode_engine("d1")
         ) as world:
-            changing.endpoint = writer("p1").endpoint
+            changing.endpoint = decode_engine("p1").endpoint
             for i in range(3):
                 answer = await world.ask(f"/verdicts/{i}")
                 assert answer.numbers == [1, 2, 3, 4, 5]
@@ -247,8 +247,8 @@
     """An unreachable engine is not retried in every round of the wait."""
 
     async def main():
-        dead = writer("d1", is_unreachable=True)
-        full = writer("d2", memory_tokens=100)
+        dead = decode_engine("d1", is_unreachable=True)
+        full = decode_engine("d2", memory_tokens=100)
         async with deployments.deployed(
             prefill_engine("p1"), dead, full
         ) as world:
@@ -274,8 +274,10 @@
     """
 
     async def main():
-        changing = writer("d1", is_changing=True)
-        async with deployments.deployed(changing, writer("d2", "b")) as world:
+        changing = decode_engine("d1", is_changing=True)
+        async with deployments.deployed(
+            changing, decode_engine("d2", "b")
+        ) as world:
             for i in range(4):
                 answer = await world.ask(f"/verdicts/{i}")
                 assert answer.numbers == [1, 2, 3, 4, 5]
@@ -288,8 +290,10 @@
     """An engine that changes roles is unused until it registers the new one."""
 
     async def main():
-        changing = writer("d1", is_changing=True)
-        async with deployments.deployed(changing, writer("d2", "b")) as world:
+        changing = decode_engine("d1", is_changing=True)
+        async with deployments.deployed(
+            changing, decode_engine("d2", "b")
+        ) as world:
             await world.ask("/verdicts/1")
             await world.clock.sleep_ms(8_000.0)
             await world.ask("/verdicts/2")
@@ -306,7 +310,7 @@
 def test_a_request_without_size_is_sent_all_the_same():
     async def main():
         async with deployments.deployed(
-            prefill_engine("p1"), writer("d1")
+            prefill_engine("p1"), decode_engine("d1")
         ) as world:
             answer = await world.ask("/verdicts/1", work=None)
             assert answer.numbers == [1, 2, 3, 4, 5]
@@ -320,7 +324,7 @@
 
     async def main():
         busy = prefill_engine("p1", refuses_readings=True)
-        async with deployments.deployed(busy, writer("d1")) as world:
+        async with deployments.deployed(busy, decode_engine("d1")) as world:
             budget = world.instances["e1"].budget
             while budget.take(deployments.ENGINES):
                 pass
@@ -341,7 +345,7 @@
 
     async def main():
         dark = prefill_engine("p1", loses_readings=True)
-        async with deployments.deployed(dark, writer("d1")) as world:
+        async with deployments.deployed(dark, decode_engine("d1")) as world:
             budget = world.instances["e1"].budget
             while budget.take(deployments.ENGINES):
                 pass
@@ -359,9 +363,9 @@
 
     async def main():
         lossy = prefill_engine("p1", loses_readings=True)
-        changing = writer("d1", is_changing=True)
+        changing = decode_engine("d1", is_changing=True)
         async with deployments.deployed(
-            lossy, changing, writer("d2", "b")
+            lossy, changing, decode_engine("d2", "b")
         ) as world:
             budget = world.instances["e1"].budget
             before = budget.remaining(deployments.ENGINES)
@@ -380,7 +384,7 @@
     """An unresponsive engine delays one request, not the whole queue."""
 
     async def main():
-        dark, well = writer("d1"), writer("d2")
+        dark, well = decode_engine("d1"), decode_engine("d2")
         async with deployments.deployed(
             prefill_engine("p1"), dark, well
         ) as world:
--- a/tests/forwarding/test_crash_detection.py
+++ b/tests/forwarding/test_crash_detection.py
@@ -21,8 +21,8 @@
     async def main():
         async with deployments.deployed(
             deployments.prefill_engine("p1"),
-            deployments.writer("d1"),
-            deployments.writer("d2"),
+            deployments.decode_engine("d1"),
+            deployments.decode_engine("d2"),
         ) as world:
             world.backends.crashing.add(CRASHING)
             with structlog.testing.capture_logs() as lines:
--- a/tests/forwarding/test_engine_pool.py
+++ b/tests/forwarding/test_engine_pool.py
@@ -13,8 +13,8 @@
 from tests.forwarding import deployments
 
 MEMORY = 40_000
-NEAR = [deployments.writer(f"near{n}", "a").endpoint for n in range(2)]
-FAR = [deployments.writer(f"far{n}", "b").endpoint for n in range(2)]
+NEAR = [deployments.decode_engine(f"near{n}", "a").endpoint for n in range(2)]
+FAR = [deployments.decode_engine(f"far{n}", "b").endpoint for n in range(2)]
 
 
 def _with_pool(test):
--- a/tests/forwarding/test_golden_session.py
+++ b/tests/forwarding/test_golden_session.py
@@ -55,8 +55,8 @@
     async def main():
         async with deployments.deployed(
             deployments.prefill_engine("p1"),
-            deployments.writer("d1"),
-            deployments.writer("d2", "b"),
+            deployments.decode_engine("d1"),
+            deployments.decode_engine("d2", "b"),
             deployments.shop("s1"),
             deployments.shop("s2", "b"),
         ) as world:
--- a/tests/forwarding/test_random_faults.py
+++ b/tests/forwarding/test_random_faults.py
@@ -29,7 +29,7 @@
     found = []
     for number, domain in enumerate(DOMAINS):
         found.append(deployments.prefill_engine(f"p{number}", domain))
-        found.append(deployments.writer(f"d{number}", domain))
+        found.append(deployments.decode_engine(f"d{number}", domain))
         found.append(deployments.shop(f"s{number}", domain))
     return found
 
--- a/tests/forwarding/test_role_controller.py
+++ b/tests/forwarding/test_role_controller.py
@@ -11,13 +11,13 @@
 from tests.forwarding import deployments
 
 prefill_engine = deployments.prefill_engine
-writer = deployments.writer
+decode_engine = deployments.decode_engine
 
 
 def _too_many_prefill_engines():
     """Returns three prefill engines where the plan wants one."""
     readers = [prefill_engine(f"p{i}") for i in range(3)]
-    return [*readers, *(writer(f"d{i}") for i in range(3))]
+    return [*readers, *(decode_engine(f"d{i}") for i in range(3))]
 
 
 @contextlib.asynccontextmanager
@@ -135,7 +135,7 @@
     """Returns one prefill and three decode engines, as the plan wants."""
     return [
         prefill_engine("p0", "a"),
-        *(writer(f"d{i}", "b") for i in range(3)),
+        *(decode_engine(f"d{i}", "b") for i in range(3)),
     ]
 
 
@@ -217,7 +217,7 @@
             old.is_unreachable = True
             deployment.endpoints.put("p0", None)
             await deployment.clock.sleep_ms(2_000.0)
-            again = writer("d9")
+            again = decode_engine("d9")
             deployment.backends.by_name["d9"] = again
             deployment.register(again, address=old.endpoint.address)
             await deployment.clock.sleep_ms(800.0 + 500.0 + 1_000.0 + 500.0)
@@ -235,7 +235,7 @@
             await deployment.clock.sleep_ms(8_000.0)
             old = deployment.backends.by_name["p0"]
             old.is_unreachable = True
-            again = writer("d9")
+            again = decode_engine("d9")
             deployment.backends.by_name["d9"] = again
             deployment.register(again, address=old.endpoint.address)
             await deployment.clock.sleep_ms(2_000.0)
@@ -282,7 +282,7 @@
 
 def test_missing_prefill_engine_is_ordered_without_costs():
     async def main():
-        writers = [writer(f"d{i}") for i in range(3)]
+        writers = [decode_engine(f"d{i}") for i in range(3)]
         async with deployments.deployed(*writers) as deployment:
             await deployment.clock.sleep_ms(8_000.0)
             ((_, order),) = _received_orders(deployment)
@@ -307,7 +307,10 @@
     """A wrong cost estimate must not reassign most engines at once."""
 
     async def main():
-        behind = [prefill_engine("p1"), *(writer(f"d{i}") for i in range(8))]
+        behind = [
+            prefill_engine("p1"),
+            *(decode_engine(f"d{i}") for i in range(8)),
+        ]
         async with deployments.deployed(*behind) as deployment:
             estimates = deployment.instances["e1"].work
             for _ in range(20):
--- a/tests/forwarding/test_role_plan.py
+++ b/tests/forwarding/test_role_plan.py
@@ -58,7 +58,7 @@
         deployments.prefill_engine("p1", "a").endpoint,
         deployments.prefill_engine("p2", "a").endpoint,
         deployments.prefill_engine("p3", "b").endpoint,
-        *(deployments.writer(f"d{i}", "c").endpoint for i in range(3)),
+        *(deployments.decode_engine(f"d{i}", "c").endpoint for i in range(3)),
     ]
     found = role_plan.plan_changes(engines, prefill_ms=90.0, decode_ms=480.0)
     assert [change.engine.domain for change in found] == ["a", "a"]
--- a/tests/forwarding/test_shutdown.py
+++ b/tests/forwarding/test_shutdown.py
@@ -14,7 +14,7 @@
     async def main():
         async with deployments.deployed(
             deployments.prefill_engine("p1"),
-            deployments.writer("d1", events=60),
+            deployments.decode_engine("d1", events=60),
             deployments.shop("s1"),
         ) as world:
             instance = world.instances["e1"]
@@ -37,7 +37,7 @@
 
 def test_it_ends_before_it_is_killed():
     async def main():
-        endless = deployments.writer("d1", events=10_000)
+        endless = deployments.decode_engine("d1", events=10_000)
         async with deployments.deployed(
             deployments.prefill_engine("p1"), endless
         ) as world:
--- a/tests/forwarding/test_stream.py
+++ b/tests/forwarding/test_stream.py
@@ -11,16 +11,16 @@
 from tests.forwarding import deployments
 
 prefill_engine = deployments.prefill_engine
-writer = deployments.writer
+decode_engine = deployments.decode_engine
 
 
 def test_a_broken_stream_goes_on_after_the_last_whole_event():
     """A stream that breaks inside an event resumes without gap or repeat."""
 
     async def main():
-        dying = writer("d1", breaks_after=2)
+        dying = decode_engine("d1", breaks_after=2)
         async with deployments.deployed(
-            prefill_engine("p1"), dying, writer("d2", "b")
+            prefill_engine("p1"), dying, decode_engine("d2", "b")
         ) as world:
             answer = await world.ask("/verdicts/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
@@ -39,9 +39,9 @@
     """
 
     async def main():
-        dark = writer("d1", stalls_after=2)
+        dark = decode_engine("d1", stalls_after=2)
         async with deployments.deployed(
-            prefill_engine("p1"), dark, writer("d2", "b")
+            prefill_engine("p1"), dark, decode_engine("d2", "b")
         ) as world:
             answer = await world.ask("/verdicts/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
@@ -55,9 +55,9 @@
     """A stream that resumes is not deprioritised like a late request."""
 
     async def main():
-        tight = writer("d2")
+        tight = decode_engine("d2")
         tight.held["others"] = tight.memory_tokens // 2
-        lost = writer("d1", stalls_after=2)
+        lost = decode_engine("d1", stalls_after=2)
         async with deployments.deployed(
             prefill_engine("p1"), lost, tight
         ) as world:
@@ -73,9 +73,9 @@
     """The caller never gets events of a second run."""
 
     async def main():
-        dying = writer("d1", breaks_after=2)
+        dying = decode_engine("d1", breaks_after=2)
         async with deployments.deployed(
-            prefill_engine("p1"), dying, writer("d2", "b")
+            prefill_engine("p1"), dying, decode_engine("d2", "b")
         ) as world:
             answer = await world.ask("/once/1")
             assert answer.numbers[:2] == [1, 2]
@@ -92,8 +92,8 @@
     async def main():
         async with deployments.deployed(
             prefill_engine("p1"),
-            writer("d1", loses_answers=True),
-            writer("d2", "b"),
+            decode_engine("d1", loses_answers=True),
+            decode_engine("d2", "b"),
         ) as world:
             answer = await world.ask("/once/1")
             assert answer.error is not None
@@ -106,7 +106,7 @@
 
 def test_a_caller_that_leaves_ends_the_engines_work():
     async def main():
-        slow = writer("d1", events=100)
+        slow = decode_engine("d1", events=100)
         async with deployments.deployed(prefill_engine("p1"), slow) as world:
             await world.ask("/verdicts/1", leave_after_ms=700.0)
             assert not slow.at_work
@@ -118,7 +118,9 @@
 def test_a_caller_that_leaves_while_its_prompt_is_read_leaves_nothing():
     async def main():
         long_reader = prefill_engine("p1", prefill_token_ms=0.2)
-        async with deployments.deployed(long_reader, writer("d1")) as world:
+        async with deployments.deployed(
+            long_reader, decode_engine("d1")
+        ) as world:
             await world.ask("/verdicts/1", leave_after_ms=300.0)
             await world.clock.sleep_ms(10.0)
             assert not world.backends.by_name["d1"].held
@@ -129,7 +131,7 @@
 
 def test_the_deadline_ends_a_stream():
     async def main():
-        endless = writer("d1", events=1_000)
+        endless = decode_engine("d1", events=1_000)
         async with deployments.deployed(prefill_engine("p1"), endless) as world:
             answer = await world.ask("/verdicts/1")
             timeout_ms = deployments.STREAM.timeout_ms
@@ -144,9 +146,9 @@
     """Prefill on the resuming decode engine would stall its other answers."""
 
     async def main():
-        dying = writer("d1", breaks_after=2)
+        dying = decode_engine("d1", breaks_after=2)
         async with deployments.deployed(
-            prefill_engine("p1"), dying, writer("d2", "b")
+            prefill_engine("p1"), dying, decode_engine("d2", "b")
         ) as world:
             await world.ask("/verdicts/1")
             assert [r.had_source for r in world.backends.runs] == [True, True]
@@ -159,10 +161,10 @@
     """An unreachable engine does not count as an attempt."""
 
     async def main():
-        dying = writer("d1", breaks_after=2)
-        dead = writer("d2", "a")
+        dying = decode_engine("d1", breaks_after=2)
+        dead = decode_engine("d2", "a")
         async with deployments.deployed(
-            prefill_engine("p1"), dying, dead, writer("d3", "b")
+            prefill_engine("p1"), dying, dead, decode_engine("d3", "b")
         ) as world:
             dead.is_unreachable = True
             answer = await world.ask("/verdicts/1")
@@ -177,7 +179,9 @@
 
     async def main():
         async with deployments.deployed(
-            prefill_engine("p1"), writer("d1", skips=3), writer("d2", "b")
+            prefill_engine("p1"),
+            decode_engine("d1", skips=3),
+            decode_engine("d2", "b"),
         ) as world:
             answer = await world.ask("/verdicts/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
@@ -192,8 +196,8 @@
     async def main():
         async with deployments.deployed(
             prefill_engine("p1"),
-            writer("d1", loses_answers=True),
-            writer("d2", "b"),
+            decode_engine("d1", loses_answers=True),
+            decode_engine("d2", "b"),
         ) as world:
             route = dataclasses.replace(deployments.ONE_STREAM, max_attempts=3)
             world.configurations.put(
--- a/tests/leadership/test_backoff.py
+++ b/tests/leadership/test_backoff.py
@@ -17,7 +17,7 @@
 
 shop = deployments.shop
 prefill_engine = deployments.prefill_engine
-writer = deployments.writer
+decode_engine = deployments.decode_engine
 
 NAMES = ("e1", "e2", "e3", "e4")
 BACKOFF_MS = 3_000.0
@@ -75,7 +75,7 @@
 
     async def main():
         overloaded = prefill_engine("p1")
-        backends = [overloaded, prefill_engine("p2"), writer("d1")]
+        backends = [overloaded, prefill_engine("p2"), decode_engine("d1")]
         backends[2].memory_tokens = 400_000
         async with _deployed(*backends, names=NAMES[:3]) as world:
             await world.clock.sleep_ms(2_000.0)
@@ -101,7 +101,11 @@
     """
 
     async def main():
-        backends = [prefill_engine("p1"), writer("d1"), writer("d2")]
+        backends = [
+            prefill_engine("p1"),
+            decode_engine("d1"),
+            decode_engine("d2"),
+        ]
         for backend in backends:
             backend.memory_tokens = 400_000
         async with _deployed(*backends) as world:
@@ -147,7 +151,10 @@
 
 def test_stream_is_refused_at_once_while_all_engines_back_off():
     async def main():
-        backends = [prefill_engine("p1"), writer("d1", backoff_ms=5_000.0)]
+        backends = [
+            prefill_engine("p1"),
+            decode_engine("d1", backoff_ms=5_000.0),
+        ]
         async with _deployed(*backends) as world:
             await world.clock.sleep_ms(2_000.0)
             await world.ask("/verdicts/1")
@@ -172,7 +179,7 @@
         rng = random.Random(seed)
         backends = [shop(f"s{n}") for n in range(4)]
         backends += [prefill_engine("p1"), prefill_engine("p2")]
-        backends += [writer(f"d{n}") for n in range(3)]
+        backends += [decode_engine(f"d{n}") for n in range(3)]
         async with _deployed(*backends) as world:
             await world.clock.sleep_ms(2_000.0)
             floods = [
--- a/tests/leadership/test_crashing_requests.py
+++ b/tests/leadership/test_crashing_requests.py
@@ -18,7 +18,7 @@
 
 shop = deployments.shop
 prefill_engine = deployments.prefill_engine
-writer = deployments.writer
+decode_engine = deployments.decode_engine
 
 CRASHING = b"crashes each engine that runs it"
 NAMES = ("e1", "e2", "e3", "e4", "e5", "e6")
@@ -38,7 +38,7 @@
 
 def _backends():
     backends = [prefill_engine("p1"), prefill_engine("p2", "b")]
-    backends += [writer(f"d{n}", "abcd"[n % 4]) for n in range(6)]
+    backends += [decode_engine(f"d{n}", "abcd"[n % 4]) for n in range(6)]
     backends += [shop(f"s{n}", "abcd"[n % 4]) for n in range(6)]
     for backend in backends:
         backend.memory_tokens = 400_000
--- a/tests/leadership/test_endpoint_limits.py
+++ b/tests/leadership/test_endpoint_limits.py
@@ -16,7 +16,7 @@
 
 shop = deployments.shop
 prefill_engine = deployments.prefill_engine
-writer = deployments.writer
+decode_engine = deployments.decode_engine
 
 NAMES = ("e1", "e2", "e3", "e4", "e5", "e6")
 WINDOW_MS = 4_000.0
@@ -82,8 +82,8 @@
         engines = [
             prefill_engine("p1"),
             prefill_engine("p2"),
-            writer("d1"),
-            writer("d2"),
+            decode_engine("d1"),
+            decode_engine("d2"),
         ]
         for engine in engines:
             engine.memory_tokens = 200_000
@@ -108,7 +108,7 @@
 
     async def main():
         slow = prefill_engine("p1", prefill_token_ms=0.3)
-        weak, other = writer("d1"), writer("d2")
+        weak, other = decode_engine("d1"), decode_engine("d2")
         for engine in (slow, weak, other):
             engine.memory_tokens = 4_000_000
         async with _deployed(slow, weak, other) as world:
@@ -174,7 +174,10 @@
     """A caller must not wait for a permit that comes after its target."""
 
     async def main():
-        engines = [prefill_engine("p1"), writer("d1", rate_limit_per_s=0.5)]
+        engines = [
+            prefill_engine("p1"),
+            decode_engine("d1", rate_limit_per_s=0.5),
+        ]
         async with _deployed(*engines) as world:
             await world.clock.sleep_ms(2_000.0)
             await world.ask("/verdicts/1")
--- a/tests/leadership/test_fleet_quotas.py
+++ b/tests/leadership/test_fleet_quotas.py
@@ -53,7 +53,10 @@
 def _engines():
     return [
         deployments.prefill_engine("p1"),
-        *(deployments.writer(f"d{n}", memory_tokens=10**7) for n in range(3)),
+        *(
+            deployments.decode_engine(f"d{n}", memory_tokens=10**7)
+            for n in range(3)
+        ),
     ]
 
 
@@ -192,7 +195,7 @@
     """
 
     async def main():
-        full = deployments.writer("d1", memory_tokens=10)
+        full = deployments.decode_engine("d1", memory_tokens=10)
         async with deployments.deployed(
             deployments.prefill_engine("p1"), full, names=NAMES, is_led=True
         ) as world:
@@ -219,9 +222,9 @@
     async def main():
         async with deployments.deployed(
             deployments.prefill_engine("p1"),
-            deployments.writer("d1", breaks_after=2),
-            deployments.writer("d2"),
-            deployments.writer("d3"),
+            deployments.decode_engine("d1", breaks_after=2),
+            deployments.decode_engine("d2"),
+            deployments.decode_engine("d3"),
             names=NAMES,
             is_led=True,
         ) as world:
--- a/tests/leadership/test_innocent_requests.py
+++ b/tests/leadership/test_innocent_requests.py
@@ -19,7 +19,9 @@
 @contextlib.asynccontextmanager
 async def _deployed():
     backends = [deployments.prefill_engine("p1")]
-    backends += [deployments.writer(f"d{n}", "abc"[n % 3]) for n in range(6)]
+    backends += [
+        deployments.decode_engine(f"d{n}", "abc"[n % 3]) for n in range(6)
+    ]
     backends += [deployments.shop(f"s{n}", "abc"[n % 3]) for n in range(6)]
     for backend in backends:
         backend.memory_tokens = 400_000
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -13,7 +13,7 @@
 from tests.forwarding import deployments
 
 prefill_engine = deployments.prefill_engine
-writer = deployments.writer
+decode_engine = deployments.decode_engine
 
 NAMES = ("e1", "e2", "e3", "e4")
 # Time in ms until all instances have found a new leader: the old lease lasts
@@ -31,7 +31,9 @@
 
 def test_one_instance_leads_and_others_follow():
     async def main():
-        async with _deployed(prefill_engine("p1"), writer("d1")) as world:
+        async with _deployed(
+            prefill_engine("p1"), decode_engine("d1")
+        ) as world:
             await world.clock.sleep_ms(2_000.0)
             leading = [
                 name
@@ -52,12 +54,16 @@
     """Reads of the store must not grow with the number of instances."""
 
     async def main():
-        async with _deployed(prefill_engine("p1"), writer("d1")) as world:
+        async with _deployed(
+            prefill_engine("p1"), decode_engine("d1")
+        ) as world:
             await world.clock.sleep_ms(2_000.0)
             before = world.endpoints.reads + world.configurations.reads
             await world.clock.sleep_ms(10_000.0)
             after = world.endpoints.reads + world.configurations.reads
-            alone = deployments.Deployment(prefill_engine("p1"), writer("d1"))
+            alone = deployments.Deployment(
+                prefill_engine("p1"), decode_engine("d1")
+            )
             await alone.start(*NAMES)
             await alone.clock.sleep_ms(2_000.0)
             first = alone.endpoints.reads + alone.configurations.reads
@@ -73,7 +79,9 @@
     """A new configuration is in force everywhere within a second."""
 
     async def main():
-        async with _deployed(prefill_engine("p1"), writer("d1")) as world:
+        async with _deployed(
+            prefill_engine("p1"), decode_engine("d1")
+        ) as world:
             await world.clock.sleep_ms(2_000.0)
             world.configurations.put("config", deployments.configuration(9))
             await world.clock.sleep_ms(1_000.0)
@@ -87,9 +95,9 @@
 
 def test_followers_send_no_work_to_leaving_engine():
     async def main():
-        leaving_engine = writer("d1")
+        leaving_engine = decode_engine("d1")
         async with _deployed(
-            prefill_engine("p1"), leaving_engine, writer("d2")
+            prefill_engine("p1"), leaving_engine, decode_engine("d2")
         ) as world:
             await world.clock.sleep_ms(2_000.0)
             world.register(leaving_engine, drained=True)
@@ -110,7 +118,7 @@
     async def main():
         leaving_engine = prefill_engine("p1")
         async with _deployed(
-            leaving_engine, prefill_engine("p2"), writer("d1")
+            leaving_engine, prefill_engine("p2"), decode_engine("d1")
         ) as world:
             await world.clock.sleep_ms(2_000.0)
             world.instances[world.leader].registry.apply = lambda records: None
@@ -136,7 +144,9 @@
     """
 
     async def main():
-        async with _deployed(prefill_engine("p1"), writer("d1")) as world:
+        async with _deployed(
+            prefill_engine("p1"), decode_engine("d1")
+        ) as world:
             await world.clock.sleep_ms(2_000.0)
             old = world.leader
             await world.instances.pop(old).stop()
@@ -161,7 +171,9 @@
     """A restarted leader must not wait for its previous lease to expire."""
 
     async def main():
-        async with _deployed(prefill_engine("p1"), writer("d1")) as world:
+        async with _deployed(
+            prefill_engine("p1"), decode_engine("d1")
+        ) as world:
             await world.clock.sleep_ms(2_000.0)
             old = world.leader
             killed = world.instances.pop(old)
@@ -185,7 +197,9 @@
     """
 
     async def main():
-        world = deployments.Deployment(prefill_engine("p1"), writer("d1"))
+        world = deployments.Deployment(
+            prefill_engine("p1"), decode_engine("d1")
+        )
         await world.start("e1", domain="a", is_led=True)
         await world.clock.sleep_ms(2_000.0)
         assert world.leader == "e1"
@@ -213,7 +227,7 @@
         loop.set_exception_handler(
             lambda loop, context: reported.append(context["message"])
         )
-        engines = [prefill_engine("p1"), writer("d1", memory_tokens=0)]
+        engines = [prefill_engine("p1"), decode_engine("d1", memory_tokens=0)]
         async with _deployed(*engines) as world:
             await world.clock.sleep_ms(2_000.0)
             follower = _followers(world)[0]
@@ -239,7 +253,9 @@
     """Followers must not rely on a leader that can't read the store."""
 
     async def main():
-        async with _deployed(prefill_engine("p1"), writer("d1")) as world:
+        async with _deployed(
+            prefill_engine("p1"), decode_engine("d1")
+        ) as world:
             await world.clock.sleep_ms(2_000.0)
             old = world.leader
             world.leaders.cut_off.add(f"{old}:1")
@@ -257,7 +273,9 @@
     """Heartbeats continue while a lease renewal hangs."""
 
     async def main():
-        async with _deployed(prefill_engine("p1"), writer("d1")) as world:
+        async with _deployed(
+            prefill_engine("p1"), decode_engine("d1")
+        ) as world:
             await world.clock.sleep_ms(2_000.0)
             group = world.instances[world.leader]._leadership._group
             join = group.join
@@ -284,7 +302,7 @@
     async def main():
         names = tuple(f"e{i}" for i in range(30))
         async with _deployed(
-            prefill_engine("p1"), writer("d1"), names=names
+            prefill_engine("p1"), decode_engine("d1"), names=names
         ) as world:
             await world.clock.sleep_ms(6_000.0)
             shares = [i._retry_share() for i in world.instances.values()]
@@ -299,7 +317,7 @@
     """No memory stays reserved for a caller that left the wait queue."""
 
     async def main():
-        small = writer("d1", memory_tokens=16_000, event_ms=200.0)
+        small = decode_engine("d1", memory_tokens=16_000, event_ms=200.0)
         async with _deployed(prefill_engine("p1"), small) as world:
             await world.clock.sleep_ms(2_000.0)
             (other, *_) = sorted(set(world.instances) - {world.leader})
@@ -320,7 +338,7 @@
     """Callers of different instances get different retry-after times."""
 
     async def main():
-        full = writer("d1", memory_tokens=100)
+        full = decode_engine("d1", memory_tokens=100)
         async with _deployed(prefill_engine("p1"), full) as world:
             await world.clock.sleep_ms(2_000.0)
             retry_times_ms = []
@@ -342,7 +360,9 @@
     """Followers don't read a configuration that the leader sends."""
 
     async def main():
-        async with _deployed(prefill_engine("p1"), writer("d1")) as world:
+        async with _deployed(
+            prefill_engine("p1"), decode_engine("d1")
+        ) as world:
             await world.clock.sleep_ms(2_000.0)
             followers = _followers(world)
             before = world.configurations.reads
@@ -358,7 +378,9 @@
 
 def test_large_configuration_is_in_force_everywhere():
     async def main():
-        async with _deployed(prefill_engine("p1"), writer("d1")) as world:
+        async with _deployed(
+            prefill_engine("p1"), decode_engine("d1")
+        ) as world:
             await world.clock.sleep_ms(2_000.0)
             many = [
                 dataclasses.replace(
@@ -385,7 +407,7 @@
     async def main():
         many = [deployments.shop(f"s{i}") for i in range(60)]
         async with _deployed(
-            prefill_engine("p1"), writer("d1"), *many
+            prefill_engine("p1"), decode_engine("d1"), *many
         ) as world:
             await world.clock.sleep_ms(2_000.0)
             leader = world.leader
@@ -407,7 +429,9 @@
     """The instance with the most cores wins the election."""
 
     async def main():
-        world = deployments.Deployment(prefill_engine("p1"), writer("d1"))
+        world = deployments.Deployment(
+            prefill_engine("p1"), decode_engine("d1")
+        )
         world.cores = {"e7": 2.0}
         await world.start(*(f"e{i}" for i in range(12)), is_led=True)
         await world.clock.sleep_ms(2_000.0)
--- a/tests/leadership/test_leaving_endpoints.py
+++ b/tests/leadership/test_leaving_endpoints.py
@@ -17,7 +17,7 @@
 
 shop = deployments.shop
 prefill_engine = deployments.prefill_engine
-writer = deployments.writer
+decode_engine = deployments.decode_engine
 
 NAMES = ("e1", "e2", "e3", "e4")
 # Time in ms after which an informed instance must send no more requests.
@@ -76,7 +76,7 @@
     """The notice arrives after placement, during prefill elsewhere."""
 
     async def main():
-        leaving_backend = writer("d1")
+        leaving_backend = decode_engine("d1")
         slow = prefill_engine("p1", prefill_token_ms=0.1)
         async with _deployed(slow, leaving_backend, names=("e1",)) as world:
             await world.clock.sleep_ms(2_000.0)
--- a/tests/leadership/test_orders.py
+++ b/tests/leadership/test_orders.py
@@ -9,7 +9,7 @@
 from tests.forwarding import deployments
 
 prefill_engine = deployments.prefill_engine
-writer = deployments.writer
+decode_engine = deployments.decode_engine
 
 # Time in ms until all instances follow a leader that may use its lease.
 SETTLED_MS = 9_000.0
@@ -17,7 +17,7 @@
 
 def test_only_the_leader_gives_orders():
     async def main():
-        backends = [writer(f"d{i}") for i in range(4)]
+        backends = [decode_engine(f"d{i}") for i in range(4)]
         names = ("e1", "e2", "e3", "e4")
         async with deployments.deployed(
             *backends, names=names, is_led=True
@@ -34,7 +34,7 @@
 
 def _engines():
     readers = [prefill_engine(f"p{i}") for i in range(3)]
-    return [*readers, *(writer(f"d{i}") for i in range(3))]
+    return [*readers, *(decode_engine(f"d{i}") for i in range(3))]
 
 
 def _orders(world):
--- a/tests/scenarios/test_forwarding.py
+++ b/tests/scenarios/test_forwarding.py
@@ -30,7 +30,7 @@
         self.world = deployments.Deployment(
             deployments.prefill_engine("p1", "a"),
             deployments.prefill_engine("p2", "b"),
-            *(deployments.writer(f"d{d}", d) for d in "abc"),
+            *(deployments.decode_engine(f"d{d}", d) for d in "abc"),
             deployments.shop("s1", "a"),
             deployments.shop("s2", "b"),
         )
