--- a/tests/forwarding/deployments.py
+++ b/tests/forwarding/deployments.py
@@ -89,7 +89,7 @@
     return engine(name, resources.Role.DECODE, domain, **faults)
 
 
-def shop(name: str, domain: str = "a", **faults: Any):
+def plain_endpoint(name: str, domain: str = "a", **faults: Any):
     """A stand-in plain endpoint."""
     endpoint = resources.Endpoint(
         name, PLAIN, f"{name}:1", domain, resources.Role.PLAIN
@@ -100,8 +100,8 @@
 def of_both_kinds(*, memory_tokens: int = 400_000):
     """Two stand-ins each of plain endpoints, prefill and decode engines."""
     behind = [
-        shop("s1"),
-        shop("s2"),
+        plain_endpoint("s1"),
+        plain_endpoint("s2"),
         prefill_engine("p1"),
         prefill_engine("p2"),
     ]
--- a/tests/forwarding/test_accounts.py
+++ b/tests/forwarding/test_accounts.py
@@ -46,7 +46,9 @@
 )
 def test_without_a_known_key_nothing_runs(values):
     async def main():
-        async with deployments.deployed(deployments.shop("s1")) as world:
+        async with deployments.deployed(
+            deployments.plain_endpoint("s1")
+        ) as world:
             _put_configuration(world, 2, SHOP)
             await world.clock.sleep_ms(300.0)
             answer = await _send(world, "/sale/1", *values)
@@ -61,7 +63,7 @@
 def test_endpoints_are_told_the_account_and_never_the_key():
     async def main():
         async with deployments.deployed(
-            deployments.shop("s1"),
+            deployments.plain_endpoint("s1"),
             deployments.prefill_engine("p1"),
             deployments.decode_engine("d1"),
         ) as world:
@@ -80,7 +82,9 @@
 
 def test_where_no_account_is_configured_a_token_is_the_endpoints_own():
     async def main():
-        async with deployments.deployed(deployments.shop("s1")) as world:
+        async with deployments.deployed(
+            deployments.plain_endpoint("s1")
+        ) as world:
             await _send(world, "/sale/1", "Bearer theirs")
             (run,) = world.backends.runs
             assert ("Authorization", "Bearer theirs") in run.headers
@@ -91,7 +95,9 @@
 
 def test_a_public_route_asks_for_no_key_and_passes_none_on():
     async def main():
-        async with deployments.deployed(deployments.shop("s1")) as world:
+        async with deployments.deployed(
+            deployments.plain_endpoint("s1")
+        ) as world:
             public = dataclasses.replace(deployments.SALE, is_public=True)
             _put_configuration(world, 2, SHOP, routes=(public,))
             await world.clock.sleep_ms(300.0)
@@ -139,7 +145,9 @@
 
 def test_the_accounts_priority_goes_before_the_routes():
     async def main():
-        async with deployments.deployed(deployments.shop("s1")) as world:
+        async with deployments.deployed(
+            deployments.plain_endpoint("s1")
+        ) as world:
             first = dataclasses.replace(SHOP, priority=0)
             _put_configuration(world, 2, first)
             await world.clock.sleep_ms(300.0)
--- a/tests/forwarding/test_backpressure.py
+++ b/tests/forwarding/test_backpressure.py
@@ -8,7 +8,7 @@
 from jujubewharf.forwarding import backpressure
 from tests.forwarding import deployments
 
-ENDPOINT = deployments.shop("s1").endpoint
+ENDPOINT = deployments.plain_endpoint("s1").endpoint
 
 
 def _run(test):
--- a/tests/forwarding/test_crash_detection.py
+++ b/tests/forwarding/test_crash_detection.py
@@ -42,7 +42,8 @@
 def test_all_that_an_engine_ran_has_a_line():
     async def main():
         async with deployments.deployed(
-            deployments.shop("s1", work_ms=100.0), deployments.shop("s2")
+            deployments.plain_endpoint("s1", work_ms=100.0),
+            deployments.plain_endpoint("s2"),
         ) as world:
             world.backends.by_name["s2"].is_leaving = True
             await world.ask("/sale/0")
@@ -62,8 +63,8 @@
     """A reset connection or a lost answer is not counted as a crash."""
 
     async def main():
-        shop = deployments.shop("s1", loses_answers=True)
-        async with deployments.deployed(shop) as world:
+        plain_endpoint = deployments.plain_endpoint("s1", loses_answers=True)
+        async with deployments.deployed(plain_endpoint) as world:
             with structlog.testing.capture_logs() as lines:
                 await world.ask("/sale/1")
             assert _crash_lines(lines) == []
@@ -76,7 +77,9 @@
     """A crash is recorded even if the caller disconnects."""
 
     async def main():
-        async with deployments.deployed(deployments.shop("s1")) as world:
+        async with deployments.deployed(
+            deployments.plain_endpoint("s1")
+        ) as world:
             world.backends.crashing.add(CRASHING)
             backends = world.instances["e1"]._forwarder._plain._backends
             look = backends.has_crashed
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -9,12 +9,12 @@
 from jujubewharf.forwarding import routes
 from tests.forwarding import deployments
 
-shop = deployments.shop
+plain_endpoint = deployments.plain_endpoint
 
 
 def test_an_unknown_path_is_told_so():
     async def main():
-        async with deployments.deployed(shop("s1")) as world:
+        async with deployments.deployed(plain_endpoint("s1")) as world:
             answer = await world.ask("/nothing/1")
             assert answer.error is not None
             assert answer.error.kind is errors.ErrorKind.UNKNOWN_SERVICE
@@ -29,7 +29,7 @@
     """
 
     async def main():
-        world = deployments.Deployment(shop("s1"))
+        world = deployments.Deployment(plain_endpoint("s1"))
         world.configurations.is_down = True
         world.endpoints.is_down = True
         await world.start()
@@ -49,7 +49,7 @@
 
 def test_a_version_is_in_force_soon_and_never_left_for_an_older_one():
     async def main():
-        async with deployments.deployed(shop("s1")) as world:
+        async with deployments.deployed(plain_endpoint("s1")) as world:
             moved = dataclasses.replace(deployments.SALE, path_prefix="/moved/")
             world.configurations.put(
                 "config", deployments.configuration(7, moved)
@@ -76,7 +76,9 @@
 
 def test_the_callers_patience_bounds_the_wait():
     async def main():
-        async with deployments.deployed(shop("s1", is_silent=True)) as world:
+        async with deployments.deployed(
+            plain_endpoint("s1", is_silent=True)
+        ) as world:
             answer = await world.ask("/sale/1", patience_ms=500.0)
             assert answer.took_ms <= 550.0
 
@@ -92,7 +94,7 @@
                 routes.Share("gone", 0.0),
             ),
         )
-        async with deployments.deployed(shop("s1")) as world:
+        async with deployments.deployed(plain_endpoint("s1")) as world:
             world.configurations.put(
                 "config", deployments.configuration(2, split)
             )
@@ -110,7 +112,7 @@
     """
 
     async def main():
-        async with deployments.deployed(shop("s1")) as world:
+        async with deployments.deployed(plain_endpoint("s1")) as world:
             world.configurations.is_late = True
             for number in range(2, 12):
                 # At a different point of the long poll each time.
--- a/tests/forwarding/test_golden_session.py
+++ b/tests/forwarding/test_golden_session.py
@@ -57,8 +57,8 @@
             deployments.prefill_engine("p1"),
             deployments.decode_engine("d1"),
             deployments.decode_engine("d2", "b"),
-            deployments.shop("s1"),
-            deployments.shop("s2", "b"),
+            deployments.plain_endpoint("s1"),
+            deployments.plain_endpoint("s2", "b"),
         ) as world:
             await _session(world)
 
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -8,12 +8,14 @@
 from jujubewharf import errors
 from tests.forwarding import deployments
 
-shop = deployments.shop
+plain_endpoint = deployments.plain_endpoint
 
 
 def test_the_answer_comes_through_as_it_was_given():
     async def main():
-        async with deployments.deployed(shop("s1", status=404)) as world:
+        async with deployments.deployed(
+            plain_endpoint("s1", status=404)
+        ) as world:
             answer = await world.ask("/sale/1")
             assert (answer.status, answer.body) == (404, b"r1")
 
@@ -23,7 +25,7 @@
 def test_a_lost_answer_is_asked_for_again_where_that_is_allowed():
     async def main():
         async with deployments.deployed(
-            shop("s1", loses_answers=True), shop("s2", "b")
+            plain_endpoint("s1", loses_answers=True), plain_endpoint("s2", "b")
         ) as world:
             answer = await world.ask("/lookup/1")
             assert answer.status == 200
@@ -40,7 +42,7 @@
 
     async def main():
         async with deployments.deployed(
-            shop("s1", loses_answers=True), shop("s2", "b")
+            plain_endpoint("s1", loses_answers=True), plain_endpoint("s2", "b")
         ) as world:
             answer = await world.ask("/sale/1")
             assert answer.error is not None
@@ -53,7 +55,7 @@
 def test_a_sale_that_found_no_connection_goes_elsewhere():
     async def main():
         async with deployments.deployed(
-            shop("s1", is_unreachable=True), shop("s2", "b")
+            plain_endpoint("s1", is_unreachable=True), plain_endpoint("s2", "b")
         ) as world:
             answer = await world.ask("/sale/1")
             assert answer.status == 200
@@ -65,7 +67,7 @@
 def test_nobody_there_is_told_as_not_run():
     async def main():
         async with deployments.deployed(
-            shop("s1", is_unreachable=True)
+            plain_endpoint("s1", is_unreachable=True)
         ) as world:
             answer = await world.ask("/sale/1")
             assert answer.error is not None
@@ -81,7 +83,8 @@
 
     async def main():
         async with deployments.deployed(
-            shop("s1", status=500), shop("s2", "b", status=500)
+            plain_endpoint("s1", status=500),
+            plain_endpoint("s2", "b", status=500),
         ) as world:
             answer = await world.ask("/lookup/1")
             assert (answer.status, answer.error) == (500, None)
@@ -93,7 +96,7 @@
 def test_a_failure_of_a_sale_is_passed_on_at_once():
     async def main():
         async with deployments.deployed(
-            shop("s1", status=500), shop("s2", "b")
+            plain_endpoint("s1", status=500), plain_endpoint("s2", "b")
         ) as world:
             answer = await world.ask("/sale/1")
             assert answer.status == 500
@@ -110,7 +113,7 @@
 
     async def main():
         async with deployments.deployed(
-            shop("s1", is_silent=True), shop("s2", "b")
+            plain_endpoint("s1", is_silent=True), plain_endpoint("s2", "b")
         ) as world:
             answer = await world.ask("/lookup/1")
             assert answer.status == 200
@@ -123,7 +126,7 @@
 def test_no_more_engines_than_the_route_allows():
     async def main():
         async with deployments.deployed(
-            *(shop(f"s{i}", loses_answers=True) for i in range(4))
+            *(plain_endpoint(f"s{i}", loses_answers=True) for i in range(4))
         ) as world:
             answer = await world.ask("/lookup/1")
             assert answer.error is not None
@@ -141,7 +144,8 @@
 
     async def main():
         async with deployments.deployed(
-            shop("s1", loses_answers=True), shop("s2", loses_answers=True)
+            plain_endpoint("s1", loses_answers=True),
+            plain_endpoint("s2", loses_answers=True),
         ) as world:
             for _ in range(200):
                 await world.ask("/lookup/1")
@@ -154,7 +158,9 @@
 
 def test_the_deadline_gets_an_answer_at_once():
     async def main():
-        async with deployments.deployed(shop("s1", is_silent=True)) as world:
+        async with deployments.deployed(
+            plain_endpoint("s1", is_silent=True)
+        ) as world:
             answer = await world.ask("/sale/1")
             assert answer.error is not None
             assert answer.error.ran is errors.Ran.UNKNOWN
@@ -165,7 +171,9 @@
 
 def test_a_caller_that_leaves_ends_the_work():
     async def main():
-        async with deployments.deployed(shop("s1", work_ms=1e3)) as world:
+        async with deployments.deployed(
+            plain_endpoint("s1", work_ms=1e3)
+        ) as world:
             await world.ask("/sale/1", leave_after_ms=100.0)
             assert not world.backends.by_name["s1"].at_work
 
@@ -174,8 +182,10 @@
 
 def test_an_endpoint_that_leaves_gets_nothing_new():
     async def main():
-        leaving = shop("s1")
-        async with deployments.deployed(leaving, shop("s2", "b")) as world:
+        leaving = plain_endpoint("s1")
+        async with deployments.deployed(
+            leaving, plain_endpoint("s2", "b")
+        ) as world:
             world.register(leaving, drained=True)
             await world.clock.sleep_ms(1_000.0)
             for _ in range(3):
@@ -187,7 +197,7 @@
 
 def test_calls_go_on_while_the_store_is_away():
     async def main():
-        async with deployments.deployed(shop("s1")) as world:
+        async with deployments.deployed(plain_endpoint("s1")) as world:
             world.endpoints.is_down = True
             world.configurations.is_down = True
             world.groups.cut_off.add("e1")
@@ -201,7 +211,7 @@
 def test_a_sale_is_not_sent_again_whatever_attempts_are_left():
     async def main():
         async with deployments.deployed(
-            shop("s1", loses_answers=True), shop("s2", "b")
+            plain_endpoint("s1", loses_answers=True), plain_endpoint("s2", "b")
         ) as world:
             route = dataclasses.replace(deployments.SALE, max_attempts=3)
             world.configurations.put(
@@ -221,7 +231,8 @@
 
     async def main():
         async with deployments.deployed(
-            shop("s1", status=500), shop("s2", "b", is_silent=True)
+            plain_endpoint("s1", status=500),
+            plain_endpoint("s2", "b", is_silent=True),
         ) as world:
             answer = await world.ask("/lookup/1")
             assert (answer.status, answer.error) == (500, None)
--- a/tests/forwarding/test_random_faults.py
+++ b/tests/forwarding/test_random_faults.py
@@ -30,7 +30,7 @@
     for number, domain in enumerate(DOMAINS):
         found.append(deployments.prefill_engine(f"p{number}", domain))
         found.append(deployments.decode_engine(f"d{number}", domain))
-        found.append(deployments.shop(f"s{number}", domain))
+        found.append(deployments.plain_endpoint(f"s{number}", domain))
     return found
 
 
--- a/tests/forwarding/test_reloading.py
+++ b/tests/forwarding/test_reloading.py
@@ -111,7 +111,9 @@
 
 def test_new_bounds_hold_for_what_was_counted_before():
     async def main():
-        async with deployments.deployed(deployments.shop("s1")) as world:
+        async with deployments.deployed(
+            deployments.plain_endpoint("s1")
+        ) as world:
             instance = world.instances["e1"]
             before = instance.retries_left()[deployments.PLAIN]
             assert before > 5.0
--- a/tests/forwarding/test_request_log.py
+++ b/tests/forwarding/test_request_log.py
@@ -96,7 +96,7 @@
 def test_no_line_contains_request_content():
     async def main():
         async with deployments.deployed(
-            deployments.shop("s1", loses_answers=True)
+            deployments.plain_endpoint("s1", loses_answers=True)
         ) as world:
             answer = await world.ask("/lookup/the-secret", body=b"the-secret")
             assert isinstance(answer.error, errors.WharfError)
--- a/tests/forwarding/test_shutdown.py
+++ b/tests/forwarding/test_shutdown.py
@@ -15,7 +15,7 @@
         async with deployments.deployed(
             deployments.prefill_engine("p1"),
             deployments.decode_engine("d1", events=60),
-            deployments.shop("s1"),
+            deployments.plain_endpoint("s1"),
         ) as world:
             instance = world.instances["e1"]
             stream = asyncio.create_task(world.ask("/verdicts/1"))
@@ -54,7 +54,7 @@
 def test_its_share_of_the_fleet_is_given_back():
     async def main():
         async with deployments.deployed(
-            deployments.shop("s1"), names=("e1", "e2")
+            deployments.plain_endpoint("s1"), names=("e1", "e2")
         ) as world:
             await world.clock.sleep_ms(2_000.0)
             await world.instances["e1"].new_shutdown().run()
--- a/tests/leadership/test_backoff.py
+++ b/tests/leadership/test_backoff.py
@@ -15,7 +15,7 @@
 from jujubewharf.engines import notices
 from tests.forwarding import deployments
 
-shop = deployments.shop
+plain_endpoint = deployments.plain_endpoint
 prefill_engine = deployments.prefill_engine
 decode_engine = deployments.decode_engine
 
@@ -133,7 +133,7 @@
     """Retry-after is the time until the first backoff ends."""
 
     async def main():
-        backends = [shop("s1", backoff_ms=2_000.0)]
+        backends = [plain_endpoint("s1", backoff_ms=2_000.0)]
         async with _deployed(*backends, names=("e1",)) as world:
             await world.clock.sleep_ms(2_000.0)
             await world.ask(path)
@@ -177,7 +177,7 @@
 
     async def main():
         rng = random.Random(seed)
-        backends = [shop(f"s{n}") for n in range(4)]
+        backends = [plain_endpoint(f"s{n}") for n in range(4)]
         backends += [prefill_engine("p1"), prefill_engine("p2")]
         backends += [decode_engine(f"d{n}") for n in range(3)]
         async with _deployed(*backends) as world:
--- a/tests/leadership/test_crash_writer.py
+++ b/tests/leadership/test_crash_writer.py
@@ -15,7 +15,7 @@
 
 def _deployed():
     return deployments.deployed(
-        deployments.shop("s1"), names=NAMES, is_led=True
+        deployments.plain_endpoint("s1"), names=NAMES, is_led=True
     )
 
 
@@ -172,7 +172,7 @@
     """All domains are partitioned from each other, but reach the store."""
 
     async def main():
-        backends = [deployments.shop("s1")]
+        backends = [deployments.plain_endpoint("s1")]
         world = deployments.Deployment(*backends)
         await world.start_in("abc", *NAMES)
         await world.clock.sleep_ms(2_000.0)
@@ -192,7 +192,7 @@
     """At most one read per second and instance, and no writes."""
 
     async def main():
-        world = deployments.Deployment(deployments.shop("s1"))
+        world = deployments.Deployment(deployments.plain_endpoint("s1"))
         await world.start_in("abc", *NAMES)
         await world.clock.sleep_ms(2_000.0)
         for first, second in ("ab", "ac", "bc"):
--- a/tests/leadership/test_crashing_requests.py
+++ b/tests/leadership/test_crashing_requests.py
@@ -16,7 +16,7 @@
 from jujubewharf.forwarding import error_responses
 from tests.forwarding import deployments
 
-shop = deployments.shop
+plain_endpoint = deployments.plain_endpoint
 prefill_engine = deployments.prefill_engine
 decode_engine = deployments.decode_engine
 
@@ -39,7 +39,7 @@
 def _backends():
     backends = [prefill_engine("p1"), prefill_engine("p2", "b")]
     backends += [decode_engine(f"d{n}", "abcd"[n % 4]) for n in range(6)]
-    backends += [shop(f"s{n}", "abcd"[n % 4]) for n in range(6)]
+    backends += [plain_endpoint(f"s{n}", "abcd"[n % 4]) for n in range(6)]
     for backend in backends:
         backend.memory_tokens = 400_000
     return backends
--- a/tests/leadership/test_endpoint_limits.py
+++ b/tests/leadership/test_endpoint_limits.py
@@ -14,7 +14,7 @@
 from jujubewharf import errors
 from tests.forwarding import deployments
 
-shop = deployments.shop
+plain_endpoint = deployments.plain_endpoint
 prefill_engine = deployments.prefill_engine
 decode_engine = deployments.decode_engine
 
@@ -60,8 +60,10 @@
 @pytest.mark.parametrize("path", ["/lookup/1", "/sale/1"])
 def test_limit_holds_across_instances(path):
     async def main():
-        weak, weaker = shop("s3"), shop("s4")
-        async with _deployed(shop("s1"), shop("s2"), weak, weaker) as w:
+        weak, weaker = plain_endpoint("s3"), plain_endpoint("s4")
+        async with _deployed(
+            plain_endpoint("s1"), plain_endpoint("s2"), weak, weaker
+        ) as w:
             await w.clock.sleep_ms(2_000.0)
             weak.rate_limit_per_s = 1.8
             weaker.rate_limit_per_s = 1.5
@@ -129,9 +131,11 @@
     """Retries go to the limited endpoint when the others lose answers."""
 
     async def main():
-        weak = shop("s3", "c", rate_limit_per_s=1.5)
+        weak = plain_endpoint("s3", "c", rate_limit_per_s=1.5)
         async with _deployed(
-            shop("s1", loses_answers=True), shop("s2", "b"), weak
+            plain_endpoint("s1", loses_answers=True),
+            plain_endpoint("s2", "b"),
+            weak,
         ) as world:
             await world.clock.sleep_ms(2_000.0)
             await world.flood("/lookup/1", for_ms=12_000.0, every_ms=40.0)
@@ -148,7 +152,10 @@
     """
 
     async def main():
-        weak = [shop("s1", rate_limit_per_s=5.0), shop("s2", "b")]
+        weak = [
+            plain_endpoint("s1", rate_limit_per_s=5.0),
+            plain_endpoint("s2", "b"),
+        ]
         weak[1].rate_limit_per_s = 5.0
         async with _deployed(*weak) as world:
             await world.clock.sleep_ms(2_000.0)
@@ -194,7 +201,7 @@
 
 def test_limit_ends_when_endpoint_withdraws_it():
     async def main():
-        weak = shop("s1", rate_limit_per_s=1.5)
+        weak = plain_endpoint("s1", rate_limit_per_s=1.5)
         async with _deployed(weak) as world:
             await world.clock.sleep_ms(2_000.0)
             await world.flood("/sale/1", for_ms=3_000.0)
@@ -211,8 +218,8 @@
     """Callers don't wait for a permit while another endpoint is free."""
 
     async def main():
-        weak = shop("s1", rate_limit_per_s=50.0)
-        async with _deployed(weak, shop("s2")) as world:
+        weak = plain_endpoint("s1", rate_limit_per_s=50.0)
+        async with _deployed(weak, plain_endpoint("s2")) as world:
             await world.clock.sleep_ms(2_000.0)
             for name in NAMES:
                 await world.ask("/sale/1", instance=name)
@@ -227,8 +234,8 @@
 
 def test_new_instance_respects_known_limits():
     async def main():
-        weak = shop("s1", rate_limit_per_s=1.5)
-        async with _deployed(weak, shop("s2")) as world:
+        weak = plain_endpoint("s1", rate_limit_per_s=1.5)
+        async with _deployed(weak, plain_endpoint("s2")) as world:
             await world.clock.sleep_ms(2_000.0)
             await world.flood("/sale/1", for_ms=3_000.0)
             await world.start("e7", declare=False, is_led=True)
@@ -243,8 +250,8 @@
     """The limit holds when the leader dies with its count of requests."""
 
     async def main():
-        weak = shop("s1", rate_limit_per_s=3.0)
-        async with _deployed(weak, shop("s2", "b")) as world:
+        weak = plain_endpoint("s1", rate_limit_per_s=3.0)
+        async with _deployed(weak, plain_endpoint("s2", "b")) as world:
             await world.clock.sleep_ms(2_000.0)
             flood = asyncio.ensure_future(
                 world.flood("/sale/1", for_ms=24_000.0)
@@ -272,7 +279,7 @@
 
     async def main():
         rng = random.Random(seed)
-        backends = [shop(f"s{n}", "abcd"[n % 4]) for n in range(3)]
+        backends = [plain_endpoint(f"s{n}", "abcd"[n % 4]) for n in range(3)]
         limits = [rng.choice([0.5, 1.5, 4.0]) for _ in backends[:limited]]
         world = deployments.Deployment(*backends)
         await world.start_in("abcd", *NAMES)
--- a/tests/leadership/test_fleet_quotas.py
+++ b/tests/leadership/test_fleet_quotas.py
@@ -47,7 +47,7 @@
 
 
 def _shops():
-    return [deployments.shop(f"s{n}") for n in range(4)]
+    return [deployments.plain_endpoint(f"s{n}") for n in range(4)]
 
 
 def _engines():
--- a/tests/leadership/test_innocent_requests.py
+++ b/tests/leadership/test_innocent_requests.py
@@ -22,7 +22,9 @@
     backends += [
         deployments.decode_engine(f"d{n}", "abc"[n % 3]) for n in range(6)
     ]
-    backends += [deployments.shop(f"s{n}", "abc"[n % 3]) for n in range(6)]
+    backends += [
+        deployments.plain_endpoint(f"s{n}", "abc"[n % 3]) for n in range(6)
+    ]
     for backend in backends:
         backend.memory_tokens = 400_000
         # Long enough for the engine to end while the request runs.
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -405,7 +405,7 @@
     """
 
     async def main():
-        many = [deployments.shop(f"s{i}") for i in range(60)]
+        many = [deployments.plain_endpoint(f"s{i}") for i in range(60)]
         async with _deployed(
             prefill_engine("p1"), decode_engine("d1"), *many
         ) as world:
--- a/tests/leadership/test_leaving_endpoints.py
+++ b/tests/leadership/test_leaving_endpoints.py
@@ -15,7 +15,7 @@
 from jujubewharf import errors
 from tests.forwarding import deployments
 
-shop = deployments.shop
+plain_endpoint = deployments.plain_endpoint
 prefill_engine = deployments.prefill_engine
 decode_engine = deployments.decode_engine
 
@@ -58,8 +58,10 @@
 
 def test_single_instance_respects_notice():
     async def main():
-        leaving_backend = shop("s1")
-        async with deployments.deployed(leaving_backend, shop("s2")) as world:
+        leaving_backend = plain_endpoint("s1")
+        async with deployments.deployed(
+            leaving_backend, plain_endpoint("s2")
+        ) as world:
             leaving_backend.is_leaving = True
             await world.flood("/sale/1", for_ms=4_000.0)
             assert (
@@ -93,7 +95,7 @@
 
 def test_callers_are_refused_at_once_when_last_endpoint_leaves():
     async def main():
-        leaving_backend = shop("s1")
+        leaving_backend = plain_endpoint("s1")
         async with _deployed(leaving_backend) as world:
             await world.clock.sleep_ms(2_000.0)
             leaving_backend.is_leaving = True
@@ -113,8 +115,8 @@
     """A heartbeat written before the notice arrives after it."""
 
     async def main():
-        leaving_backend = shop("s1")
-        async with _deployed(leaving_backend, shop("s2")) as world:
+        leaving_backend = plain_endpoint("s1")
+        async with _deployed(leaving_backend, plain_endpoint("s2")) as world:
             await world.clock.sleep_ms(2_000.0)
             leaving_backend.is_leaving = True
             await world.flood("/sale/1", for_ms=500.0)
@@ -133,8 +135,8 @@
     """The record that a new process reads still says ready."""
 
     async def main():
-        leaving_backend = shop("s1")
-        async with _deployed(leaving_backend, shop("s2")) as world:
+        leaving_backend = plain_endpoint("s1")
+        async with _deployed(leaving_backend, plain_endpoint("s2")) as world:
             await world.clock.sleep_ms(2_000.0)
             leaving_backend.is_leaving = True
             await world.flood("/sale/1", for_ms=500.0)
@@ -159,7 +161,7 @@
 
     async def main():
         rng = random.Random(seed)
-        backends = [shop(f"s{n}", "abcd"[n % 4]) for n in range(6)]
+        backends = [plain_endpoint(f"s{n}", "abcd"[n % 4]) for n in range(6)]
         world = deployments.Deployment(*backends)
         await world.start_in("abcd", *NAMES)
         await world.clock.sleep_ms(2_000.0)
@@ -204,12 +206,12 @@
     """A notice applies to one start of an endpoint, not to the next."""
 
     async def main():
-        leaving_backend = shop("s1")
-        async with _deployed(leaving_backend, shop("s2")) as world:
+        leaving_backend = plain_endpoint("s1")
+        async with _deployed(leaving_backend, plain_endpoint("s2")) as world:
             await world.clock.sleep_ms(2_000.0)
             leaving_backend.is_leaving = True
             await world.flood("/sale/1", for_ms=500.0)
-            next_start = shop("s1-next")
+            next_start = plain_endpoint("s1-next")
             next_start.endpoint = dataclasses.replace(
                 next_start.endpoint, name="s1-next"
             )
--- a/tests/leadership/test_packing.py
+++ b/tests/leadership/test_packing.py
@@ -65,7 +65,7 @@
     async def main():
         names = ("e1", "e2", "e3", "e4")
         async with deployments.deployed(
-            deployments.shop("s1"), names=names, is_led=True
+            deployments.plain_endpoint("s1"), names=names, is_led=True
         ) as world:
             await world.clock.sleep_ms(2_000.0)
             before = world.configurations.reads
--- a/tests/scenarios/test_forwarding.py
+++ b/tests/scenarios/test_forwarding.py
@@ -31,8 +31,8 @@
             deployments.prefill_engine("p1", "a"),
             deployments.prefill_engine("p2", "b"),
             *(deployments.decode_engine(f"d{d}", d) for d in "abc"),
-            deployments.shop("s1", "a"),
-            deployments.shop("s2", "b"),
+            deployments.plain_endpoint("s1", "a"),
+            deployments.plain_endpoint("s2", "b"),
         )
         self.answers: list[deployments.Answer] = []
         self.holder = ""
