--- a/tests/forwarding/deployments.py
+++ b/tests/forwarding/deployments.py
@@ -97,7 +97,7 @@
     return backend_state.StandInBackend(endpoint, **faults)
 
 
-def of_both_kinds(*, memory_tokens: int = 400_000):
+def mixed_backends(*, memory_tokens: int = 400_000):
     """Two stand-ins each of plain endpoints, prefill and decode engines."""
     behind = [
         plain_endpoint("s1"),
--- a/tests/leadership/test_backoff.py
+++ b/tests/leadership/test_backoff.py
@@ -49,7 +49,7 @@
     """No requests arrive during the period, and some arrive after it."""
 
     async def main():
-        async with _deployed(*deployments.of_both_kinds()) as world:
+        async with _deployed(*deployments.mixed_backends()) as world:
             await world.clock.sleep_ms(2_000.0)
             overloaded = world.backends.by_name[busy]
             overloaded.backoff_ms = BACKOFF_MS
--- a/tests/leadership/test_leaving_endpoints.py
+++ b/tests/leadership/test_leaving_endpoints.py
@@ -42,7 +42,7 @@
     """Plain, prefill and decode calls go to other endpoints from then on."""
 
     async def main():
-        async with _deployed(*deployments.of_both_kinds()) as world:
+        async with _deployed(*deployments.mixed_backends()) as world:
             await world.clock.sleep_ms(2_000.0)
             leaving_backend = world.backends.by_name[leaving]
             leaving_backend.is_leaving = True
