--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -338,8 +338,8 @@
         end = self._endpoints_read.end
         link.tell(leader_messages.EndpointNews(records, end))
 
-    def _heartbeat(self) -> leader_messages.StoreSeen:
-        return leader_messages.StoreSeen(
+    def _heartbeat(self) -> leader_messages.LeaderHeartbeat:
+        return leader_messages.LeaderHeartbeat(
             configuration_end=self._configurations_read.end,
             configuration_age_ms=self._age_ms(self._configurations_read),
             endpoints_end=self._endpoints_read.end,
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -149,7 +149,7 @@
     ) -> messages.Message | None:
         """Handles a message from the leader."""
         match message:
-            case leader_messages.StoreSeen():
+            case leader_messages.LeaderHeartbeat():
                 self._on_heartbeat(message)
             case leader_messages.ConfigurationNews(packed=bytes() as packed):
                 news = packing.unpack(packed)
@@ -177,7 +177,7 @@
                 self._feeds.endpoints.apply(records, message.end)
         return None
 
-    def _on_heartbeat(self, seen: leader_messages.StoreSeen) -> None:
+    def _on_heartbeat(self, seen: leader_messages.LeaderHeartbeat) -> None:
         self.instances = seen.instances
         self._feeds.configurations.confirm(
             seen.configuration_end, age_ms=seen.configuration_age_ms
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -15,7 +15,7 @@
 
 @messages.message(70)
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreSeen(messages.Message):
+class LeaderHeartbeat(messages.Message):
     """Heartbeat of the leader, with its read offsets in the store's tables.
 
     Attributes:
