--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -343,10 +343,10 @@
 
     def _place_request(
         self, number: int, run: runs.Run
-    ) -> leader_messages.PlaceAsk:
+    ) -> leader_messages.PlacementRequest:
         work = run.call.work
         backoffs_ms = self._state.backpressure.backoffs_ms()
-        return leader_messages.PlaceAsk(
+        return leader_messages.PlacementRequest(
             number=number,
             request_id=run.call.request_id,
             domain=run.domain,
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -149,7 +149,7 @@
     ) -> messages.Message | None:
         """Handles one message; ``None`` for a request refuses it."""
         match message:
-            case leader_messages.PlaceAsk():
+            case leader_messages.PlacementRequest():
                 return await self._place_request(message)
             case leader_messages.StillThere():
                 return leader_messages.Here()
@@ -193,7 +193,7 @@
         return None
 
     async def _place_request(
-        self, ask: leader_messages.PlaceAsk
+        self, ask: leader_messages.PlacementRequest
     ) -> messages.Message | None:
         run = self._build_run(ask)
         if run is None:
@@ -212,7 +212,7 @@
 
     async def _hold_place(
         self,
-        ask: leader_messages.PlaceAsk,
+        ask: leader_messages.PlacementRequest,
         run: runs.Run,
         held: _HeldPlace,
         answer: asyncio.Future[messages.Message | None],
@@ -282,7 +282,9 @@
             error = client.EngineError(fault, message.engine)
             self._observations.record_failure(error)
 
-    def _build_run(self, ask: leader_messages.PlaceAsk) -> runs.Run | None:
+    def _build_run(
+        self, ask: leader_messages.PlacementRequest
+    ) -> runs.Run | None:
         """Builds a follower's run; ``None`` if its route is unknown."""
         current = self._source.current
         if current is None:
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -100,7 +100,7 @@
 
 @messages.message(72)
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlaceAsk(messages.Message):
+class PlacementRequest(messages.Message):
     """Requests placement on a decode engine; may be held in the wait queue.
 
     Attributes:
@@ -146,7 +146,7 @@
 @messages.message(73)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placed(messages.Message):
-    """Reply to ``PlaceAsk``: memory is reserved on a decode engine.
+    """Reply to ``PlacementRequest``: memory is reserved on a decode engine.
 
     Attributes:
         engine: Name of the decode engine.
@@ -168,7 +168,7 @@
 @messages.message(74)
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotPlaced(messages.Message):
-    """Reply to ``PlaceAsk``: the request was rejected.
+    """Reply to ``PlacementRequest``: the request was rejected.
 
     Attributes:
         come_back_ms: Retry-after for the caller, in ms.
