--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -286,7 +286,7 @@
             return None
         waited_ms = self._clock.now_ms() - started_ms
         match answer:
-            case leader_messages.Placed():
+            case leader_messages.PlacementGranted():
                 # The leader counted the request against its quota.
                 run.is_counted = True
                 place = self._to_place(number, answer)
@@ -369,7 +369,7 @@
         )
 
     def _to_place(
-        self, number: int, placed: leader_messages.Placed
+        self, number: int, placed: leader_messages.PlacementGranted
     ) -> all_reservations.Reservation | None:
         engine = self._registry.get(placed.engine)
         if engine is None:
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -348,8 +348,8 @@
 
 def _placed_message(
     place: all_reservations.Reservation,
-) -> leader_messages.Placed:
-    return leader_messages.Placed(
+) -> leader_messages.PlacementGranted:
+    return leader_messages.PlacementGranted(
         place.engine.name,
         place.reservation_id,
         place.tokens,
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -145,7 +145,7 @@
 
 @messages.message(73)
 @dataclasses.dataclass(frozen=True, slots=True)
-class Placed(messages.Message):
+class PlacementGranted(messages.Message):
     """Reply to ``PlacementRequest``: memory is reserved on a decode engine.
 
     Attributes:
