--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -303,7 +303,7 @@
                     waited_ms=waited_ms,
                 )
                 return place
-            case leader_messages.NotPlaced():
+            case leader_messages.PlacementRejected():
                 raise self._refusal(run, answer, waited_ms, leader=link.peer)
             case _:
                 request_log.log_local_placement(
@@ -396,7 +396,7 @@
     def _refusal(
         self,
         run: runs.Run,
-        answer: leader_messages.NotPlaced,
+        answer: leader_messages.PlacementRejected,
         waited_ms: float,
         *,
         leader: str,
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -234,7 +234,9 @@
                 _resolve(answer, None)
             else:
                 is_over_quota = error.kind is errors.ErrorKind.RATE_LIMITED
-                refusal = leader_messages.NotPlaced(come_back_ms, is_over_quota)
+                refusal = leader_messages.PlacementRejected(
+                    come_back_ms, is_over_quota
+                )
                 _resolve(answer, refusal)
         except _IncompleteAnswerError:
             # The duration of an incomplete answer must not count as an
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -167,7 +167,7 @@
 
 @messages.message(74)
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotPlaced(messages.Message):
+class PlacementRejected(messages.Message):
     """Reply to ``PlacementRequest``: the request was rejected.
 
     Attributes:
