--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -267,7 +267,9 @@
         finally:
             is_hold_used = place is not None and place.take_id() is None
             self.tell(
-                leader_messages.PlaceEnded(number, is_complete, is_hold_used)
+                leader_messages.PlacementReleased(
+                    number, is_complete, is_hold_used
+                )
             )
 
     async def _request_place(
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -90,8 +90,8 @@
 
     task: asyncio.Task[None] | None = None
     place: all_reservations.Reservation | None = None
-    ending: asyncio.Future[leader_messages.PlaceEnded] = dataclasses.field(
-        default_factory=asyncio.Future
+    ending: asyncio.Future[leader_messages.PlacementReleased] = (
+        dataclasses.field(default_factory=asyncio.Future)
     )
 
 
@@ -166,7 +166,7 @@
                 self._on_costs_observed(peer, message)
             case quota_messages.AccountsUsed(uses=uses):
                 self._quotas.follower_used(self._usage, uses)
-            case leader_messages.PlaceEnded():
+            case leader_messages.PlacementReleased():
                 self._on_place_ended(message)
             case leader_messages.ReadingEnded():
                 self._on_reading_ended(message)
@@ -257,7 +257,9 @@
                 fleet, reports=self._fleet_costs.report_count
             )
 
-    def _on_place_ended(self, message: leader_messages.PlaceEnded) -> None:
+    def _on_place_ended(
+        self, message: leader_messages.PlacementReleased
+    ) -> None:
         held = self._held_places.get(message.number)
         if held is None:
             return
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -182,7 +182,7 @@
 
 @messages.message(75)
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlaceEnded(messages.Message):
+class PlacementReleased(messages.Message):
     """Releases a placement, or cancels a waiting one.
 
     Attributes:
