--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -70,7 +70,9 @@
     ) -> None:
         """See ``observations.Observer``."""
         self._local.record_prefill(engine, took_ms, tokens=tokens)
-        self._leader.tell(leader_messages.PromptRead(engine, took_ms, tokens))
+        self._leader.tell(
+            leader_messages.PrefillCompleted(engine, took_ms, tokens)
+        )
 
     def record_first_event(self, took_ms: float) -> None:
         """See ``observations.Observer``."""
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -170,7 +170,7 @@
                 self._on_place_ended(message)
             case leader_messages.ReadingEnded():
                 self._on_reading_ended(message)
-            case leader_messages.PromptRead():
+            case leader_messages.PrefillCompleted():
                 self._observations.record_prefill(
                     message.engine, message.took_ms, tokens=message.tokens
                 )
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -198,7 +198,7 @@
 
 @messages.message(76)
 @dataclasses.dataclass(frozen=True, slots=True)
-class PromptRead(messages.Message):
+class PrefillCompleted(messages.Message):
     """Reports a completed prefill.
 
     Attributes:
