--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -77,7 +77,7 @@
     def record_first_event(self, took_ms: float) -> None:
         """See ``observations.Observer``."""
         self._local.record_first_event(took_ms)
-        self._leader.tell(leader_messages.AnswerBegan(took_ms))
+        self._leader.tell(leader_messages.FirstEventReceived(took_ms))
 
     def record_projection(
         self, projected_ms: float, *, memory_share: float
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -174,7 +174,7 @@
                 self._observations.record_prefill(
                     message.engine, message.took_ms, tokens=message.tokens
                 )
-            case leader_messages.AnswerBegan(took_ms=took_ms):
+            case leader_messages.FirstEventReceived(took_ms=took_ms):
                 self._observations.record_first_event(took_ms)
             case leader_messages.AnswerProjected():
                 self._observations.record_projection(
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -214,7 +214,7 @@
 
 @messages.message(77)
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerBegan(messages.Message):
+class FirstEventReceived(messages.Message):
     """Reports the first event of a response.
 
     Attributes:
