--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -85,7 +85,7 @@
         """See ``observations.Observer``."""
         self._local.record_projection(projected_ms, memory_share=memory_share)
         self._leader.tell(
-            leader_messages.AnswerProjected(projected_ms, memory_share)
+            leader_messages.ResponseProjected(projected_ms, memory_share)
         )
 
     def record_length(self, expected_tokens: int, tokens: int) -> None:
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -176,7 +176,7 @@
                 )
             case leader_messages.FirstEventReceived(took_ms=took_ms):
                 self._observations.record_first_event(took_ms)
-            case leader_messages.AnswerProjected():
+            case leader_messages.ResponseProjected():
                 self._observations.record_projection(
                     message.will_take_ms, memory_share=message.memory_part
                 )
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -226,7 +226,7 @@
 
 @messages.message(78)
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerProjected(messages.Message):
+class ResponseProjected(messages.Message):
     """Reports how long a running response is projected to hold memory.
 
     Attributes:
