--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -91,7 +91,9 @@
     def record_length(self, expected_tokens: int, tokens: int) -> None:
         """See ``observations.Observer``."""
         self._local.record_length(expected_tokens, tokens)
-        self._leader.tell(leader_messages.AnswerEnded(expected_tokens, tokens))
+        self._leader.tell(
+            leader_messages.ResponseLengthMeasured(expected_tokens, tokens)
+        )
 
     def record_failure(self, error: client.EngineError) -> None:
         """See ``observations.Observer``."""
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -180,7 +180,7 @@
                 self._observations.record_projection(
                     message.will_take_ms, memory_share=message.memory_part
                 )
-            case leader_messages.AnswerEnded():
+            case leader_messages.ResponseLengthMeasured():
                 self._observations.record_length(
                     message.expected_tokens, message.tokens
                 )
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -240,7 +240,7 @@
 
 @messages.message(79)
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerEnded(messages.Message):
+class ResponseLengthMeasured(messages.Message):
     """Reports the estimated and the actual length of a response, in tokens."""
 
     expected_tokens: int
