--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -105,7 +105,7 @@
     def record_role_change(self, engine: str) -> None:
         """See ``observations.Observer``."""
         self._local.record_role_change(engine)
-        self._leader.tell(leader_messages.EngineChanging(engine))
+        self._leader.tell(leader_messages.EngineRoleChanging(engine))
 
     def record_response_start(self, engine: str) -> None:
         """See ``observations.Observer``."""
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -186,7 +186,7 @@
                 )
             case leader_messages.EngineFailed():
                 self._on_engine_failed(message)
-            case leader_messages.EngineChanging(engine=engine):
+            case leader_messages.EngineRoleChanging(engine=engine):
                 self._observations.record_role_change(engine)
             case leader_messages.ReadingRefused(engine=engine):
                 self._observations.record_prefill_refusal(engine)
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -263,7 +263,7 @@
 
 @messages.message(81)
 @dataclasses.dataclass(frozen=True, slots=True)
-class EngineChanging(messages.Message):
+class EngineRoleChanging(messages.Message):
     """Reports that an engine is changing its role."""
 
     engine: str
