--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -114,4 +114,4 @@
     def record_prefill_refusal(self, engine: str) -> None:
         """See ``observations.Observer``."""
         self._local.record_prefill_refusal(engine)
-        self._leader.tell(leader_messages.ReadingRefused(engine))
+        self._leader.tell(leader_messages.PrefillRefused(engine))
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -188,7 +188,7 @@
                 self._on_engine_failed(message)
             case leader_messages.EngineRoleChanging(engine=engine):
                 self._observations.record_role_change(engine)
-            case leader_messages.ReadingRefused(engine=engine):
+            case leader_messages.PrefillRefused(engine=engine):
                 self._observations.record_prefill_refusal(engine)
         return None
 
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -271,7 +271,7 @@
 
 @messages.message(82)
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadingRefused(messages.Message):
+class PrefillRefused(messages.Message):
     """Reports that an engine refused a prefill."""
 
     engine: str
