--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -391,7 +391,7 @@
             reader for reader in known if reader is not None
         ]
         place.on_prefill_done = lambda: self.tell(
-            leader_messages.ReadingEnded(number)
+            leader_messages.PrefillEnded(number)
         )
         return place
 
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -168,7 +168,7 @@
                 self._quotas.follower_used(self._usage, uses)
             case leader_messages.PlacementReleased():
                 self._on_place_ended(message)
-            case leader_messages.ReadingEnded():
+            case leader_messages.PrefillEnded():
                 self._on_reading_ended(message)
             case leader_messages.PrefillCompleted():
                 self._observations.record_prefill(
@@ -270,7 +270,7 @@
         elif not held.ending.done():
             held.ending.set_result(message)
 
-    def _on_reading_ended(self, message: leader_messages.ReadingEnded) -> None:
+    def _on_reading_ended(self, message: leader_messages.PrefillEnded) -> None:
         held = self._held_places.get(message.number)
         if held is not None and held.place is not None:
             held.place.on_prefill_done()
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -329,7 +329,7 @@
 
 @messages.message(83)
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadingEnded(messages.Message):
+class PrefillEnded(messages.Message):
     """Reports that the prefill of a placement is done or was cancelled.
 
     Attributes:
