--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -144,7 +144,7 @@
             peer: str, message: messages.Message
         ) -> messages.Message | None:
             match message:
-                case leader_messages.Following(endpoints_end=end):
+                case leader_messages.FollowerHello(endpoints_end=end):
                     self._add_follower(link, end)
                     return None
                 case leader_messages.ConfigurationAsk():
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -107,7 +107,7 @@
         """Follows a leader until the link closes or heartbeats stop."""
         self._link = link
         self.discard_received()
-        link.tell(leader_messages.Following(self._endpoints_end()))
+        link.tell(leader_messages.FollowerHello(self._endpoints_end()))
         for known in self._state.initial_messages():
             link.tell(known)
         report = self._work.report()
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -279,7 +279,7 @@
 
 @messages.message(88)
 @dataclasses.dataclass(frozen=True, slots=True)
-class Following(messages.Message):
+class FollowerHello(messages.Message):
     """First message of a follower on a link to the leader.
 
     Attributes:
