--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -152,7 +152,7 @@
             case leader_messages.PlacementRequest():
                 return await self._place_request(message)
             case leader_messages.StillThere():
-                return leader_messages.Here()
+                return leader_messages.LivenessReply()
             case limit_messages.PermitAsk(endpoint=endpoint):
                 return limit_messages.Permit(self._limits.grant(endpoint))
             case limit_messages.TermsKnown():
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -317,7 +317,7 @@
 
 @messages.message(85)
 @dataclasses.dataclass(frozen=True, slots=True)
-class Here(messages.Message):
+class LivenessReply(messages.Message):
     """Reply to ``StillThere``."""
 
 
