--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -147,7 +147,7 @@
                 case leader_messages.FollowerHello(endpoints_end=end):
                     self._add_follower(link, end)
                     return None
-                case leader_messages.ConfigurationAsk():
+                case leader_messages.ConfigurationRequest():
                     return self._configuration
                 case _:
                     return await server.handle(peer, message)
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -195,7 +195,7 @@
         link = self._link
         if link is None:
             return False
-        request = leader_messages.ConfigurationAsk()
+        request = leader_messages.ConfigurationRequest()
         try:
             news = await link.ask(request, timeout_ms=_FETCH_TIMEOUT_MS)
         except network.PeerError:
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -323,7 +323,7 @@
 
 @messages.message(89)
 @dataclasses.dataclass(frozen=True, slots=True)
-class ConfigurationAsk(messages.Message):
+class ConfigurationRequest(messages.Message):
     """Requests the full configuration; answered by ``ConfigurationNews``."""
 
 
