--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -284,7 +284,7 @@
         for record in changed:
             self._endpoints[record.key] = record
         self._endpoints_read.read(end, self._clock.now_ms())
-        news = leader_messages.EndpointNews(tuple(changed), end)
+        news = leader_messages.EndpointUpdate(tuple(changed), end)
         recipients: list[links.Link] = []
         for link in self._links:
             if link in self._unsent_since:
@@ -336,7 +336,7 @@
             if record.offset >= since
         )
         end = self._endpoints_read.end
-        link.tell(leader_messages.EndpointNews(records, end))
+        link.tell(leader_messages.EndpointUpdate(records, end))
 
     def _heartbeat(self) -> leader_messages.LeaderHeartbeat:
         return leader_messages.LeaderHeartbeat(
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -172,7 +172,7 @@
                 self.on_usage_shares(message.by_account)
             case limit_messages.TermsKnown() | crash_messages.CrashesKnown():
                 self._state.apply(message)
-            case leader_messages.EndpointNews():
+            case leader_messages.EndpointUpdate():
                 records = [_table_record(r) for r in message.records]
                 self._feeds.endpoints.apply(records, message.end)
         return None
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -54,7 +54,7 @@
 
 @messages.message(71)
 @dataclasses.dataclass(frozen=True, slots=True)
-class EndpointNews(messages.Message):
+class EndpointUpdate(messages.Message):
     """Update of changed endpoints.
 
     Attributes:
