--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -84,7 +84,7 @@
         self._updated_links: set[links.Link] = set()
         # Followers that have not been sent a configuration yet.
         self._unconfigured: set[links.Link] = set()
-        self._configuration: leader_messages.ConfigurationNews | None = None
+        self._configuration: leader_messages.ConfigurationUpdate | None = None
         self._endpoints: dict[str, leader_messages.EndpointRecord] = {}
         self._low_accounts = quota_messages.AccountsLeft(())
         self._endpoints_read = _ReadProgress()
@@ -229,7 +229,7 @@
             if record.value is None:
                 continue
             if known is None or record.offset > known.offset:
-                known = news = leader_messages.ConfigurationNews(
+                known = news = leader_messages.ConfigurationUpdate(
                     record.key, record.offset, end, record.value
                 )
         self._configuration = known
@@ -246,7 +246,7 @@
 
     def _send_configuration(
         self,
-        news: leader_messages.ConfigurationNews,
+        news: leader_messages.ConfigurationUpdate,
         to: Iterable[links.Link],
     ) -> None:
         if len(_encode(news)) > _MAX_CONFIGURATION_BYTES:
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -151,16 +151,16 @@
         match message:
             case leader_messages.LeaderHeartbeat():
                 self._on_heartbeat(message)
-            case leader_messages.ConfigurationNews(packed=bytes() as packed):
+            case leader_messages.ConfigurationUpdate(packed=bytes() as packed):
                 news = packing.unpack(packed)
                 if news is None:
                     news = dataclasses.replace(message, packed=None)
                 await self.handle(peer, news)
-            case leader_messages.ConfigurationNews(configuration=None):
+            case leader_messages.ConfigurationUpdate(configuration=None):
                 self._feeds.configurations.note_unsent(
                     message.offset, message.end
                 )
-            case leader_messages.ConfigurationNews():
+            case leader_messages.ConfigurationUpdate():
                 record: tables.TableRecord[routes.RoutingConfiguration | None]
                 record = tables.TableRecord(
                     message.key, message.offset, message.configuration
@@ -200,7 +200,7 @@
             news = await link.ask(request, timeout_ms=_FETCH_TIMEOUT_MS)
         except network.PeerError:
             return False
-        if not isinstance(news, leader_messages.ConfigurationNews):
+        if not isinstance(news, leader_messages.ConfigurationUpdate):
             return False
         await self.handle(link.peer, news)
         return news.configuration is not None
--- a/src/jujubewharf/leadership/packing.py
+++ b/src/jujubewharf/leadership/packing.py
@@ -13,13 +13,13 @@
 from jujubewharf.peers import leader_messages
 
 
-def pack(news: leader_messages.ConfigurationNews) -> bytes:
+def pack(news: leader_messages.ConfigurationUpdate) -> bytes:
     """Encodes and compresses a message with its configuration."""
     frame = codec.Frame(codec.FrameKind.TELL, 0, news)
     return zlib.compress(codec.body_of(codec.encode(frame)))
 
 
-def unpack(packed: bytes) -> leader_messages.ConfigurationNews | None:
+def unpack(packed: bytes) -> leader_messages.ConfigurationUpdate | None:
     """Decompresses the output of ``pack``; ``None`` for invalid input.
 
     The decompressed size is bounded, so that a small message can't exhaust
@@ -33,6 +33,6 @@
         message = codec.decode(body).message
     except (zlib.error, codec.DroppedFrameError):
         return None
-    if not isinstance(message, leader_messages.ConfigurationNews):
+    if not isinstance(message, leader_messages.ConfigurationUpdate):
         return None
     return message
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -69,7 +69,7 @@
 
 @messages.message(87)
 @dataclasses.dataclass(frozen=True, slots=True)
-class ConfigurationNews(messages.Message):
+class ConfigurationUpdate(messages.Message):
     """Update with the newest configuration.
 
     Attributes:
@@ -324,7 +324,7 @@
 @messages.message(89)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationRequest(messages.Message):
-    """Requests the full configuration; answered by ``ConfigurationNews``."""
+    """Requests the full configuration; answered by ``ConfigurationUpdate``."""
 
 
 @messages.message(83)
--- a/tests/leadership/test_packing.py
+++ b/tests/leadership/test_packing.py
@@ -31,7 +31,7 @@
         for n in range(16)
     ),
 )
-NEWS = leader_messages.ConfigurationNews("config", 3, 4, LARGE)
+NEWS = leader_messages.ConfigurationUpdate("config", 3, 4, LARGE)
 
 
 def test_configuration_round_trip_is_compressed():
