--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -331,7 +331,7 @@
         interval_s = _LIVENESS_INTERVAL_MS / clocks.MS_PER_S
         try:
             while not (await asyncio.wait([pending], timeout=interval_s))[0]:
-                liveness_check = leader_messages.StillThere()
+                liveness_check = leader_messages.LivenessRequest()
                 await link.ask(liveness_check, timeout_ms=_LIVENESS_TIMEOUT_MS)
         except network.PeerError:
             link.close()
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -151,7 +151,7 @@
         match message:
             case leader_messages.PlacementRequest():
                 return await self._place_request(message)
-            case leader_messages.StillThere():
+            case leader_messages.LivenessRequest():
                 return leader_messages.LivenessReply()
             case limit_messages.PermitAsk(endpoint=endpoint):
                 return limit_messages.Permit(self._limits.grant(endpoint))
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -311,14 +311,14 @@
 
 @messages.message(84)
 @dataclasses.dataclass(frozen=True, slots=True)
-class StillThere(messages.Message):
+class LivenessRequest(messages.Message):
     """Checks that the leader is alive while its reply is pending."""
 
 
 @messages.message(85)
 @dataclasses.dataclass(frozen=True, slots=True)
 class LivenessReply(messages.Message):
-    """Reply to ``StillThere``."""
+    """Reply to ``LivenessRequest``."""
 
 
 @messages.message(89)
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -236,7 +236,7 @@
             ask = link.ask
 
             async def ask_and_lose(message, *, timeout_ms):
-                if type(message).__name__ == "StillThere":
+                if type(message).__name__ == "LivenessRequest":
                     loop.call_soon(link.close)
                 return await ask(message, timeout_ms=timeout_ms)
 
