--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -39,7 +39,7 @@
 
 @messages.message(40)
 @dataclasses.dataclass(frozen=True, slots=True)
-class SlotAsk(messages.Message):
+class SlotRequest(messages.Message):
     """Requests a decode slot; the reply may be delayed until it is granted.
 
     Attributes:
@@ -69,7 +69,7 @@
 @messages.message(41)
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotAnswer(messages.Message):
-    """Reply to ``SlotAsk``.
+    """Reply to ``SlotRequest``.
 
     Attributes:
         is_granted: Whether the slot is granted.
--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -387,9 +387,9 @@
         *,
         is_ready: bool = False,
         urgency: plans_lib.Urgency = plans_lib.Urgency.IN_TIME,
-    ) -> slot_messages.SlotAsk:
+    ) -> slot_messages.SlotRequest:
         latest_ms = max(1.0, latest_ms * _USABLE_TIME_SHARE)
-        return slot_messages.SlotAsk(
+        return slot_messages.SlotRequest(
             view.endpoint.name,
             job.number,
             ready_in_ms=round(ready_ms),
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -62,7 +62,7 @@
         )
 
     async def request(
-        self, view: fleets.EngineView, ask: slot_messages.SlotAsk
+        self, view: fleets.EngineView, ask: slot_messages.SlotRequest
     ) -> slot_messages.SlotAnswer:
         """Requests a slot; returns when it is granted or cannot be in time.
 
@@ -152,7 +152,7 @@
         return coordinator
 
     async def _send_ask(
-        self, coordinator: str, ask: slot_messages.SlotAsk
+        self, coordinator: str, ask: slot_messages.SlotRequest
     ) -> slot_messages.SlotAnswer | None:
         timeout_ms = ask.answer_in_ms + _ANSWER_MARGIN_MS
         try:
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -75,7 +75,7 @@
         self._prefill_ledgers: dict[str, prefill_ledger.PrefillLedger] = {}
         self._digest_rotation: collections.deque[str] = collections.deque()
         self._coordinators = coordinators.CoordinatorCache(members)
-        peers.handle(slot_messages.SlotAsk, self.on_ask)
+        peers.handle(slot_messages.SlotRequest, self.on_ask)
         peers.handle(slot_messages.SlotEnd, self.on_end)
         peers.handle(slot_messages.SlotsHeld, self.on_held)
         peers.handle(slot_messages.ReadAsk, self.on_prefill_announced)
@@ -116,7 +116,7 @@
         )
 
     async def on_ask(
-        self, peer: str, ask: slot_messages.SlotAsk
+        self, peer: str, ask: slot_messages.SlotRequest
     ) -> slot_messages.SlotAnswer:
         """Answers once the slot is granted or cannot be granted in time."""
         view = self._fleet.view(ask.engine)
@@ -381,7 +381,7 @@
 
 
 def _slot_request(
-    peer: str, ask: slot_messages.SlotAsk, now_ms: float
+    peer: str, ask: slot_messages.SlotRequest, now_ms: float
 ) -> slot_ledger.SlotRequest:
     return slot_ledger.SlotRequest(
         slot_ledger.Holder(peer, ask.number),
