--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -68,7 +68,7 @@
 
 @messages.message(41)
 @dataclasses.dataclass(frozen=True, slots=True)
-class SlotAnswer(messages.Message):
+class SlotReply(messages.Message):
     """Reply to ``SlotRequest``.
 
     Attributes:
--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -183,7 +183,7 @@
 
     async def _request_promise(
         self, job: jobs.Job, plan: plans_lib.Plan, urgency: plans_lib.Urgency
-    ) -> slot_messages.SlotAnswer:
+    ) -> slot_messages.SlotReply:
         match urgency:
             case plans_lib.Urgency.IN_TIME:
                 deadline_ms = job.first_answer_by_ms
@@ -191,7 +191,7 @@
                 deadline_ms = job.deadline_at_ms
         latest_ms = deadline_ms - self._clock.now_ms() - plan.first_token_ms
         if latest_ms < 0:
-            return slot_messages.SlotAnswer(False, is_hopeless=True)
+            return slot_messages.SlotReply(False, is_hopeless=True)
         ask = self._slot_ask(
             job, plan.decode, plan.ready_ms, latest_ms, urgency=urgency
         )
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -63,7 +63,7 @@
 
     async def request(
         self, view: fleets.EngineView, ask: slot_messages.SlotRequest
-    ) -> slot_messages.SlotAnswer:
+    ) -> slot_messages.SlotReply:
         """Requests a slot; returns when it is granted or cannot be in time.
 
         If the coordinator cannot be reached, this instance decides itself by
@@ -84,7 +84,7 @@
             grant.coordinator = self._peers.instance
             answer = await self._send_ask(grant.coordinator, ask)
         if answer is None:
-            answer = slot_messages.SlotAnswer(False)
+            answer = slot_messages.SlotReply(False)
         counters.count_slot_answer(
             is_granted=answer.is_granted, is_hopeless=answer.is_hopeless
         )
@@ -153,7 +153,7 @@
 
     async def _send_ask(
         self, coordinator: str, ask: slot_messages.SlotRequest
-    ) -> slot_messages.SlotAnswer | None:
+    ) -> slot_messages.SlotReply | None:
         timeout_ms = ask.answer_in_ms + _ANSWER_MARGIN_MS
         try:
             answer = await self._peers.ask(
@@ -161,7 +161,7 @@
             )
         except network.PeerError:
             return None
-        if isinstance(answer, slot_messages.SlotAnswer):
+        if isinstance(answer, slot_messages.SlotReply):
             return answer
         return None
 
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -117,7 +117,7 @@
 
     async def on_ask(
         self, peer: str, ask: slot_messages.SlotRequest
-    ) -> slot_messages.SlotAnswer:
+    ) -> slot_messages.SlotReply:
         """Answers once the slot is granted or cannot be granted in time."""
         view = self._fleet.view(ask.engine)
         if view is None or not view.takes_work:
@@ -133,7 +133,7 @@
             is_hopeless = outcome is _Outcome.REJECTED
             wait_ms = queue.ledger.wait_ms()
             return self._refusal(ask.engine, wait_ms, is_hopeless=is_hopeless)
-        return slot_messages.SlotAnswer(
+        return slot_messages.SlotReply(
             True,
             from_in_ms=0 if ask.is_ready else ask.ready_in_ms,
             until_in_ms=ask.ready_in_ms + slot_ledger.PROMISE_LASTS_MS,
@@ -243,8 +243,8 @@
 
     def _refusal(
         self, engine: str, wait_ms: float, *, is_hopeless: bool = False
-    ) -> slot_messages.SlotAnswer:
-        return slot_messages.SlotAnswer(
+    ) -> slot_messages.SlotReply:
+        return slot_messages.SlotReply(
             False,
             wait_ms=round(wait_ms),
             is_hopeless=is_hopeless,
