--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -90,7 +90,7 @@
 
 @messages.message(42)
 @dataclasses.dataclass(frozen=True, slots=True)
-class SlotEnd(messages.Message):
+class SlotRelease(messages.Message):
     """Releases a slot or a grant, or leaves the wait queue.
 
     Attributes:
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -137,7 +137,7 @@
             if engine == keep:
                 self._grants[number] = {engine: grant}
                 continue
-            end = slot_messages.SlotEnd(engine, number, grant.is_held)
+            end = slot_messages.SlotRelease(engine, number, grant.is_held)
             self._peers.tell(grant.coordinator, end)
 
     def _coordinator_of(self, view: fleets.EngineView) -> str:
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -76,7 +76,7 @@
         self._digest_rotation: collections.deque[str] = collections.deque()
         self._coordinators = coordinators.CoordinatorCache(members)
         peers.handle(slot_messages.SlotRequest, self.on_ask)
-        peers.handle(slot_messages.SlotEnd, self.on_end)
+        peers.handle(slot_messages.SlotRelease, self.on_end)
         peers.handle(slot_messages.SlotsHeld, self.on_held)
         peers.handle(slot_messages.ReadAsk, self.on_prefill_announced)
         peers.handle(slot_messages.ReadEnd, self.on_prefill_end)
@@ -140,7 +140,7 @@
             digest=self._answer_digests(ask.engine),
         )
 
-    async def on_end(self, peer: str, end: slot_messages.SlotEnd) -> None:
+    async def on_end(self, peer: str, end: slot_messages.SlotRelease) -> None:
         """Frees a slot or a promise, or removes a request from the queue."""
         queue = self._queues.get(end.engine)
         if queue is None:
