--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -107,7 +107,7 @@
 
 @messages.message(43)
 @dataclasses.dataclass(frozen=True, slots=True)
-class SlotsHeld(messages.Message):
+class HeldSlots(messages.Message):
     """Informs a new coordinator of the slots that the sender holds.
 
     Attributes:
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -199,5 +199,5 @@
                 grant.coordinator = coordinator
                 held.append((number, round(now_ms - grant.since_ms)))
         if held:
-            message = slot_messages.SlotsHeld(engine, tuple(held))
+            message = slot_messages.HeldSlots(engine, tuple(held))
             self._peers.tell(coordinator, message)
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -77,7 +77,7 @@
         self._coordinators = coordinators.CoordinatorCache(members)
         peers.handle(slot_messages.SlotRequest, self.on_ask)
         peers.handle(slot_messages.SlotRelease, self.on_end)
-        peers.handle(slot_messages.SlotsHeld, self.on_held)
+        peers.handle(slot_messages.HeldSlots, self.on_held)
         peers.handle(slot_messages.ReadAsk, self.on_prefill_announced)
         peers.handle(slot_messages.ReadEnd, self.on_prefill_end)
         members.listen(self._on_members)
@@ -150,7 +150,7 @@
         self._answer(queue, holder, _Outcome.NOT_YET)
         self._serve(queue)
 
-    async def on_held(self, peer: str, held: slot_messages.SlotsHeld) -> None:
+    async def on_held(self, peer: str, held: slot_messages.HeldSlots) -> None:
         """Records slots that the engine's previous coordinator granted."""
         view = self._fleet.view(held.engine)
         if view is None:
