--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -125,7 +125,7 @@
 class LoadDigest(messages.Message):
     """Shares the load of the engines that the sender coordinates.
 
-    Also the reply to ``ReadAsk``, with the load ahead of that prompt.
+    Also the reply to ``PrefillRequest``, with the load ahead of that prompt.
     """
 
     digest: tuple[EngineDigest, ...]
@@ -133,7 +133,7 @@
 
 @messages.message(45)
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadAsk(messages.Message):
+class PrefillRequest(messages.Message):
     """Announces a prefill to the engine's coordinator, which replies at once.
 
     Attributes:
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -102,7 +102,7 @@
         self.end_prefill(number)
         coordinator = self._coordinator_of(view)
         self._prefills[number] = (view.endpoint.name, coordinator)
-        ask = slot_messages.ReadAsk(view.endpoint.name, number, tokens)
+        ask = slot_messages.PrefillRequest(view.endpoint.name, number, tokens)
         try:
             digest = await self._peers.ask(
                 coordinator, ask, timeout_ms=_PREFILL_ANSWER_TIMEOUT_MS
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -78,7 +78,7 @@
         peers.handle(slot_messages.SlotRequest, self.on_ask)
         peers.handle(slot_messages.SlotRelease, self.on_end)
         peers.handle(slot_messages.HeldSlots, self.on_held)
-        peers.handle(slot_messages.ReadAsk, self.on_prefill_announced)
+        peers.handle(slot_messages.PrefillRequest, self.on_prefill_announced)
         peers.handle(slot_messages.ReadEnd, self.on_prefill_end)
         members.listen(self._on_members)
 
@@ -162,7 +162,7 @@
             queue.ledger.record_held(holder, now_ms - age_ms)
 
     async def on_prefill_announced(
-        self, peer: str, ask: slot_messages.ReadAsk
+        self, peer: str, ask: slot_messages.PrefillRequest
     ) -> slot_messages.LoadDigest:
         """Records a prompt about to be sent; returns the load ahead of it."""
         digest = self._answer_digests(ask.engine)
