--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -149,7 +149,7 @@
 
 @messages.message(46)
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadEnd(messages.Message):
+class PrefillEnd(messages.Message):
     """Informs a coordinator that a prefill is done or was cancelled.
 
     Attributes:
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -122,7 +122,7 @@
         prefill = self._prefills.pop(number, None)
         if prefill is not None:
             engine, coordinator = prefill
-            end = slot_messages.ReadEnd(engine, number, is_prefilled)
+            end = slot_messages.PrefillEnd(engine, number, is_prefilled)
             self._peers.tell(coordinator, end)
 
     def release(self, number: int, *, keep: str | None = None) -> None:
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -79,7 +79,7 @@
         peers.handle(slot_messages.SlotRelease, self.on_end)
         peers.handle(slot_messages.HeldSlots, self.on_held)
         peers.handle(slot_messages.PrefillRequest, self.on_prefill_announced)
-        peers.handle(slot_messages.ReadEnd, self.on_prefill_end)
+        peers.handle(slot_messages.PrefillEnd, self.on_prefill_end)
         members.listen(self._on_members)
 
     async def on_start(self) -> None:
@@ -178,7 +178,7 @@
         return slot_messages.LoadDigest(digest)
 
     async def on_prefill_end(
-        self, peer: str, end: slot_messages.ReadEnd
+        self, peer: str, end: slot_messages.PrefillEnd
     ) -> None:
         """Records that a prefill completed, failed or was cancelled."""
         prefills = self._prefill_ledgers.get(end.engine)
