--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -13,7 +13,7 @@
 from jujubewharf.peers import messages
 
 
-class EngineDigest(NamedTuple):
+class EngineLoad(NamedTuple):
     """Load of one engine, as a tuple to omit the field names on the wire.
 
     Attributes:
@@ -85,7 +85,7 @@
     until_in_ms: int = 0
     wait_ms: int = 0
     is_hopeless: bool = False
-    digest: tuple[EngineDigest, ...] = ()
+    digest: tuple[EngineLoad, ...] = ()
 
 
 @messages.message(42)
@@ -128,7 +128,7 @@
     Also the reply to ``PrefillRequest``, with the load ahead of that prompt.
     """
 
-    digest: tuple[EngineDigest, ...]
+    digest: tuple[EngineLoad, ...]
 
 
 @messages.message(45)
--- a/src/jujubewharf/routing/fleet.py
+++ b/src/jujubewharf/routing/fleet.py
@@ -57,7 +57,7 @@
     own_slots: int = 0
     own_prefill_tokens: int = 0
     leaving_until_ms: float = -math.inf
-    digest: slot_messages.EngineDigest | None = None
+    digest: slot_messages.EngineLoad | None = None
     digest_received_ms: float | None = None
     requested_since_digest: int = 0
     is_withheld: WithheldCheck = lambda name: False
@@ -122,7 +122,7 @@
             )
 
     def apply_digest(
-        self, digest: slot_messages.EngineDigest, now_ms: float
+        self, digest: slot_messages.EngineLoad, now_ms: float
     ) -> None:
         """Stores a digest from the engine's coordinator."""
         self.digest = digest
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -166,7 +166,7 @@
         return None
 
     def _apply_digests(
-        self, digest: tuple[slot_messages.EngineDigest, ...]
+        self, digest: tuple[slot_messages.EngineLoad, ...]
     ) -> None:
         now_ms = self._clock.now_ms()
         for engine_digest in digest:
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -99,7 +99,7 @@
 
     def _answer_digests(
         self, engine: str
-    ) -> tuple[slot_messages.EngineDigest, ...]:
+    ) -> tuple[slot_messages.EngineLoad, ...]:
         """Returns digests of the requested engine and of a few others.
 
         Including all coordinated engines would make answers grow with the
@@ -278,7 +278,7 @@
                 view.report.slots_total, view.report.slots_used
             )
 
-    def _digest_of(self, view: fleets.EngineView) -> slot_messages.EngineDigest:
+    def _digest_of(self, view: fleets.EngineView) -> slot_messages.EngineLoad:
         report = view.report
         queue = self._queues.get(view.endpoint.name)
         if queue is None:
@@ -286,7 +286,7 @@
             free, wait_ms = view.endpoint.slots - used, 0.0
         else:
             free, wait_ms = queue.ledger.net_free, queue.ledger.wait_ms()
-        return slot_messages.EngineDigest(
+        return slot_messages.EngineLoad(
             view.endpoint.name,
             free,
             round(wait_ms),
