--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -122,7 +122,7 @@
 
 @messages.message(44)
 @dataclasses.dataclass(frozen=True, slots=True)
-class LoadDigest(messages.Message):
+class EngineLoads(messages.Message):
     """Shares the load of the engines that the sender coordinates.
 
     Also the reply to ``PrefillRequest``, with the load ahead of that prompt.
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -51,7 +51,7 @@
         self._unresponsive_until_ms: dict[str, float] = {}
         self._known_coordinators: dict[str, str | None] = {}
         self._coordinators = coordinators.CoordinatorCache(context.members)
-        self._peers.handle(slot_messages.LoadDigest, self._on_digest)
+        self._peers.handle(slot_messages.EngineLoads, self._on_digest)
         self._members.listen(self._on_members)
 
     def granted_engine(self, number: int) -> str | None:
@@ -109,7 +109,7 @@
             )
         except network.PeerError:
             return
-        if isinstance(digest, slot_messages.LoadDigest):
+        if isinstance(digest, slot_messages.EngineLoads):
             self._apply_digests(digest.digest)
 
     def announced_engine(self, number: int) -> str | None:
@@ -175,7 +175,7 @@
                 view.apply_digest(engine_digest, now_ms)
 
     async def _on_digest(
-        self, peer: str, digest: slot_messages.LoadDigest
+        self, peer: str, digest: slot_messages.EngineLoads
     ) -> None:
         self._apply_digests(digest.digest)
 
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -163,7 +163,7 @@
 
     async def on_prefill_announced(
         self, peer: str, ask: slot_messages.PrefillRequest
-    ) -> slot_messages.LoadDigest:
+    ) -> slot_messages.EngineLoads:
         """Records a prompt about to be sent; returns the load ahead of it."""
         digest = self._answer_digests(ask.engine)
         now_ms = self._clock.now_ms()
@@ -175,7 +175,7 @@
         holder = slot_ledger.Holder(peer, ask.number)
         transfer_ms = self._transfer_ms(ask.engine, ask.tokens)
         prefills.begin(holder, ask.tokens, transfer_ms, now_ms)
-        return slot_messages.LoadDigest(digest)
+        return slot_messages.EngineLoads(digest)
 
     async def on_prefill_end(
         self, peer: str, end: slot_messages.PrefillEnd
@@ -376,7 +376,7 @@
             if digest:
                 for other_instance in other_instances:
                     self._peers.tell(
-                        other_instance, slot_messages.LoadDigest(digest)
+                        other_instance, slot_messages.EngineLoads(digest)
                     )
 
 
