--- a/benchmarks/crash_checks.py
+++ b/benchmarks/crash_checks.py
@@ -50,7 +50,7 @@
 def _print_sizes() -> None:
     for count in (1, 20, 100):
         reports = _history(count, crashes_each=1).reports()
-        message = crash_messages.CrashesKnown(reports)
+        message = crash_messages.CrashReports(reports)
         frame = codec.Frame(codec.FrameKind.TELL, 0, message)
         print(f"message of {count} requests: {len(codec.encode(frame))} bytes")
     kept = crash_records.encode(reports[0], wall_ms=1.7e12)
--- a/src/jujubewharf/leadership/fleet_crashes.py
+++ b/src/jujubewharf/leadership/fleet_crashes.py
@@ -65,7 +65,7 @@
         """Grants a trial of a request that is quarantined here."""
         return self._history.begin_trial(fingerprint)
 
-    def apply_reports(self, message: crash_messages.CrashesKnown) -> None:
+    def apply_reports(self, message: crash_messages.CrashReports) -> None:
         """Applies a follower's reports, and broadcasts what is new."""
         for report in message.reports:
             if self._history.merge(report):
@@ -91,5 +91,5 @@
     def _broadcast(self) -> None:
         reports = self._history.reports(self._unsent)
         self._unsent.clear()
-        message = crash_messages.CrashesKnown(reports)
+        message = crash_messages.CrashReports(reports)
         self._fleet.tell(message)
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -71,7 +71,7 @@
 class FollowerCrashes(Protocol):
     """Crash history of requests, and trials of quarantined ones."""
 
-    def apply_reports(self, message: crash_messages.CrashesKnown) -> None:
+    def apply_reports(self, message: crash_messages.CrashReports) -> None:
         """Applies a follower's crash reports."""
         ...
 
@@ -160,7 +160,7 @@
             case crash_messages.TrialAsk(fingerprint=fingerprint):
                 is_granted = self._crashes.grant(fingerprint)
                 return crash_messages.Trial(is_granted)
-            case crash_messages.CrashesKnown():
+            case crash_messages.CrashReports():
                 self._crashes.apply_reports(message)
             case leader_messages.CostsObserved():
                 self._on_costs_observed(peer, message)
--- a/src/jujubewharf/leadership/shared_state.py
+++ b/src/jujubewharf/leadership/shared_state.py
@@ -31,7 +31,7 @@
         reports = self.history.reports()
         if not reports:
             return (terms,)
-        return (terms, crash_messages.CrashesKnown(reports))
+        return (terms, crash_messages.CrashReports(reports))
 
     def apply(self, message: messages.Message) -> None:
         """Applies a message from the leader."""
@@ -41,6 +41,6 @@
                     self.backpressure.apply_terms(
                         terms, is_news=message.is_news
                     )
-            case crash_messages.CrashesKnown():
+            case crash_messages.CrashReports():
                 for report in message.reports:
                     self.history.merge(report)
--- a/src/jujubewharf/peers/crash_messages.py
+++ b/src/jujubewharf/peers/crash_messages.py
@@ -11,7 +11,7 @@
 
 @messages.message(110)
 @dataclasses.dataclass(frozen=True, slots=True)
-class CrashesKnown(messages.Message):
+class CrashReports(messages.Message):
     """Shares reports of requests that crashed engines.
 
     Attributes:
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -157,7 +157,7 @@
     async def test(world):
         sender, receiver = world.history(), world.history()
         _crash(sender, world.call(), "a", "b", "c")
-        news = crash_messages.CrashesKnown(sender.reports())
+        news = crash_messages.CrashReports(sender.reports())
         frame = codec.Frame(codec.FrameKind.TELL, 0, news)
         (report,) = codec.decode(codec.encode(frame)[4:]).message.reports
         assert receiver.merge(report)
