--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -225,7 +225,9 @@
         Returns:
             Whether it was granted; false if the leader did not answer.
         """
-        answer = await self._ask_for_grant(crash_messages.TrialAsk(fingerprint))
+        answer = await self._ask_for_grant(
+            crash_messages.TrialRequest(fingerprint)
+        )
         return isinstance(answer, crash_messages.Trial) and answer.is_granted
 
     async def _ask_for_grant(
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -157,7 +157,7 @@
                 return limit_messages.Permit(self._limits.grant(endpoint))
             case limit_messages.TermsKnown():
                 self._limits.apply_terms(message)
-            case crash_messages.TrialAsk(fingerprint=fingerprint):
+            case crash_messages.TrialRequest(fingerprint=fingerprint):
                 is_granted = self._crashes.grant(fingerprint)
                 return crash_messages.Trial(is_granted)
             case crash_messages.CrashReports():
--- a/src/jujubewharf/peers/crash_messages.py
+++ b/src/jujubewharf/peers/crash_messages.py
@@ -23,7 +23,7 @@
 
 @messages.message(111)
 @dataclasses.dataclass(frozen=True, slots=True)
-class TrialAsk(messages.Message):
+class TrialRequest(messages.Message):
     """A follower requests permission for one trial of a quarantined request."""
 
     fingerprint: fingerprints.Fingerprint
@@ -32,6 +32,6 @@
 @messages.message(112)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Trial(messages.Message):
-    """The leader's reply to ``TrialAsk``."""
+    """The leader's reply to ``TrialRequest``."""
 
     is_granted: bool
