--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -228,7 +228,9 @@
         answer = await self._ask_for_grant(
             crash_messages.TrialRequest(fingerprint)
         )
-        return isinstance(answer, crash_messages.Trial) and answer.is_granted
+        return (
+            isinstance(answer, crash_messages.TrialReply) and answer.is_granted
+        )
 
     async def _ask_for_grant(
         self, request: messages.Message
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -159,7 +159,7 @@
                 self._limits.apply_terms(message)
             case crash_messages.TrialRequest(fingerprint=fingerprint):
                 is_granted = self._crashes.grant(fingerprint)
-                return crash_messages.Trial(is_granted)
+                return crash_messages.TrialReply(is_granted)
             case crash_messages.CrashReports():
                 self._crashes.apply_reports(message)
             case leader_messages.CostsObserved():
--- a/src/jujubewharf/peers/crash_messages.py
+++ b/src/jujubewharf/peers/crash_messages.py
@@ -31,7 +31,7 @@
 
 @messages.message(112)
 @dataclasses.dataclass(frozen=True, slots=True)
-class Trial(messages.Message):
+class TrialReply(messages.Message):
     """The leader's reply to ``TrialRequest``."""
 
     is_granted: bool
