--- a/src/jujubewharf/leadership/fleet_limits.py
+++ b/src/jujubewharf/leadership/fleet_limits.py
@@ -110,12 +110,12 @@
             (lambda: 0.0) if is_leading else self._rng.random
         )
 
-    def apply_terms(self, message: limit_messages.TermsKnown) -> None:
+    def apply_terms(self, message: limit_messages.EndpointTerms) -> None:
         """Applies terms from a follower, and broadcasts what is new."""
         for terms in message.terms:
             if self._backpressure.apply_terms(terms, is_news=message.is_news):
                 self._broadcast(terms)
 
     def _broadcast(self, terms: notices.Terms) -> None:
-        message = limit_messages.TermsKnown((terms,), is_news=True)
+        message = limit_messages.EndpointTerms((terms,), is_news=True)
         self._fleet.tell(message)
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -170,7 +170,7 @@
                 self._feeds.low_accounts.update(left)
             case quota_messages.AccountParts():
                 self.on_usage_shares(message.by_account)
-            case limit_messages.TermsKnown() | crash_messages.CrashReports():
+            case limit_messages.EndpointTerms() | crash_messages.CrashReports():
                 self._state.apply(message)
             case leader_messages.EndpointUpdate():
                 records = [_table_record(r) for r in message.records]
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -59,7 +59,7 @@
 class FollowerLimits(Protocol):
     """Counts the requests of followers to rate-limited endpoints."""
 
-    def apply_terms(self, message: limit_messages.TermsKnown) -> None:
+    def apply_terms(self, message: limit_messages.EndpointTerms) -> None:
         """Applies terms from a follower."""
         ...
 
@@ -155,7 +155,7 @@
                 return leader_messages.LivenessReply()
             case limit_messages.PermitAsk(endpoint=endpoint):
                 return limit_messages.Permit(self._limits.grant(endpoint))
-            case limit_messages.TermsKnown():
+            case limit_messages.EndpointTerms():
                 self._limits.apply_terms(message)
             case crash_messages.TrialRequest(fingerprint=fingerprint):
                 is_granted = self._crashes.grant(fingerprint)
--- a/src/jujubewharf/leadership/shared_state.py
+++ b/src/jujubewharf/leadership/shared_state.py
@@ -25,7 +25,7 @@
 
     def initial_messages(self) -> tuple[messages.Message, ...]:
         """Returns the messages that each side of a new link sends first."""
-        terms = limit_messages.TermsKnown(
+        terms = limit_messages.EndpointTerms(
             self.backpressure.terms, is_news=False
         )
         reports = self.history.reports()
@@ -36,7 +36,7 @@
     def apply(self, message: messages.Message) -> None:
         """Applies a message from the leader."""
         match message:
-            case limit_messages.TermsKnown():
+            case limit_messages.EndpointTerms():
                 for terms in message.terms:
                     self.backpressure.apply_terms(
                         terms, is_news=message.is_news
--- a/src/jujubewharf/peers/limit_messages.py
+++ b/src/jujubewharf/peers/limit_messages.py
@@ -10,7 +10,7 @@
 
 @messages.message(100)
 @dataclasses.dataclass(frozen=True, slots=True)
-class TermsKnown(messages.Message):
+class EndpointTerms(messages.Message):
     """Shares the terms on which endpoints accept requests.
 
     Attributes:
