--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -212,7 +212,9 @@
             0 if granted, otherwise the time in ms until a retry can succeed;
             ``None`` if the leader did not answer.
         """
-        answer = await self._ask_for_grant(limit_messages.PermitAsk(endpoint))
+        answer = await self._ask_for_grant(
+            limit_messages.PermitRequest(endpoint)
+        )
         if not isinstance(answer, limit_messages.Permit):
             return None
         return answer.wait_ms
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -153,7 +153,7 @@
                 return await self._place_request(message)
             case leader_messages.LivenessRequest():
                 return leader_messages.LivenessReply()
-            case limit_messages.PermitAsk(endpoint=endpoint):
+            case limit_messages.PermitRequest(endpoint=endpoint):
                 return limit_messages.Permit(self._limits.grant(endpoint))
             case limit_messages.EndpointTerms():
                 self._limits.apply_terms(message)
--- a/src/jujubewharf/peers/limit_messages.py
+++ b/src/jujubewharf/peers/limit_messages.py
@@ -25,7 +25,7 @@
 
 @messages.message(101)
 @dataclasses.dataclass(frozen=True, slots=True)
-class PermitAsk(messages.Message):
+class PermitRequest(messages.Message):
     """A follower requests admission of one request under a rate limit."""
 
     endpoint: str
@@ -34,7 +34,7 @@
 @messages.message(102)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Permit(messages.Message):
-    """The leader's reply to ``PermitAsk``.
+    """The leader's reply to ``PermitRequest``.
 
     Attributes:
         wait_ms: 0 if the request is admitted; else the time after which to
