--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -215,7 +215,7 @@
         answer = await self._ask_for_grant(
             limit_messages.PermitRequest(endpoint)
         )
-        if not isinstance(answer, limit_messages.Permit):
+        if not isinstance(answer, limit_messages.PermitReply):
             return None
         return answer.wait_ms
 
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -154,7 +154,7 @@
             case leader_messages.LivenessRequest():
                 return leader_messages.LivenessReply()
             case limit_messages.PermitRequest(endpoint=endpoint):
-                return limit_messages.Permit(self._limits.grant(endpoint))
+                return limit_messages.PermitReply(self._limits.grant(endpoint))
             case limit_messages.EndpointTerms():
                 self._limits.apply_terms(message)
             case crash_messages.TrialRequest(fingerprint=fingerprint):
--- a/src/jujubewharf/peers/limit_messages.py
+++ b/src/jujubewharf/peers/limit_messages.py
@@ -33,7 +33,7 @@
 
 @messages.message(102)
 @dataclasses.dataclass(frozen=True, slots=True)
-class Permit(messages.Message):
+class PermitReply(messages.Message):
     """The leader's reply to ``PermitRequest``.
 
     Attributes:
