--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -240,7 +240,7 @@
     def follower_used(
         self,
         use: account_usage.FollowerUsage,
-        uses: Iterable[quota_messages.AccountUse],
+        uses: Iterable[quota_messages.AccountUsage],
     ) -> None:
         """Counts the use that a follower has admitted on its own."""
         if self.role is not fleets.Role.LEADING:
@@ -354,7 +354,7 @@
 
     def _send_use(self) -> None:
         uses = tuple(
-            quota_messages.AccountUse(name, units)
+            quota_messages.AccountUsage(name, units)
             for name, units in self._unreported_units.items()
         )
         self._unreported_units.clear()
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -50,7 +50,7 @@
     def follower_used(
         self,
         use: account_usage.FollowerUsage,
-        uses: Iterable[quota_messages.AccountUse],
+        uses: Iterable[quota_messages.AccountUsage],
     ) -> None:
         """Counts the use that a follower has admitted on its own."""
         ...
--- a/src/jujubewharf/peers/quota_messages.py
+++ b/src/jujubewharf/peers/quota_messages.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AccountUse:
+class AccountUsage:
     """Quota used by one account at one instance since the last report.
 
     Attributes:
@@ -25,7 +25,7 @@
 class AccountsUsed(messages.Message):
     """A follower reports the quota used by requests that it admitted."""
 
-    uses: tuple[AccountUse, ...]
+    uses: tuple[AccountUsage, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
