--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -359,7 +359,7 @@
         )
         self._unreported_units.clear()
         if uses:
-            self._fleet.link.tell(quota_messages.AccountsUsed(uses))
+            self._fleet.link.tell(quota_messages.UsageReport(uses))
 
     def _broadcast_low_accounts(self) -> None:
         assert self._fleet.followers is not None
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -164,7 +164,7 @@
                 self._crashes.apply_reports(message)
             case leader_messages.CostsObserved():
                 self._on_costs_observed(peer, message)
-            case quota_messages.AccountsUsed(uses=uses):
+            case quota_messages.UsageReport(uses=uses):
                 self._quotas.follower_used(self._usage, uses)
             case leader_messages.PlacementReleased():
                 self._on_place_ended(message)
--- a/src/jujubewharf/peers/quota_messages.py
+++ b/src/jujubewharf/peers/quota_messages.py
@@ -22,7 +22,7 @@
 
 @messages.message(90)
 @dataclasses.dataclass(frozen=True, slots=True)
-class AccountsUsed(messages.Message):
+class UsageReport(messages.Message):
     """A follower reports the quota used by requests that it admitted."""
 
     uses: tuple[AccountUsage, ...]
