--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -364,14 +364,14 @@
     def _broadcast_low_accounts(self) -> None:
         assert self._fleet.followers is not None
         now_ms = self._clock.now_ms()
-        low: list[quota_messages.AccountLeft] = []
+        low: list[quota_messages.AccountQuota] = []
         for name, account in self._source.accounts.by_name.items():
             if account.quota is None:
                 continue
             local_quota = self._local_quota(name, account.quota)
             left = self._buckets.balance(name, local_quota, now_ms)
             if left < local_quota.burst * _LOW_SHARE:
-                low.append(quota_messages.AccountLeft(name, left))
+                low.append(quota_messages.AccountQuota(name, left))
         self._fleet.followers.broadcast_low_accounts(tuple(low))
 
     def _send_shares(self) -> None:
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -200,7 +200,7 @@
             link.close(link_messages.Farewell(reason))
 
     def broadcast_low_accounts(
-        self, accounts: tuple[quota_messages.AccountLeft, ...]
+        self, accounts: tuple[quota_messages.AccountQuota, ...]
     ) -> None:
         """Sends all followers the accounts that are low."""
         if accounts or self._low_accounts.accounts:
--- a/src/jujubewharf/leadership/low_accounts.py
+++ b/src/jujubewharf/leadership/low_accounts.py
@@ -34,7 +34,7 @@
         """Discards what the previous leader reported."""
         self._buckets.clear()
 
-    def update(self, left: Iterable[quota_messages.AccountLeft]) -> None:
+    def update(self, left: Iterable[quota_messages.AccountQuota]) -> None:
         """Replaces the low accounts by those of a new report."""
         self._buckets.clear()
         now_ms = self._clock.now_ms()
--- a/src/jujubewharf/peers/quota_messages.py
+++ b/src/jujubewharf/peers/quota_messages.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AccountLeft:
+class AccountQuota:
     """Remaining quota of one account.
 
     Attributes:
@@ -49,7 +49,7 @@
     Accounts that are not listed have enough.
     """
 
-    accounts: tuple[AccountLeft, ...]
+    accounts: tuple[AccountQuota, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
