--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -86,7 +86,7 @@
         self._unconfigured: set[links.Link] = set()
         self._configuration: leader_messages.ConfigurationUpdate | None = None
         self._endpoints: dict[str, leader_messages.EndpointRecord] = {}
-        self._low_accounts = quota_messages.AccountsLeft(())
+        self._low_accounts = quota_messages.LowAccounts(())
         self._endpoints_read = _ReadProgress()
         self._configurations_read = _ReadProgress()
 
@@ -188,7 +188,7 @@
         """Starts to accept followers, with no tables confirmed as read yet."""
         self._endpoints_read.confirmed_ms = None
         self._configurations_read.confirmed_ms = None
-        self._low_accounts = quota_messages.AccountsLeft(())
+        self._low_accounts = quota_messages.LowAccounts(())
         self.is_leading = True
         self._leading_since_ms = self._clock.now_ms()
 
@@ -204,7 +204,7 @@
     ) -> None:
         """Sends all followers the accounts that are low."""
         if accounts or self._low_accounts.accounts:
-            self._low_accounts = quota_messages.AccountsLeft(accounts)
+            self._low_accounts = quota_messages.LowAccounts(accounts)
             self._send(self._low_accounts, self._links)
 
     def broadcast(self, message: messages.Message) -> None:
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -166,7 +166,7 @@
                     message.key, message.offset, message.configuration
                 )
                 self._feeds.configurations.apply([record], message.end)
-            case quota_messages.AccountsLeft(accounts=left):
+            case quota_messages.LowAccounts(accounts=left):
                 self._feeds.low_accounts.update(left)
             case quota_messages.AccountParts():
                 self.on_usage_shares(message.by_account)
--- a/src/jujubewharf/peers/quota_messages.py
+++ b/src/jujubewharf/peers/quota_messages.py
@@ -43,7 +43,7 @@
 
 @messages.message(91)
 @dataclasses.dataclass(frozen=True, slots=True)
-class AccountsLeft(messages.Message):
+class LowAccounts(messages.Message):
     """The leader lists the accounts that are low on quota.
 
     Accounts that are not listed have enough.
