--- a/src/jujubewharf/peers/quota_messages.py
+++ b/src/jujubewharf/peers/quota_messages.py
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AccountPart:
+class UsageShare:
     """A follower's share of the use of one account.
 
     Attributes:
@@ -73,12 +73,12 @@
     Accounts that are not listed were not used there recently.
     """
 
-    parts: tuple[AccountPart, ...]
+    parts: tuple[UsageShare, ...]
 
     @classmethod
     def from_parts(cls, parts: dict[str, float]) -> AccountParts:
         """Creates the message from shares by account."""
-        return cls(tuple(AccountPart(*item) for item in parts.items()))
+        return cls(tuple(UsageShare(*item) for item in parts.items()))
 
     @property
     def by_account(self) -> dict[str, float]:
