--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -168,7 +168,7 @@
                 self._feeds.configurations.apply([record], message.end)
             case quota_messages.LowAccounts(accounts=left):
                 self._feeds.low_accounts.update(left)
-            case quota_messages.AccountParts():
+            case quota_messages.UsageShares():
                 self.on_usage_shares(message.by_account)
             case limit_messages.EndpointTerms() | crash_messages.CrashReports():
                 self._state.apply(message)
--- a/src/jujubewharf/peers/quota_messages.py
+++ b/src/jujubewharf/peers/quota_messages.py
@@ -67,7 +67,7 @@
 
 @messages.message(92)
 @dataclasses.dataclass(frozen=True, slots=True)
-class AccountParts(messages.Message):
+class UsageShares(messages.Message):
     """The leader informs a follower of its share of each account's use.
 
     Accounts that are not listed were not used there recently.
@@ -76,7 +76,7 @@
     parts: tuple[UsageShare, ...]
 
     @classmethod
-    def from_parts(cls, parts: dict[str, float]) -> AccountParts:
+    def from_parts(cls, parts: dict[str, float]) -> UsageShares:
         """Creates the message from shares by account."""
         return cls(tuple(UsageShare(*item) for item in parts.items()))
 
