--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -269,7 +269,7 @@
 
 @messages.message(35)
 @dataclasses.dataclass(frozen=True, slots=True)
-class PullReply(messages.Message):
+class PullPlainResponse(messages.Message):
     """Requests the response to a non-streamed call by long polling.
 
     Attributes:
@@ -284,7 +284,7 @@
 @messages.message(36)
 @dataclasses.dataclass(frozen=True, slots=True)
 class PulledReply(messages.Message):
-    """Reply to ``PullReply``: the response if complete.
+    """Reply to ``PullPlainResponse``: the response if complete.
 
     Attributes:
         is_running: Whether the call is still running.
