--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -283,7 +283,7 @@
 
 @messages.message(36)
 @dataclasses.dataclass(frozen=True, slots=True)
-class PulledReply(messages.Message):
+class PulledPlainResponse(messages.Message):
     """Reply to ``PullPlainResponse``: the response if complete.
 
     Attributes:
