--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -140,7 +140,7 @@
 
 @messages.message(27)
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskNeeded(messages.Message):
+class NeededAttemptsRequest(messages.Message):
     """Asks which attempts an instance still needs; forwarded at most once.
 
     Attributes:
@@ -155,7 +155,7 @@
 @messages.message(28)
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotNeeded(messages.Message):
-    """Reply to ``AskNeeded``: the attempts that are no longer needed.
+    """Reply to ``NeededAttemptsRequest``: attempts no longer needed.
 
     Attributes:
         marks: Eight bytes for each attempt.
--- a/src/jujubewharf/requests/sweep.py
+++ b/src/jujubewharf/requests/sweep.py
@@ -90,7 +90,7 @@
         self._counters = counters
         self._unconfirmed: dict[tuple[str, str], _Unconfirmed] = {}
         self._logger = structlog.get_logger()
-        peers.handle(key_messages.AskNeeded, self._on_ask_needed)
+        peers.handle(key_messages.NeededAttemptsRequest, self._on_ask_needed)
 
     @mode.Service.task
     async def _sweep(self) -> None:
@@ -165,7 +165,7 @@
         if owner == self._instance:
             found = self._releaser.not_needed(marks)
             return frozenset(releases.marks_in(found))
-        message = key_messages.AskNeeded(owner, marks)
+        message = key_messages.NeededAttemptsRequest(owner, marks)
         for peer in [owner, *self._intermediaries(owner)]:
             answer = await self._ask(peer, message)
             if answer is not None and answer.is_owners_word:
@@ -182,7 +182,7 @@
         return hashing.rank(owner, others)[:_MAX_INTERMEDIARIES]
 
     async def _ask(
-        self, peer: str, message: key_messages.AskNeeded
+        self, peer: str, message: key_messages.NeededAttemptsRequest
     ) -> key_messages.NotNeeded | None:
         try:
             answer = await self._peers.ask(
@@ -227,7 +227,7 @@
             del self._unconfirmed[key]
 
     async def _on_ask_needed(
-        self, sender: str, message: key_messages.AskNeeded
+        self, sender: str, message: key_messages.NeededAttemptsRequest
     ) -> key_messages.NotNeeded:
         if message.owner == self._instance:
             found = self._releaser.not_needed(message.marks)
