--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -193,16 +193,16 @@
         return None
 
     async def _place_request(
-        self, ask: leader_messages.PlacementRequest
+        self, request: leader_messages.PlacementRequest
     ) -> messages.Message | None:
-        run = self._build_run(ask)
+        run = self._build_run(request)
         if run is None:
             return None
         held = _HeldPlace()
-        self._held_places[ask.number] = held
+        self._held_places[request.number] = held
         answer: asyncio.Future[messages.Message | None] = asyncio.Future()
         held.task = asyncio.ensure_future(
-            self._hold_place(ask, run, held, answer)
+            self._hold_place(request, run, held, answer)
         )
         try:
             return await answer
@@ -212,7 +212,7 @@
 
     async def _hold_place(
         self,
-        ask: leader_messages.PlacementRequest,
+        request: leader_messages.PlacementRequest,
         run: runs.Run,
         held: _HeldPlace,
         answer: asyncio.Future[messages.Message | None],
@@ -220,7 +220,7 @@
         try:
             async with self._places.place(run) as place:
                 held.place = place
-                if not ask.is_counted:
+                if not request.is_counted:
                     self._quotas.follower_admitted(self._usage, run)
                 _resolve(answer, _placed_message(place))
                 ending = await held.ending
@@ -229,13 +229,13 @@
                 if not ending.is_whole:
                     raise _IncompleteAnswerError
         except errors.WharfError as error:
-            come_back_ms = error.retry_after_ms
-            if come_back_ms is None:
+            retry_after_ms = error.retry_after_ms
+            if retry_after_ms is None:
                 _resolve(answer, None)
             else:
                 is_over_quota = error.kind is errors.ErrorKind.RATE_LIMITED
                 refusal = leader_messages.PlacementRejected(
-                    come_back_ms, is_over_quota
+                    retry_after_ms, is_over_quota
                 )
                 _resolve(answer, refusal)
         except _IncompleteAnswerError:
@@ -244,7 +244,7 @@
             pass
         finally:
             _resolve(answer, None)
-            self._held_places.pop(ask.number, None)
+            self._held_places.pop(request.number, None)
 
     def _on_costs_observed(
         self, peer: str, message: leader_messages.CostsObserved
@@ -287,48 +287,52 @@
             self._observations.record_failure(error)
 
     def _build_run(
-        self, ask: leader_messages.PlacementRequest
+        self, request: leader_messages.PlacementRequest
     ) -> runs.Run | None:
         """Builds a follower's run; ``None`` if its route is unknown."""
         current = self._source.current
         if current is None:
             return None
-        route = next((r for r in current.routes if r.name == ask.route), None)
-        service = current.services.get(ask.service)
+        route = next(
+            (r for r in current.routes if r.name == request.route), None
+        )
+        service = current.services.get(request.service)
         if route is None or service is None or service.engine is None:
             return None
         now_ms = self._clock.now_ms()
         work = None
-        if ask.prompt_tokens is not None:
+        if request.prompt_tokens is not None:
             work = calls.ModelWork(
-                ask.prompt_tokens, ask.output_tokens, ask.expected_tokens
+                request.prompt_tokens,
+                request.output_tokens,
+                request.expected_tokens,
             )
         call = calls.Call(
-            request_id=ask.request_id,
+            request_id=request.request_id,
             method="",
             host="",
             path_query="",
             headers=(),
             body=b"",
-            arrived_ms=now_ms - ask.waited_ms,
-            patience_ms=ask.patience_ms,
+            arrived_ms=now_ms - request.waited_ms,
+            patience_ms=request.patience_ms,
             work=work,
-            account=ask.account,
+            account=request.account,
         )
         return runs.Run(
             call,
             route,
-            ask.service,
-            now_ms + ask.left_ms,
-            domain=ask.domain,
-            may_have_run=ask.may_have_run,
+            request.service,
+            now_ms + request.left_ms,
+            domain=request.domain,
+            may_have_run=request.may_have_run,
             traits=service.engine,
-            lost_by=set(ask.lost_by),
-            account=self._source.accounts.by_name.get(ask.account or ""),
-            is_counted=ask.is_counted,
+            lost_by=set(request.lost_by),
+            account=self._source.accounts.by_name.get(request.account or ""),
+            is_counted=request.is_counted,
             backoff_until_ms={
                 backoff.engine: now_ms + backoff.for_ms
-                for backoff in ask.backoffs
+                for backoff in request.backoffs
             },
         )
 
