--- a/tests/forwarding/test_accounts.py
+++ b/tests/forwarding/test_accounts.py
@@ -44,7 +44,7 @@
         (f"Bearer {KEY}, Bearer {KEY}",),
     ],
 )
-def test_without_a_known_key_nothing_runs(values):
+def test_unknown_key_is_rejected(values):
     async def main():
         async with deployments.deployed(
             deployments.plain_endpoint("s1")
@@ -60,7 +60,7 @@
     deployments.run(main())
 
 
-def test_endpoints_are_told_the_account_and_never_the_key():
+def test_endpoints_get_the_account_but_not_the_key():
     async def main():
         async with deployments.deployed(
             deployments.plain_endpoint("s1"),
@@ -80,7 +80,7 @@
     deployments.run(main())
 
 
-def test_where_no_account_is_configured_a_token_is_the_endpoints_own():
+def test_authorization_is_forwarded_without_accounts():
     async def main():
         async with deployments.deployed(
             deployments.plain_endpoint("s1")
@@ -93,7 +93,7 @@
     deployments.run(main())
 
 
-def test_a_public_route_asks_for_no_key_and_passes_none_on():
+def test_public_route_needs_no_key_and_forwards_none():
     async def main():
         async with deployments.deployed(
             deployments.plain_endpoint("s1")
@@ -113,7 +113,7 @@
     deployments.run(main())
 
 
-def test_a_withdrawn_key_is_refused_and_its_running_answer_goes_on():
+def test_removed_key_is_rejected_but_running_stream_continues():
     """Removing a key rejects new requests but does not end running streams.
 
     An older configuration that arrives late must not restore the key.
@@ -143,7 +143,7 @@
     deployments.run(main())
 
 
-def test_the_accounts_priority_goes_before_the_routes():
+def test_account_priority_overrides_route_priority():
     async def main():
         async with deployments.deployed(
             deployments.plain_endpoint("s1")
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("rate_per_s", [0.0, -3.0, math.nan, math.inf])
-def test_a_rate_that_bounds_nothing_is_no_quota(rate_per_s):
+def test_invalid_rate_means_no_quota(rate_per_s):
     assert (
         accounts.Quota.from_limits(
             rate_per_s=rate_per_s,
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize("burst", [0.0, -1.0, math.nan])
-def test_a_rate_without_a_burst_lets_a_steady_pace_through(burst):
+def test_rate_without_burst_gets_default_burst(burst):
     quota = accounts.Quota.from_limits(
         rate_per_s=2.0**54, burst=burst, counts_tokens=False, unsized_tokens=1.0
     )
@@ -181,7 +181,7 @@
     assert quota.burst > 0.0
 
 
-def test_what_requests_count():
+def test_units_of_requests():
     tokens = accounts.Quota(1.0, 1.0, accounts.QuotaUnit.TOKENS, 200.0)
     requests = accounts.Quota(1.0, 1.0)
     work = calls.ModelWork(3_000, 70)
--- a/tests/forwarding/test_attempts.py
+++ b/tests/forwarding/test_attempts.py
@@ -13,7 +13,7 @@
 decode_engine = deployments.decode_engine
 
 
-def test_a_prompt_is_read_apart_and_the_answer_is_whole():
+def test_prefill_and_decode_on_separate_engines():
     async def main():
         async with deployments.deployed(
             prefill_engine("p1"), decode_engine("d1")
@@ -29,7 +29,7 @@
     deployments.run(main())
 
 
-def test_without_a_prefill_engine_the_decode_engine_reads():
+def test_decode_engine_prefills_without_prefill_engine():
     async def main():
         async with deployments.deployed(decode_engine("d1")) as world:
             answer = await world.ask("/verdicts/1")
@@ -40,7 +40,7 @@
     deployments.run(main())
 
 
-def test_no_prompt_is_read_while_no_engine_has_memory():
+def test_no_prefill_without_decode_memory():
     """Prefill without reserved memory is wasted, since its result expires."""
 
     async def main():
@@ -59,7 +59,7 @@
     deployments.run(main())
 
 
-def test_one_that_came_back_waits_longer_than_at_first():
+def test_retried_request_waits_longer():
     """A retried request waits longer than a new one.
 
     It is recognised by its shorter remaining time.
@@ -77,7 +77,7 @@
     deployments.run(main())
 
 
-def test_short_memory_goes_to_a_request_that_can_still_meet_its_target():
+def test_request_that_can_meet_its_target_goes_first():
     """A request that can meet its target precedes one that is already late.
 
     The late request arrived first and is served afterwards.
@@ -104,7 +104,7 @@
     deployments.run(main())
 
 
-def test_memory_that_comes_free_in_time_is_taken():
+def test_memory_freed_in_time_is_used():
     async def main():
         tight = decode_engine("d1", memory_tokens=20_000, events=6)
         async with deployments.deployed(prefill_engine("p1"), tight) as world:
@@ -115,7 +115,7 @@
     deployments.run(main())
 
 
-def test_a_refused_prefill_result_is_replaced_by_reading_there():
+def test_decode_engine_prefills_if_fetch_fails():
     """A decode engine that cannot fetch the prefill result prefills itself.
 
     The prefill engine is then not used for a while.
@@ -133,7 +133,7 @@
     deployments.run(main())
 
 
-def test_no_prompts_are_read_for_an_engine_that_changes_its_role():
+def test_role_change_wastes_at_most_one_prefill():
     """An engine that changes roles costs at most one wasted prefill.
 
     It still grants reservations, refuses runs, and registers its new role only
@@ -154,7 +154,7 @@
     deployments.run(main())
 
 
-def test_an_engine_whose_address_has_another_one_is_forgotten():
+def test_replaced_engine_is_removed():
     """A replaced engine is dropped on its refusal, without the store."""
 
     async def main():
@@ -191,7 +191,7 @@
     deployments.run(main())
 
 
-def test_an_engine_with_another_role_is_left_for_another():
+def test_engine_with_outdated_role_is_skipped():
     async def main():
         other = decode_engine("d1")
         async with deployments.deployed(
@@ -209,7 +209,7 @@
     deployments.run(main())
 
 
-def test_unreachable_engines_cost_no_attempt():
+def test_unreachable_engine_uses_no_attempt():
     async def main():
         async with deployments.deployed(
             prefill_engine("p1"),
@@ -222,7 +222,7 @@
     deployments.run(main())
 
 
-def test_a_prompt_that_one_engine_refuses_is_read_by_another():
+def test_refused_prefill_moves_to_another_engine():
     """A refused prefill moves to another prefill engine.
 
     Prefill on the decode engine would stall its other answers.
@@ -243,7 +243,7 @@
     deployments.run(main())
 
 
-def test_an_unreachable_decode_engine_is_not_asked_all_the_time():
+def test_unreachable_decode_engine_is_not_retried_constantly():
     """An unreachable engine is not retried in every round of the wait."""
 
     async def main():
@@ -307,7 +307,7 @@
     deployments.run(main())
 
 
-def test_a_request_without_size_is_sent_all_the_same():
+def test_request_without_size_is_served():
     async def main():
         async with deployments.deployed(
             prefill_engine("p1"), decode_engine("d1")
@@ -319,7 +319,7 @@
     deployments.run(main())
 
 
-def test_a_refused_reading_is_no_way_around_the_budget():
+def test_run_after_refused_prefill_needs_retry_budget():
     """A run after a refused prefill counts against the retry budget."""
 
     async def main():
@@ -380,7 +380,7 @@
     deployments.run(main())
 
 
-def test_an_engine_that_answers_no_reservation_is_not_asked_again():
+def test_unresponsive_engine_is_not_asked_again():
     """An unresponsive engine delays one request, not the whole queue."""
 
     async def main():
--- a/tests/forwarding/test_backpressure.py
+++ b/tests/forwarding/test_backpressure.py
@@ -24,7 +24,7 @@
     return notices.Notice(clock.now_ms() - asked_ago_ms, **more)
 
 
-def test_an_answer_from_before_the_limit_does_not_end_it():
+def test_outdated_answer_does_not_end_the_limit():
     """An answer to a request sent before the limit must not end the limit."""
 
     async def test(known, clock):
@@ -39,7 +39,7 @@
     _run(test)
 
 
-def test_an_answer_from_before_does_not_raise_the_limit():
+def test_outdated_answer_does_not_raise_the_limit():
     """Answers can arrive out of order."""
 
     async def test(known, clock):
@@ -60,7 +60,7 @@
     _run(test)
 
 
-def test_a_refusal_without_a_limit_does_not_end_it():
+def test_refusal_does_not_end_the_limit():
     async def test(known, clock):
         known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=1.5))
         await clock.sleep_ms(100.0)
@@ -70,7 +70,7 @@
     _run(test)
 
 
-def test_of_what_two_instances_know_the_stricter_holds():
+def test_stricter_terms_win():
     """After a partition either instance may have the newer terms."""
 
     async def test(known, clock):
@@ -85,7 +85,7 @@
     _run(test)
 
 
-def test_news_of_another_instance_count_as_they_are():
+def test_changed_terms_of_another_instance_apply():
     async def test(known, clock):
         known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=3.0))
         assert known.apply_terms(notices.Terms("s1", 4.0), is_news=True)
@@ -97,7 +97,7 @@
     _run(test)
 
 
-def test_a_new_limit_ends_the_wait_that_the_former_one_asked_for():
+def test_new_limit_ends_the_deferral():
     async def test(known, clock):
         known.apply_notice(ENDPOINT, _notice(clock, rate_limit_per_s=0.2))
         known.defer("s1", 5_000.0)
@@ -110,7 +110,7 @@
     _run(test)
 
 
-def test_only_news_are_told_on():
+def test_only_changes_are_broadcast():
     async def test(known, clock):
         told = []
         known.on_terms_changed = told.append
--- a/tests/forwarding/test_budget.py
+++ b/tests/forwarding/test_budget.py
@@ -20,7 +20,7 @@
     return taken
 
 
-def test_all_instances_together_stay_within_the_bound():
+def test_fleet_stays_within_the_budget():
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         fleet = [_budget(clock, share=1 / 6) for _ in range(6)]
@@ -32,7 +32,7 @@
     virtual_time.run(main())
 
 
-def test_what_was_taken_comes_back_with_the_window():
+def test_retries_expire_with_the_window():
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         budget = _budget(clock)
@@ -45,7 +45,7 @@
     virtual_time.run(main())
 
 
-def test_services_have_budgets_of_their_own():
+def test_budget_is_per_service():
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         budget = _budget(clock)
--- a/tests/forwarding/test_crash_detection.py
+++ b/tests/forwarding/test_crash_detection.py
@@ -15,7 +15,7 @@
     return [line for line in lines if line["event"] == "engine_crashed"]
 
 
-def test_a_line_names_the_request_the_engine_and_how_often():
+def test_log_line_has_request_engine_and_crash_count():
     """Log lines link the tries of one request by its label."""
 
     async def main():
@@ -39,7 +39,7 @@
     deployments.run(main())
 
 
-def test_all_that_an_engine_ran_has_a_line():
+def test_every_request_of_a_crashed_engine_is_logged():
     async def main():
         async with deployments.deployed(
             deployments.plain_endpoint("s1", work_ms=100.0),
@@ -59,7 +59,7 @@
     deployments.run(main())
 
 
-def test_a_connection_that_broke_is_no_crash():
+def test_broken_connection_is_no_crash():
     """A reset connection or a lost answer is not counted as a crash."""
 
     async def main():
--- a/tests/forwarding/test_crash_records.py
+++ b/tests/forwarding/test_crash_records.py
@@ -16,7 +16,7 @@
 )
 
 
-def test_a_report_is_older_by_the_time_since_it_was_written():
+def test_ages_grow_by_the_time_since_writing():
     data = crash_records.encode(REPORT, wall_ms=5_000.0)
     read = crash_records.decode(data, wall_ms=6_000.0)
     assert read.fingerprint == REPORT.fingerprint
@@ -25,7 +25,7 @@
     assert read.cleared_age_ms == 1_007.0
 
 
-def test_a_clock_that_is_behind_makes_it_no_younger_than_it_was():
+def test_clock_skew_does_not_reduce_ages():
     data = crash_records.encode(REPORT, wall_ms=9_000.0)
     assert crash_records.decode(data, wall_ms=5_000.0) == REPORT
 
@@ -33,13 +33,13 @@
 @pytest.mark.parametrize(
     "data", [b"", b"[]", b"{}", b'{"digest": "zz"}', b"\xff\x00"]
 )
-def test_what_others_wrote_is_an_error_that_shows_none_of_it(data):
+def test_invalid_record_error_hides_the_input(data):
     with pytest.raises(ValueError) as caught:
         crash_records.decode(data, wall_ms=0.0)
     assert "zz" not in str(caught.value)
 
 
-def test_a_digest_that_is_no_hexadecimal_is_an_error():
+def test_non_hexadecimal_digest_is_an_error():
     data = crash_records.encode(REPORT, wall_ms=0.0)
     with pytest.raises(ValueError):
         crash_records.decode(data.replace(b"ff31", b"zz31"), wall_ms=0.0)
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -51,7 +51,7 @@
     return False
 
 
-def test_three_engines_make_a_quarantine_and_two_do_not():
+def test_three_crashes_quarantine_a_request():
     async def test(world):
         history = world.history()
         _crash(history, world.call(), "a", "b")
@@ -63,7 +63,7 @@
     _run(test)
 
 
-def test_an_engine_counts_once_however_many_tries_it_ran():
+def test_repeated_crashes_of_one_engine_count_once():
     async def test(world):
         history = world.history()
         _crash(history, world.call(), "a", "a", "a", "a")
@@ -72,7 +72,7 @@
     _run(test)
 
 
-def test_a_whole_answer_ends_a_quarantine():
+def test_complete_answer_ends_quarantine():
     """A complete answer shows that the request does not cause crashes."""
 
     async def test(world):
@@ -89,7 +89,7 @@
     _run(test)
 
 
-def test_it_ends_with_its_time_and_one_more_crash_brings_it_back():
+def test_quarantine_expires_and_returns_with_the_next_crash():
     async def test(world):
         history = world.history()
         _crash(history, world.call(), "a")
@@ -103,7 +103,7 @@
     _run(test)
 
 
-def test_a_caller_that_makes_up_thousands_pushes_out_no_other_one():
+def test_eviction_spares_other_accounts():
     """An account with many records evicts only its own."""
 
     async def test(world):
@@ -122,7 +122,7 @@
     _run(test)
 
 
-def test_another_callers_request_with_the_same_body_is_sent():
+def test_quarantine_is_per_account():
     async def test(world):
         history = world.history()
         _crash(history, world.call(account="acme"), "a", "b", "c")
@@ -131,7 +131,7 @@
     _run(test)
 
 
-def test_bodies_are_read_only_for_requests_that_look_alike(monkeypatch):
+def test_bodies_are_hashed_only_for_matching_outlines(monkeypatch):
     """Hashing the body of every request would be too expensive."""
 
     async def test(world):
@@ -153,7 +153,7 @@
     _run(test)
 
 
-def test_what_is_told_arrives_whole():
+def test_reports_survive_the_codec():
     async def test(world):
         sender, receiver = world.history(), world.history()
         _crash(sender, world.call(), "a", "b", "c")
@@ -167,7 +167,7 @@
     _run(test)
 
 
-def test_an_old_word_does_not_undo_a_whole_answer():
+def test_outdated_report_does_not_undo_clearance():
     """An outdated report after a partition does not undo a clearance."""
 
     async def test(world):
@@ -188,7 +188,7 @@
     _run(test)
 
 
-def test_a_round_of_telling_keeps_nothing_alive():
+def test_exchanged_reports_still_expire():
     """Two instances that exchange reports still forget old crashes."""
 
     async def test(world):
@@ -206,7 +206,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_all_come_to_know_the_same_in_whatever_order_they_hear(seed):
+def test_histories_converge_in_any_order(seed):
     async def test(world):
         rng = random.Random(seed)
         histories = [world.history() for _ in range(4)]
@@ -234,7 +234,7 @@
     _run(test)
 
 
-def test_tries_that_tell_nothing_are_two_at_most():
+def test_at_most_two_trials_without_result():
     """The number of trials is bounded even if none gives a result."""
 
     async def test(world):
@@ -250,7 +250,7 @@
     _run(test)
 
 
-def test_a_whole_answer_gives_new_tries_as_well():
+def test_complete_answer_resets_trials():
     async def test(world):
         history = world.history()
         fingerprint = fingerprints.Fingerprint.from_call(world.call())
@@ -265,7 +265,7 @@
     _run(test)
 
 
-def test_that_a_try_was_let_through_is_told_and_kept():
+def test_trials_are_part_of_stored_reports():
     """A stored trial is not granted again after a restart or an election."""
 
     async def test(world):
@@ -281,7 +281,7 @@
     _run(test)
 
 
-def test_nothing_is_let_through_after_a_fourth_crash():
+def test_no_trial_after_a_fourth_crash():
     async def test(world):
         history = world.history()
         _crash(history, world.call(), "a", "b", "c")
--- a/tests/forwarding/test_events.py
+++ b/tests/forwarding/test_events.py
@@ -26,7 +26,7 @@
     assert not splitter.has_partial
 
 
-def test_a_part_of_an_event_is_kept_back():
+def test_incomplete_event_is_buffered():
     splitter = events.EventSplitter()
     found = splitter.feed(b"id: 7\ndata: x\n\nid: 8\nda")
     assert [event.number for event in found] == [7]
--- a/tests/forwarding/test_fingerprints.py
+++ b/tests/forwarding/test_fingerprints.py
@@ -27,7 +27,7 @@
         {"host": deployments.HOST.upper()},
     ],
 )
-def test_a_new_try_is_the_same_request(again):
+def test_retried_request_has_the_same_fingerprint(again):
     assert _of(**again) == _of()
 
 
@@ -42,14 +42,14 @@
         {"host": "other.example"},
     ],
 )
-def test_another_caller_path_or_body_is_another_request(other):
+def test_different_request_has_another_fingerprint(other):
     assert _of(**other) != _of()
 
 
-def test_fields_do_not_run_into_each_other():
+def test_field_boundaries_are_hashed():
     first = _of(path_query="/a", headers=(("Authorization", "b"),))
     assert first.digest != _of(path_query="/ab").digest
 
 
-def test_paths_with_bytes_that_are_no_text_are_told_apart():
+def test_non_text_paths_are_distinguished():
     assert _of(path_query="/\udcff") != _of(path_query="/\udcfe")
--- a/tests/forwarding/test_follower.py
+++ b/tests/forwarding/test_follower.py
@@ -38,7 +38,7 @@
     virtual_time.run(main())
 
 
-def test_changes_are_heard_of_within_a_read():
+def test_changes_are_read_within_one_poll():
     async def test(clock, table, known, lost):
         table.put("a", 1)
         await clock.sleep_ms(100.0)
@@ -50,7 +50,7 @@
     _run(test)
 
 
-def test_an_outage_is_told_and_ends_by_itself():
+def test_outage_is_reported_and_recovered():
     async def test(clock, table, known, lost):
         table.put("a", 1)
         await clock.sleep_ms(100.0)
@@ -65,7 +65,7 @@
     _run(test)
 
 
-def test_forgotten_changes_are_read_from_the_whole_table():
+def test_truncated_history_causes_a_full_read():
     """A truncated history is replaced by a full read."""
 
     async def test(clock, table, known, lost):
@@ -83,7 +83,7 @@
     _run(test)
 
 
-def test_it_doesnt_ask_all_the_time_while_the_store_is_down():
+def test_outage_retries_are_paced():
     async def test(clock, table, known, lost):
         table.is_down = True
         await clock.sleep_ms(10_000.0)
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -12,7 +12,7 @@
 plain_endpoint = deployments.plain_endpoint
 
 
-def test_an_unknown_path_is_told_so():
+def test_unknown_path_is_an_error():
     async def main():
         async with deployments.deployed(plain_endpoint("s1")) as world:
             answer = await world.ask("/nothing/1")
@@ -22,7 +22,7 @@
     deployments.run(main())
 
 
-def test_before_any_configuration_callers_are_told_to_come_back():
+def test_not_ready_before_the_first_configuration():
     """An instance without a configuration answers "not ready", not "not found".
 
     Callers do not retry after "not found".
@@ -74,7 +74,7 @@
     assert source.apply(deployments.configuration(4))
 
 
-def test_the_callers_patience_bounds_the_wait():
+def test_caller_timeout_limits_the_wait():
     async def main():
         async with deployments.deployed(
             plain_endpoint("s1", is_silent=True)
@@ -85,7 +85,7 @@
     deployments.run(main())
 
 
-def test_services_are_picked_by_their_weights():
+def test_services_are_selected_by_weight():
     async def main():
         split = dataclasses.replace(
             deployments.SALE,
--- a/tests/forwarding/test_limits.py
+++ b/tests/forwarding/test_limits.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("rate_per_s", [0.5, 1.8, 7.0, 60.0])
-def test_no_window_has_more_than_the_limit_and_what_was_saved(rate_per_s):
+def test_windows_stay_within_limit_and_burst(rate_per_s):
     """Most of the limit is used, and bursts are bounded."""
     limiter = limits.EndpointRateLimiter(lambda: 0.0)
     times = _granted(limiter, rate_per_s, every_ms=7.0)
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("instances", [6, 60, 380])
-def test_instances_that_count_alone_together_stay_within_the_limit(instances):
+def test_independent_instances_stay_within_the_limit(instances):
     """Independent buckets must not all start with a whole permit."""
     rng = random.Random(instances)
     rate_per_s = 1.5
@@ -55,13 +55,13 @@
     assert _most(sorted(times)) <= 1.5 * rate_per_s * 4.0 + 5
 
 
-def test_who_gets_no_permit_is_told_another_time_each():
+def test_retry_after_times_differ():
     limiter = limits.EndpointRateLimiter(lambda: 0.0)
     waits = [limiter.take("s1", 2.0, 0.0) for _ in range(5)]
     assert waits == [500.0, 1_000.0, 1_500.0, 2_000.0, 2_500.0]
 
 
-def test_a_limit_of_nothing_is_tried_now_and_then():
+def test_zero_limit_allows_occasional_requests():
     """Without any request nobody would learn that the limit has ended."""
     limiter = limits.EndpointRateLimiter(lambda: 0.0)
     times = _granted(limiter, 0.0, every_ms=100.0)
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -11,7 +11,7 @@
 plain_endpoint = deployments.plain_endpoint
 
 
-def test_the_answer_comes_through_as_it_was_given():
+def test_answer_is_forwarded_unchanged():
     async def main():
         async with deployments.deployed(
             plain_endpoint("s1", status=404)
@@ -22,7 +22,7 @@
     deployments.run(main())
 
 
-def test_a_lost_answer_is_asked_for_again_where_that_is_allowed():
+def test_lost_answer_is_retried_if_allowed():
     async def main():
         async with deployments.deployed(
             plain_endpoint("s1", loses_answers=True), plain_endpoint("s2", "b")
@@ -34,7 +34,7 @@
     deployments.run(main())
 
 
-def test_a_lost_answer_to_a_sale_is_unknown():
+def test_lost_answer_without_repeat_has_unknown_outcome():
     """A lost answer is not reported as "did not run".
 
     The caller would repeat a sale that may have been recorded.
@@ -52,7 +52,7 @@
     deployments.run(main())
 
 
-def test_a_sale_that_found_no_connection_goes_elsewhere():
+def test_unreachable_endpoint_is_retried_without_repeat():
     async def main():
         async with deployments.deployed(
             plain_endpoint("s1", is_unreachable=True), plain_endpoint("s2", "b")
@@ -64,7 +64,7 @@
     deployments.run(main())
 
 
-def test_nobody_there_is_told_as_not_run():
+def test_unreachable_service_is_reported_as_not_run():
     async def main():
         async with deployments.deployed(
             plain_endpoint("s1", is_unreachable=True)
@@ -78,7 +78,7 @@
     deployments.run(main())
 
 
-def test_a_failure_is_tried_elsewhere_and_else_passed_on():
+def test_server_error_is_retried_and_then_forwarded():
     """The caller gets the endpoint's own error response."""
 
     async def main():
@@ -93,7 +93,7 @@
     deployments.run(main())
 
 
-def test_a_failure_of_a_sale_is_passed_on_at_once():
+def test_server_error_without_repeat_is_forwarded():
     async def main():
         async with deployments.deployed(
             plain_endpoint("s1", status=500), plain_endpoint("s2", "b")
@@ -105,7 +105,7 @@
     deployments.run(main())
 
 
-def test_a_slow_endpoint_is_given_up_before_the_target():
+def test_hanging_endpoint_is_abandoned_before_the_target():
     """A hanging endpoint is given up in time to meet the target elsewhere.
 
     Health checks do not detect such an endpoint.
@@ -123,7 +123,7 @@
     deployments.run(main())
 
 
-def test_no_more_engines_than_the_route_allows():
+def test_attempts_are_limited_by_the_route():
     async def main():
         async with deployments.deployed(
             *(plain_endpoint(f"s{i}", loses_answers=True) for i in range(4))
@@ -135,7 +135,7 @@
     deployments.run(main())
 
 
-def test_retries_stop_with_the_fleets_budget():
+def test_retries_stop_with_the_budget():
     """Retries of a failing service are bounded.
 
     This single instance has the whole budget: 40 per window and a fifth of its
@@ -156,7 +156,7 @@
     deployments.run(main())
 
 
-def test_the_deadline_gets_an_answer_at_once():
+def test_deadline_is_answered_immediately():
     async def main():
         async with deployments.deployed(
             plain_endpoint("s1", is_silent=True)
@@ -180,7 +180,7 @@
     deployments.run(main())
 
 
-def test_an_endpoint_that_leaves_gets_nothing_new():
+def test_draining_endpoint_gets_no_requests():
     async def main():
         leaving = plain_endpoint("s1")
         async with deployments.deployed(
@@ -195,7 +195,7 @@
     deployments.run(main())
 
 
-def test_calls_go_on_while_the_store_is_away():
+def test_requests_are_served_during_a_store_outage():
     async def main():
         async with deployments.deployed(plain_endpoint("s1")) as world:
             world.endpoints.is_down = True
@@ -208,7 +208,7 @@
     deployments.run(main())
 
 
-def test_a_sale_is_not_sent_again_whatever_attempts_are_left():
+def test_no_repeat_despite_attempts_left():
     async def main():
         async with deployments.deployed(
             plain_endpoint("s1", loses_answers=True), plain_endpoint("s2", "b")
@@ -226,7 +226,7 @@
     deployments.run(main())
 
 
-def test_an_endpoints_failure_is_passed_on_when_the_next_one_is_silent():
+def test_earlier_server_error_is_forwarded_on_timeout():
     """The first endpoint's error is forwarded if the second one times out."""
 
     async def main():
--- a/tests/forwarding/test_quotas.py
+++ b/tests/forwarding/test_quotas.py
@@ -19,7 +19,7 @@
     return buckets
 
 
-def test_an_account_may_use_its_burst_and_then_its_rate():
+def test_burst_then_rate():
     buckets = _full()
     assert buckets.take(NAME, QUOTA, 1_500.0, 0.0) == 0.0
     assert buckets.take(NAME, QUOTA, 500.0, 0.0) == 0.0
@@ -27,14 +27,14 @@
     assert buckets.take(NAME, QUOTA, 500.0, 501.0) == 0.0
 
 
-def test_a_request_larger_than_the_burst_runs_and_is_paid_for_after():
+def test_large_request_runs_into_debt():
     buckets = _full()
     assert buckets.take(NAME, QUOTA, 5_000.0, 0.0) == 0.0
     assert buckets.take(NAME, QUOTA, 1.0, 2_900.0) > 0.0
     assert buckets.take(NAME, QUOTA, 1.0, 3_001.0) == 0.0
 
 
-def test_a_refused_request_that_comes_back_when_told_is_admitted():
+def test_retry_after_time_is_sufficient():
     buckets = _full()
     buckets.charge(NAME, QUOTA, 2_600.0, 0.0)
     told = [buckets.take(NAME, QUOTA, 400.0, 0.0) for _ in range(5)]
@@ -45,14 +45,14 @@
         assert buckets.take(NAME, QUOTA, 400.0, wait_ms) == 0.0
 
 
-def test_what_didnt_run_is_given_back():
+def test_refund_restores_the_balance():
     buckets = _full()
     buckets.take(NAME, QUOTA, 2_000.0, 0.0)
     buckets.charge(NAME, QUOTA, -2_000.0, 0.0)
     assert buckets.balance(NAME, QUOTA, 0.0) == QUOTA.burst
 
 
-def test_a_small_request_is_admitted_in_a_debt_that_is_tolerated():
+def test_small_request_is_admitted_in_tolerated_debt():
     """A small request is admitted up to the tolerated debt of a large one."""
     buckets = _full()
     buckets.charge(NAME, QUOTA, 2_300.0, 0.0)
@@ -63,14 +63,14 @@
     assert buckets.balance(NAME, QUOTA, 0.0) == -500.0
 
 
-def test_a_lower_quota_binds_at_once():
+def test_lower_quota_applies_immediately():
     buckets = _full()
     lower = accounts.Quota(rate_per_s=10.0, burst=20.0)
     assert buckets.balance(NAME, lower, 0.0) == 20.0
     assert buckets.balance(NAME, QUOTA, 0.0) == 20.0
 
 
-def test_a_count_begun_anew_grants_no_second_burst():
+def test_new_count_grants_no_second_burst():
     buckets = quotas.QuotaBuckets(5_000.0)
     assert buckets.balance(NAME, QUOTA, 5_000.0) < QUOTA.burst / 2
     # First seen long after counting started: the whole burst is available.
@@ -81,7 +81,7 @@
     assert buckets.balance(NAME, QUOTA, 12_000.0) == QUOTA.burst
 
 
-def test_a_count_that_goes_on_keeps_its_debts():
+def test_resumed_count_keeps_debts():
     """Two instances that alternate in counting grant no additional burst."""
     buckets = _full()
     buckets.charge(NAME, QUOTA, 5_000.0, 0.0)
@@ -97,7 +97,7 @@
         max_size=120,
     )
 )
-def test_no_window_holds_more_than_rate_burst_and_one_request(asked):
+def test_windows_stay_within_rate_burst_and_one_request(asked):
     """The bound holds for any arrivals and any sliding window."""
     buckets = _full()
     admitted: list[tuple[float, float]] = []
@@ -136,7 +136,7 @@
     is_counted = False
 
 
-def test_a_block_that_fails_gives_back_what_it_took():
+def test_failed_block_refunds_its_charge():
     counts, run = _RecordingQuotas(), _Run()
     with (
         pytest.raises(ZeroDivisionError),
@@ -146,7 +146,7 @@
     assert counts.notes == ["take", "give back"]
 
 
-def test_a_second_try_that_fails_keeps_the_first_ones_count():
+def test_failed_resumption_refunds_nothing():
     """A failed attempt to resume refunds nothing, since the stream ran."""
     counts, run = _RecordingQuotas(), _Run()
     run.is_counted = True
--- a/tests/forwarding/test_random_faults.py
+++ b/tests/forwarding/test_random_faults.py
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_what_must_hold_holds(seed):
+def test_invariants(seed):
     async def main():
         world = deployments.Deployment(*_behind())
         await world.start("e1", "e2")
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_what_must_hold_holds_with_a_leader(seed):
+def test_invariants_with_a_leader(seed):
     """The invariants hold while leaders are cut off and lose their lease."""
 
     async def main():
--- a/tests/forwarding/test_registry.py
+++ b/tests/forwarding/test_registry.py
@@ -26,7 +26,7 @@
     virtual_time.run(main())
 
 
-def test_an_older_word_doesnt_bring_a_leaving_endpoint_back():
+def test_outdated_record_does_not_undo_draining():
     async def test(registry, clock):
         registry.apply([_record(5, LEAVING)])
         registry.apply_all([_record(3)], end=4)
@@ -36,7 +36,7 @@
     _run(test)
 
 
-def test_what_a_whole_reading_lacks_was_removed():
+def test_full_read_removes_missing_endpoints():
     async def test(registry, clock):
         registry.apply([_record(3)])
         registry.apply_all([], end=9)
@@ -45,7 +45,7 @@
     _run(test)
 
 
-def test_a_stale_whole_reading_removes_nothing_newer():
+def test_stale_full_read_keeps_newer_records():
     async def test(registry, clock):
         registry.apply([_record(8)])
         registry.apply_all([], end=6)
@@ -54,7 +54,7 @@
     _run(test)
 
 
-def test_entries_that_lapse_over_an_outage_are_kept_for_a_while():
+def test_entries_lost_in_an_outage_are_kept_briefly():
     """Endpoints whose entries expired during an outage still get requests.
 
     They cannot renew their entries during the outage, and need some time after
@@ -76,7 +76,7 @@
     _run(test)
 
 
-def test_one_that_is_back_after_an_outage_stays():
+def test_endpoint_that_returns_after_an_outage_is_kept():
     async def test(registry, clock):
         registry.apply([_record(3)])
         registry.mark_store_unavailable()
@@ -90,7 +90,7 @@
     _run(test)
 
 
-def test_one_that_said_it_leaves_is_not_kept_over_an_outage():
+def test_draining_endpoint_is_not_kept_over_an_outage():
     async def test(registry, clock):
         registry.apply([_record(3, LEAVING)])
         registry.mark_store_unavailable()
@@ -101,7 +101,7 @@
     _run(test)
 
 
-def test_a_removal_in_calm_times_counts_at_once():
+def test_removal_without_outage_applies_immediately():
     async def test(registry, clock):
         await clock.sleep_ms(60_000.0)
         registry.apply([_record(3)])
@@ -111,7 +111,7 @@
     _run(test)
 
 
-def test_a_replaced_endpoint_comes_back_by_its_own_word_only():
+def test_replaced_endpoint_returns_only_with_a_newer_record():
     async def test(registry, clock):
         registry.apply([_record(3)])
         registry.remove_replaced("s1")
@@ -124,7 +124,7 @@
     _run(test)
 
 
-def test_listeners_hear_of_every_change():
+def test_listeners_are_notified():
     async def test(registry, clock):
         counts = []
         registry.add_listener(lambda endpoints: counts.append(len(endpoints)))
@@ -135,7 +135,7 @@
     _run(test)
 
 
-def test_an_entry_that_became_unreadable_names_no_endpoint_until_it_is_good():
+def test_unreadable_entry_removes_the_endpoint():
     """An unreadable entry removes the endpoint, even right after an outage."""
 
     async def test(registry, clock):
@@ -163,7 +163,7 @@
 SECOND = dataclasses.replace(FIRST, name="s1@2", started_ms=2)
 
 
-def test_an_endpoint_that_starts_again_under_its_key_is_another_one():
+def test_restarted_endpoint_is_a_separate_endpoint():
     """State of an earlier start does not apply to the later one."""
 
     async def test(registry, clock):
@@ -179,7 +179,7 @@
     _run(test)
 
 
-def test_a_late_word_of_an_earlier_start_is_left_out():
+def test_late_record_of_an_earlier_start_is_ignored():
     """A delayed write of an earlier start does not replace the later one."""
 
     async def test(registry, clock):
--- a/tests/forwarding/test_reloading.py
+++ b/tests/forwarding/test_reloading.py
@@ -52,7 +52,7 @@
 _RETRIES = {"retries": {"ratio": 0.1, "slack": 7, "window_s": 10}}
 
 
-def test_a_signal_puts_a_change_in_force_at_once(tmp_path):
+def test_signal_applies_changes_immediately(tmp_path):
     """Live settings take effect without a restart."""
 
     async def scenario(watched):
@@ -67,7 +67,7 @@
     assert line["needs_restart"] == []
 
 
-def test_a_change_without_a_signal_is_found(tmp_path):
+def test_changes_are_found_without_a_signal(tmp_path):
     async def scenario(watched):
         watched.write(_RETRIES)
         await watched.clock.sleep_ms(reloading.CHECK_MS + 10.0)
@@ -78,7 +78,7 @@
     assert len(_run(tmp_path, scenario)) == 1
 
 
-def test_what_needs_a_restart_is_told_and_left(tmp_path):
+def test_changes_that_need_a_restart_are_logged(tmp_path):
     async def scenario(watched):
         watched.write({"domain": "b"})
         watched.reloader.request()
@@ -90,7 +90,7 @@
     assert line["needs_restart"] == ["domain"]
 
 
-def test_a_file_that_is_half_written_changes_nothing(tmp_path):
+def test_incomplete_file_changes_nothing(tmp_path):
     """An incomplete file is ignored, and the complete one is read later.
 
     The second read needs no signal.
@@ -109,7 +109,7 @@
     assert events == ["settings_rejected", "settings_reloaded"]
 
 
-def test_new_bounds_hold_for_what_was_counted_before():
+def test_new_limits_apply_to_earlier_counts():
     async def main():
         async with deployments.deployed(
             deployments.plain_endpoint("s1")
--- a/tests/forwarding/test_routes.py
+++ b/tests/forwarding/test_routes.py
@@ -26,7 +26,7 @@
         ("", None),
     ],
 )
-def test_the_longest_prefix(path, expected):
+def test_longest_prefix(path, expected):
     route = _table("/x/", "/x/y/").match("a.example", path)
     assert (route.name if route else None) == expected
 
@@ -41,9 +41,9 @@
         ("", False),
     ],
 )
-def test_the_host(host, is_found):
+def test_host_matching(host, is_found):
     assert (_table("/x/").match(host, "/x/1") is not None) is is_found
 
 
-def test_a_route_for_everything():
+def test_root_route_matches_all_paths():
     assert _table("/").match("a.example", "/any/thing") is not None
--- a/tests/forwarding/test_settings.py
+++ b/tests/forwarding/test_settings.py
@@ -42,6 +42,6 @@
         ("unknown", 1),
     ],
 )
-def test_a_bad_value_is_named(tmp_path, name, value):
+def test_invalid_value_is_named(tmp_path, name, value):
     with pytest.raises(ValueError, match=name):
         _read(tmp_path, GOOD | {name: value})
--- a/tests/forwarding/test_shutdown.py
+++ b/tests/forwarding/test_shutdown.py
@@ -8,7 +8,7 @@
 from tests.forwarding import deployments
 
 
-def test_streams_end_and_new_requests_are_served_for_the_balancers_time():
+def test_streams_complete_and_new_requests_are_served_at_first():
     """New requests are served until the load balancer reacts."""
 
     async def main():
@@ -35,7 +35,7 @@
     deployments.run(main())
 
 
-def test_it_ends_before_it_is_killed():
+def test_shutdown_ends_before_sigkill():
     async def main():
         endless = deployments.decode_engine("d1", events=10_000)
         async with deployments.deployed(
@@ -51,7 +51,7 @@
     deployments.run(main())
 
 
-def test_its_share_of_the_fleet_is_given_back():
+def test_share_is_released():
     async def main():
         async with deployments.deployed(
             deployments.plain_endpoint("s1"), names=("e1", "e2")
--- a/tests/forwarding/test_stream.py
+++ b/tests/forwarding/test_stream.py
@@ -32,7 +32,7 @@
     deployments.run(main())
 
 
-def test_a_silent_stream_goes_on_elsewhere():
+def test_silent_stream_resumes_elsewhere():
     """A stream without events resumes elsewhere after a second.
 
     A host behind a network partition does not even reset its connections.
@@ -51,7 +51,7 @@
     deployments.run(main())
 
 
-def test_a_broken_stream_is_not_put_behind_where_memory_is_short():
+def test_resumed_stream_is_not_deprioritised():
     """A stream that resumes is not deprioritised like a late request."""
 
     async def main():
@@ -69,7 +69,7 @@
     deployments.run(main())
 
 
-def test_a_stream_that_may_run_once_stays_broken():
+def test_stream_without_repeat_stays_broken():
     """The caller never gets events of a second run."""
 
     async def main():
@@ -86,7 +86,7 @@
     deployments.run(main())
 
 
-def test_a_lost_answer_to_one_that_may_run_once_is_unknown():
+def test_lost_answer_without_repeat_has_unknown_outcome():
     """A lost answer is not reported as "did not run" and has no retry-after."""
 
     async def main():
@@ -129,7 +129,7 @@
     deployments.run(main())
 
 
-def test_the_deadline_ends_a_stream():
+def test_deadline_ends_a_stream():
     async def main():
         endless = decode_engine("d1", events=1_000)
         async with deployments.deployed(prefill_engine("p1"), endless) as world:
@@ -142,7 +142,7 @@
     deployments.run(main())
 
 
-def test_a_resumed_stream_has_its_prompt_read_apart():
+def test_resumed_stream_uses_a_prefill_engine():
     """Prefill on the resuming decode engine would stall its other answers."""
 
     async def main():
@@ -157,7 +157,7 @@
     deployments.run(main())
 
 
-def test_a_broken_stream_passes_an_unreachable_engine_over():
+def test_resumption_skips_unreachable_engine():
     """An unreachable engine does not count as an attempt."""
 
     async def main():
@@ -174,7 +174,7 @@
     deployments.run(main())
 
 
-def test_an_event_that_is_missing_breaks_the_stream():
+def test_missing_event_breaks_the_stream():
     """A gap in the event numbers resumes the stream elsewhere."""
 
     async def main():
@@ -190,7 +190,7 @@
     deployments.run(main())
 
 
-def test_one_that_may_run_once_is_not_sent_again_whatever_attempts_are_left():
+def test_no_repeat_despite_attempts_left():
     """A lost answer may mean that the request ran, so it is not repeated."""
 
     async def main():
