--- a/src/jujubewharf/forwarding/backpressure.py
+++ b/src/jujubewharf/forwarding/backpressure.py
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _EndpointState:
-    """Restraints of one endpoint.
+    """Rate limit, drain notice and backoff of one endpoint.
 
     Attributes:
         terms: Rate limit and drain notice, valid for all instances.
@@ -57,9 +57,9 @@
         clock: Time source.
 
     Attributes:
-        on_news: Called with the new terms if an answer to this instance has
-            changed them.
-        on_leaving: Called when an endpoint starts to drain.
+        on_terms_changed: Called with the new terms if an answer to this
+            instance has changed them.
+        on_drain_notice: Called when an endpoint starts to drain.
         is_registered: Returns whether an endpoint is registered; only others
             are evicted.
     """
--- a/src/jujubewharf/forwarding/crashes.py
+++ b/src/jujubewharf/forwarding/crashes.py
@@ -96,7 +96,7 @@
         clock: Time source.
 
     Attributes:
-        on_seen: Called with the request when this instance adds information.
+        on_update: Called with the request when this instance adds information.
         on_quarantine: Called with the request when it is quarantined.
     """
 
