--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -34,21 +34,23 @@
     ) -> AsyncIterator[all_reservations.Reservation]:
         """Waits for memory and holds it; see ``all_reservations.Placer``."""
         async with contextlib.AsyncExitStack() as stack:
-            place: all_reservations.Reservation | None = None
+            reservation: all_reservations.Reservation | None = None
             if self._leader.is_open:
                 leader_context = self._leader.place(run)
-                place = await leader_context.__aenter__()
+                reservation = await leader_context.__aenter__()
                 # Release a placement that can't be used here.
-                if place is None:
+                if reservation is None:
                     await leader_context.__aexit__(None, None, None)
                 else:
                     stack.push_async_exit(leader_context)
-            is_led = place is not None
-            if place is None:
-                place = await stack.enter_async_context(self._local.place(run))
-            yield place
-            if is_led:
-                self._local.record_hold_time(place)
+            is_from_leader = reservation is not None
+            if reservation is None:
+                reservation = await stack.enter_async_context(
+                    self._local.place(run)
+                )
+            yield reservation
+            if is_from_leader:
+                self._local.record_hold_time(reservation)
 
 
 class FleetObservations:
--- a/src/jujubewharf/leadership/fleet.py
+++ b/src/jujubewharf/leadership/fleet.py
@@ -230,7 +230,7 @@
 
 
 def placement_server_factory(
-    places: placements.Placement,
+    placement: placements.Placement,
     observations: observed.Observer,
     source: forwarder.ActiveConfiguration,
     fleet_costs: costs.FleetCostEstimator,
@@ -241,7 +241,7 @@
 ) -> servers.PlacementServerFactory:
     """Returns a function that creates the placement server of a follower."""
     return lambda peer, tell: servers.PlacementServer(
-        places,
+        placement,
         observations,
         source,
         fleet_costs,
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -173,8 +173,8 @@
                 self._send_configuration(self._configuration, [link])
             link.tell(self._heartbeat())
             link.tell(self._low_accounts)
-            for known in self._state.initial_messages():
-                link.tell(known)
+            for initial in self._state.initial_messages():
+                link.tell(initial)
             await link.run()
         finally:
             self._links.discard(link)
@@ -224,12 +224,12 @@
     ) -> None:
         """Records configurations that were read, and broadcasts a new one."""
         known = self._configuration
-        news = None
+        update = None
         for record in records:
             if record.value is None:
                 continue
             if known is None or record.offset > known.offset:
-                known = news = leader_messages.ConfigurationUpdate(
+                known = update = leader_messages.ConfigurationUpdate(
                     record.key, record.offset, end, record.value
                 )
         self._configuration = known
@@ -241,20 +241,22 @@
         }
         self._send_configuration(known, self._unconfigured)
         self._unconfigured.clear()
-        if news is not None:
-            self._send_configuration(news, recipients)
+        if update is not None:
+            self._send_configuration(update, recipients)
 
     def _send_configuration(
         self,
-        news: leader_messages.ConfigurationUpdate,
+        update: leader_messages.ConfigurationUpdate,
         to: Iterable[links.Link],
     ) -> None:
-        if len(_encode(news)) > _MAX_CONFIGURATION_BYTES:
-            packed: bytes | None = packing.pack(news)
+        if len(_encode(update)) > _MAX_CONFIGURATION_BYTES:
+            packed: bytes | None = packing.pack(update)
             if packed is not None and len(packed) > _MAX_CONFIGURATION_BYTES:
                 packed = None
-            news = dataclasses.replace(news, configuration=None, packed=packed)
-        self._send(news, to)
+            update = dataclasses.replace(
+                update, configuration=None, packed=packed
+            )
+        self._send(update, to)
 
     def _send(
         self, message: messages.Message, to: Iterable[links.Link]
@@ -284,14 +286,14 @@
         for record in changed:
             self._endpoints[record.key] = record
         self._endpoints_read.read(end, self._clock.now_ms())
-        news = leader_messages.EndpointUpdate(tuple(changed), end)
+        update = leader_messages.EndpointUpdate(tuple(changed), end)
         recipients: list[links.Link] = []
         for link in self._links:
             if link in self._unsent_since:
                 self._send_changes_since(link)
             elif changed and link in self._updated_links:
                 recipients.append(link)
-        self._send(news, recipients)
+        self._send(update, recipients)
 
     def _removals(
         self, present: set[str], end: int
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -108,8 +108,8 @@
         self._link = link
         self.discard_received()
         link.tell(leader_messages.FollowerHello(self._endpoints_end()))
-        for known in self._state.initial_messages():
-            link.tell(known)
+        for message in self._state.initial_messages():
+            link.tell(message)
         report = self._work.report()
         if report.sample_size:
             link.tell(
@@ -152,10 +152,10 @@
             case leader_messages.LeaderHeartbeat():
                 self._on_heartbeat(message)
             case leader_messages.ConfigurationUpdate(packed=bytes() as packed):
-                news = packing.unpack(packed)
-                if news is None:
-                    news = dataclasses.replace(message, packed=None)
-                await self.handle(peer, news)
+                update = packing.unpack(packed)
+                if update is None:
+                    update = dataclasses.replace(message, packed=None)
+                await self.handle(peer, update)
             case leader_messages.ConfigurationUpdate(configuration=None):
                 self._feeds.configurations.note_unsent(
                     message.offset, message.end
@@ -177,13 +177,13 @@
                 self._feeds.endpoints.apply(records, message.end)
         return None
 
-    def _on_heartbeat(self, seen: leader_messages.LeaderHeartbeat) -> None:
-        self.instances = seen.instances
+    def _on_heartbeat(self, heartbeat: leader_messages.LeaderHeartbeat) -> None:
+        self.instances = heartbeat.instances
         self._feeds.configurations.confirm(
-            seen.configuration_end, age_ms=seen.configuration_age_ms
+            heartbeat.configuration_end, age_ms=heartbeat.configuration_age_ms
         )
         self._feeds.endpoints.confirm(
-            seen.endpoints_end, age_ms=seen.endpoints_age_ms
+            heartbeat.endpoints_end, age_ms=heartbeat.endpoints_age_ms
         )
 
     async def fetch_configuration(self) -> bool:
@@ -197,13 +197,13 @@
             return False
         request = leader_messages.ConfigurationRequest()
         try:
-            news = await link.ask(request, timeout_ms=_FETCH_TIMEOUT_MS)
+            update = await link.ask(request, timeout_ms=_FETCH_TIMEOUT_MS)
         except network.PeerError:
             return False
-        if not isinstance(news, leader_messages.ConfigurationUpdate):
+        if not isinstance(update, leader_messages.ConfigurationUpdate):
             return False
-        await self.handle(link.peer, news)
-        return news.configuration is not None
+        await self.handle(link.peer, update)
+        return update.configuration is not None
 
     async def request_permit(self, endpoint: str) -> float | None:
         """Requests a permit for one request to a rate-limited endpoint.
@@ -264,21 +264,23 @@
             WharfError: The leader refused the request.
         """
         number = next(self._sequence)
-        place: all_reservations.Reservation | None = None
+        reservation: all_reservations.Reservation | None = None
         is_complete = False
         try:
-            place = await self._request_place(number, run)
-            yield place
+            reservation = await self._request_reservation(number, run)
+            yield reservation
             is_complete = True
         finally:
-            is_hold_used = place is not None and place.take_id() is None
+            is_reservation_used = (
+                reservation is not None and reservation.take_id() is None
+            )
             self.tell(
                 leader_messages.PlacementReleased(
-                    number, is_complete, is_hold_used
+                    number, is_complete, is_reservation_used
                 )
             )
 
-    async def _request_place(
+    async def _request_reservation(
         self, number: int, run: runs.Run
     ) -> all_reservations.Reservation | None:
         started_ms = self._clock.now_ms()
@@ -297,8 +299,8 @@
             case leader_messages.PlacementGranted():
                 # The leader counted the request against its quota.
                 run.is_counted = True
-                place = self._to_place(number, answer)
-                if place is None:
+                reservation = self._to_reservation(number, answer)
+                if reservation is None:
                     request_log.log_local_placement(
                         run, "unknown_engine", leader=link.peer
                     )
@@ -310,7 +312,7 @@
                     free_tokens=0,
                     waited_ms=waited_ms,
                 )
-                return place
+                return reservation
             case leader_messages.PlacementRejected():
                 raise self._refusal(run, answer, waited_ms, leader=link.peer)
             case _:
@@ -376,7 +378,7 @@
             ),
         )
 
-    def _to_place(
+    def _to_reservation(
         self, number: int, placed: leader_messages.PlacementGranted
     ) -> all_reservations.Reservation | None:
         engine = self._registry.get(placed.engine)
@@ -384,7 +386,7 @@
             # The engine was registered too recently to be known here, or it has
             # left since.
             return None
-        place = all_reservations.Reservation(
+        reservation = all_reservations.Reservation(
             engine,
             placed.hold,
             reserved_at_ms=self._clock.now_ms(),
@@ -392,14 +394,16 @@
             memory_share=placed.memory_part,
             has_permit=placed.has_permit,
         )
-        known = [self._registry.get(name) for name in placed.readers]
-        place.prefill_engines = [
-            reader for reader in known if reader is not None
+        engines = [self._registry.get(name) for name in placed.readers]
+        reservation.prefill_engines = [
+            prefill_engine
+            for prefill_engine in engines
+            if prefill_engine is not None
         ]
-        place.on_prefill_done = lambda: self.tell(
+        reservation.on_prefill_done = lambda: self.tell(
             leader_messages.PrefillEnded(number)
         )
-        return place
+        return reservation
 
     def _refusal(
         self,
--- a/src/jujubewharf/leadership/packing.py
+++ b/src/jujubewharf/leadership/packing.py
@@ -13,9 +13,9 @@
 from jujubewharf.peers import leader_messages
 
 
-def pack(news: leader_messages.ConfigurationUpdate) -> bytes:
+def pack(update: leader_messages.ConfigurationUpdate) -> bytes:
     """Encodes and compresses a message with its configuration."""
-    frame = codec.Frame(codec.FrameKind.TELL, 0, news)
+    frame = codec.Frame(codec.FrameKind.TELL, 0, update)
     return zlib.compress(codec.body_of(codec.encode(frame)))
 
 
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -85,11 +85,11 @@
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class _HeldPlace:
+class _HeldReservation:
     """A placement that a follower waits for or holds."""
 
     task: asyncio.Task[None] | None = None
-    place: all_reservations.Reservation | None = None
+    reservation: all_reservations.Reservation | None = None
     ending: asyncio.Future[leader_messages.PlacementReleased] = (
         dataclasses.field(default_factory=asyncio.Future)
     )
@@ -99,7 +99,7 @@
     """Handles the messages of one follower.
 
     Args:
-        places: The leader's placement.
+        placement: The leader's placement.
         observations: Records the follower's observations.
         source: The current configuration.
         fleet_costs: Records the costs that the follower observed before.
@@ -112,7 +112,7 @@
 
     def __init__(
         self,
-        places: placements.Placement,
+        placement: placements.Placement,
         observations: observed.Observer,
         source: forwarder.ActiveConfiguration,
         fleet_costs: costs.FleetCostEstimator,
@@ -128,11 +128,11 @@
         self._crashes = crashes
         self._usage = use
         self._fleet_costs = fleet_costs
-        self._places = places
+        self._placement = placement
         self._observations = observations
         self._source = source
         self._clock = clock
-        self._held_places: dict[int, _HeldPlace] = {}
+        self._held_reservations: dict[int, _HeldReservation] = {}
 
     def close(self) -> None:
         """Releases all placements that the follower waits for or holds.
@@ -140,7 +140,7 @@
         Engines still count what the follower runs on them.
         """
         self._quotas.remove_follower(self._usage)
-        for held in list(self._held_places.values()):
+        for held in list(self._held_reservations.values()):
             if held.task is not None:
                 held.task.cancel()
 
@@ -198,11 +198,11 @@
         run = self._build_run(request)
         if run is None:
             return None
-        held = _HeldPlace()
-        self._held_places[request.number] = held
+        held = _HeldReservation()
+        self._held_reservations[request.number] = held
         answer: asyncio.Future[messages.Message | None] = asyncio.Future()
         held.task = asyncio.ensure_future(
-            self._hold_place(request, run, held, answer)
+            self._hold_reservation(request, run, held, answer)
         )
         try:
             return await answer
@@ -210,22 +210,22 @@
             held.task.cancel()
             raise
 
-    async def _hold_place(
+    async def _hold_reservation(
         self,
         request: leader_messages.PlacementRequest,
         run: runs.Run,
-        held: _HeldPlace,
+        held: _HeldReservation,
         answer: asyncio.Future[messages.Message | None],
     ) -> None:
         try:
-            async with self._places.place(run) as place:
-                held.place = place
+            async with self._placement.place(run) as reservation:
+                held.reservation = reservation
                 if not request.is_counted:
                     self._quotas.follower_admitted(self._usage, run)
-                _resolve(answer, _placed_message(place))
+                _resolve(answer, _grant_message(reservation))
                 ending = await held.ending
                 if ending.is_hold_used:
-                    place.take_id()
+                    reservation.take_id()
                 if not ending.is_whole:
                     raise _IncompleteAnswerError
         except errors.WharfError as error:
@@ -244,7 +244,7 @@
             pass
         finally:
             _resolve(answer, None)
-            self._held_places.pop(request.number, None)
+            self._held_reservations.pop(request.number, None)
 
     def _on_costs_observed(
         self, peer: str, message: leader_messages.CostsObserved
@@ -260,10 +260,10 @@
     def _on_place_ended(
         self, message: leader_messages.PlacementReleased
     ) -> None:
-        held = self._held_places.get(message.number)
+        held = self._held_reservations.get(message.number)
         if held is None:
             return
-        if held.place is None:
+        if held.reservation is None:
             # The follower gave up while the request was in the wait queue.
             if held.task is not None:
                 held.task.cancel()
@@ -271,9 +271,9 @@
             held.ending.set_result(message)
 
     def _on_reading_ended(self, message: leader_messages.PrefillEnded) -> None:
-        held = self._held_places.get(message.number)
-        if held is not None and held.place is not None:
-            held.place.on_prefill_done()
+        held = self._held_reservations.get(message.number)
+        if held is not None and held.reservation is not None:
+            held.reservation.on_prefill_done()
 
     def _on_engine_failed(self, message: leader_messages.EngineFailed) -> None:
         try:
@@ -354,16 +354,16 @@
     )
 
 
-def _placed_message(
-    place: all_reservations.Reservation,
+def _grant_message(
+    reservation: all_reservations.Reservation,
 ) -> leader_messages.PlacementGranted:
     return leader_messages.PlacementGranted(
-        place.engine.name,
-        place.reservation_id,
-        place.tokens,
-        place.memory_share,
-        tuple(reader.name for reader in place.prefill_engines),
-        place.has_permit,
+        reservation.engine.name,
+        reservation.reservation_id,
+        reservation.tokens,
+        reservation.memory_share,
+        tuple(engine.name for engine in reservation.prefill_engines),
+        reservation.has_permit,
     )
 
 
