--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -267,7 +267,7 @@
             crash_detecting_backends,
             self.registry,
             quarantine_waits.QuarantineAwarePlaces(
-                delegation.FleetPlaces(self.fleet.link, places),
+                delegation.FleetPlacer(self.fleet.link, places),
                 request_quarantine,
                 self.crashes,
             ),
--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -14,7 +14,7 @@
 from jujubewharf.peers import leader_messages
 
 
-class FleetPlaces:
+class FleetPlacer:
     """Implements ``Placer`` through the leader if there is one.
 
     Args:
