--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -237,7 +237,7 @@
             rng,
         )
         local = observations.LocalObserver(self.work, lengths, engines)
-        observed = delegation.FleetObservations(self.fleet.link, local)
+        observed = delegation.FleetObserver(self.fleet.link, local)
         if adapters.peers is not None:
             self._leadership = self.fleet.new_leadership(
                 self._settings.instance,
--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -53,7 +53,7 @@
                 self._local.record_hold_time(reservation)
 
 
-class FleetObservations:
+class FleetObserver:
     """Records observations locally and reports them to the leader.
 
     Args:
