--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -154,7 +154,7 @@
 
 @messages.message(28)
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotNeeded(messages.Message):
+class UnneededAttempts(messages.Message):
     """Reply to ``NeededAttemptsRequest``: attempts no longer needed.
 
     Attributes:
--- a/src/jujubewharf/requests/sweep.py
+++ b/src/jujubewharf/requests/sweep.py
@@ -183,14 +183,18 @@
 
     async def _ask(
         self, peer: str, message: key_messages.NeededAttemptsRequest
-    ) -> key_messages.NotNeeded | None:
+    ) -> key_messages.UnneededAttempts | None:
         try:
             answer = await self._peers.ask(
                 peer, message, timeout_ms=_ASK_TIMEOUT_MS
             )
         except network.PeerError:
             return None
-        return answer if isinstance(answer, key_messages.NotNeeded) else None
+        return (
+            answer
+            if isinstance(answer, key_messages.UnneededAttempts)
+            else None
+        )
 
     def _is_timed_out(self, engine: str, attempt_id: str) -> bool:
         now_ms = self._clock.now_ms()
@@ -228,12 +232,12 @@
 
     async def _on_ask_needed(
         self, sender: str, message: key_messages.NeededAttemptsRequest
-    ) -> key_messages.NotNeeded:
+    ) -> key_messages.UnneededAttempts:
         if message.owner == self._instance:
             found = self._releaser.not_needed(message.marks)
-            return key_messages.NotNeeded(found)
+            return key_messages.UnneededAttempts(found)
         # Forwards the question for an instance that can't reach the owner.
         answer = await self._ask(message.owner, message)
         if answer is None:
-            return key_messages.NotNeeded(b"", is_owners_word=False)
+            return key_messages.UnneededAttempts(b"", is_owners_word=False)
         return answer
