--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -169,7 +169,7 @@
 
 @messages.message(29)
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimWanted(messages.Message):
+class ClaimRequest(messages.Message):
     """Requests that a claim shard's owner claim a key on the log.
 
     Attributes:
@@ -195,7 +195,7 @@
 @messages.message(30)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimHeld(messages.Message):
-    """Reply to ``ClaimWanted``: the holder of a key according to the log.
+    """Reply to ``ClaimRequest``: the holder of a key according to the log.
 
     Attributes:
         owner: Instance that holds the key.
--- a/src/jujubewharf/requests/claims.py
+++ b/src/jujubewharf/requests/claims.py
@@ -102,7 +102,7 @@
             collections.OrderedDict()
         )
         self._logger = structlog.get_logger()
-        peers.handle(key_messages.ClaimWanted, self._on_claim_wanted)
+        peers.handle(key_messages.ClaimRequest, self._on_claim_wanted)
         peers.handle(key_messages.AskAbandoned, self._on_ask_abandoned)
 
     @property
@@ -163,7 +163,7 @@
                 ``KEY_EXPIRED``: the owner of the shard considers the key too
                 old.
         """
-        wanted = key_messages.ClaimWanted(
+        wanted = key_messages.ClaimRequest(
             key,
             body,
             self._instance,
@@ -189,7 +189,7 @@
         while len(self._abandoned) > _MAX_ABANDONED:
             self._abandoned.popitem(last=False)
 
-    async def _claim(self, wanted: key_messages.ClaimWanted) -> Claim:
+    async def _claim(self, wanted: key_messages.ClaimRequest) -> Claim:
         for _ in range(_MAX_TRIES):
             held = await self._ask_owner(wanted)
             if held.request_id == wanted.request_id:
@@ -200,7 +200,7 @@
         raise _unavailable(is_new=False)
 
     async def _ask_owner(
-        self, wanted: key_messages.ClaimWanted
+        self, wanted: key_messages.ClaimRequest
     ) -> key_messages.ClaimHeld:
         shard = claim_shard.shard_of(wanted.key)
         for owner in self._owners(shard)[:_MAX_TRIES]:
@@ -218,7 +218,7 @@
         raise _unavailable(is_new=False)
 
     async def _ask(
-        self, owner: str, wanted: key_messages.ClaimWanted
+        self, owner: str, wanted: key_messages.ClaimRequest
     ) -> key_messages.ClaimHeld:
         if owner == self._instance:
             return await self._on_claim_wanted(owner, wanted)
@@ -245,7 +245,7 @@
         return False
 
     async def _on_claim_wanted(
-        self, sender: str, message: key_messages.ClaimWanted
+        self, sender: str, message: key_messages.ClaimRequest
     ) -> key_messages.ClaimHeld:
         record = claim_records.ClaimRecord(
             message.key,
