--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -194,7 +194,7 @@
 
 @messages.message(30)
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimHeld(messages.Message):
+class ClaimReply(messages.Message):
     """Reply to ``ClaimRequest``: the holder of a key according to the log.
 
     Attributes:
--- a/src/jujubewharf/requests/claims.py
+++ b/src/jujubewharf/requests/claims.py
@@ -201,7 +201,7 @@
 
     async def _ask_owner(
         self, wanted: key_messages.ClaimRequest
-    ) -> key_messages.ClaimHeld:
+    ) -> key_messages.ClaimReply:
         shard = claim_shard.shard_of(wanted.key)
         for owner in self._owners(shard)[:_MAX_TRIES]:
             try:
@@ -219,17 +219,17 @@
 
     async def _ask(
         self, owner: str, wanted: key_messages.ClaimRequest
-    ) -> key_messages.ClaimHeld:
+    ) -> key_messages.ClaimReply:
         if owner == self._instance:
             return await self._on_claim_wanted(owner, wanted)
         held = await self._peers.ask(
             owner, wanted, timeout_ms=_CLAIM_TIMEOUT_MS
         )
-        if not isinstance(held, key_messages.ClaimHeld):
+        if not isinstance(held, key_messages.ClaimReply):
             raise network.PeerError(network.PeerFault.REFUSED, owner)
         return held
 
-    async def _is_abandoned(self, held: key_messages.ClaimHeld) -> bool:
+    async def _is_abandoned(self, held: key_messages.ClaimReply) -> bool:
         if held.owner == self._instance:
             return held.request_id in self._abandoned
         message = key_messages.AskAbandoned(held.request_id)
@@ -246,7 +246,7 @@
 
     async def _on_claim_wanted(
         self, sender: str, message: key_messages.ClaimRequest
-    ) -> key_messages.ClaimHeld:
+    ) -> key_messages.ClaimReply:
         record = claim_records.ClaimRecord(
             message.key,
             message.body,
@@ -260,10 +260,10 @@
         try:
             held = await shard.claim(record)
         except claim_shard.ClaimUnavailableError as error:
-            return key_messages.ClaimHeld(is_new=error.is_new)
+            return key_messages.ClaimReply(is_new=error.is_new)
         except claim_shard.KeyTooOldError:
-            return key_messages.ClaimHeld(is_expired=True)
-        return key_messages.ClaimHeld(held.owner, held.request_id, held.body)
+            return key_messages.ClaimReply(is_expired=True)
+        return key_messages.ClaimReply(held.owner, held.request_id, held.body)
 
     async def _on_ask_abandoned(
         self, sender: str, message: key_messages.AskAbandoned
