--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -215,7 +215,7 @@
 
 @messages.message(31)
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskAbandoned(messages.Message):
+class AbandonedRequest(messages.Message):
     """Asks an owner whether it abandoned a run before any dispatch."""
 
     request_id: str
@@ -224,7 +224,7 @@
 @messages.message(32)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Abandoned(messages.Message):
-    """Reply to ``AskAbandoned``.
+    """Reply to ``AbandonedRequest``.
 
     Attributes:
         is_abandoned: Whether the run never was and never will be dispatched.
--- a/src/jujubewharf/requests/claims.py
+++ b/src/jujubewharf/requests/claims.py
@@ -103,7 +103,7 @@
         )
         self._logger = structlog.get_logger()
         peers.handle(key_messages.ClaimRequest, self._on_claim_wanted)
-        peers.handle(key_messages.AskAbandoned, self._on_ask_abandoned)
+        peers.handle(key_messages.AbandonedRequest, self._on_ask_abandoned)
 
     @property
     def appends(self) -> int:
@@ -232,7 +232,7 @@
     async def _is_abandoned(self, held: key_messages.ClaimReply) -> bool:
         if held.owner == self._instance:
             return held.request_id in self._abandoned
-        message = key_messages.AskAbandoned(held.request_id)
+        message = key_messages.AbandonedRequest(held.request_id)
         try:
             answer = await self._peers.ask(
                 held.owner, message, timeout_ms=_ABANDONED_TIMEOUT_MS
@@ -266,7 +266,7 @@
         return key_messages.ClaimReply(held.owner, held.request_id, held.body)
 
     async def _on_ask_abandoned(
-        self, sender: str, message: key_messages.AskAbandoned
+        self, sender: str, message: key_messages.AbandonedRequest
     ) -> key_messages.Abandoned:
         return key_messages.Abandoned(message.request_id in self._abandoned)
 
