--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -223,7 +223,7 @@
 
 @messages.message(32)
 @dataclasses.dataclass(frozen=True, slots=True)
-class Abandoned(messages.Message):
+class AbandonedReply(messages.Message):
     """Reply to ``AbandonedRequest``.
 
     Attributes:
--- a/src/jujubewharf/requests/claims.py
+++ b/src/jujubewharf/requests/claims.py
@@ -240,7 +240,7 @@
         except network.PeerError:
             return False
         match answer:
-            case key_messages.Abandoned(is_abandoned):
+            case key_messages.AbandonedReply(is_abandoned):
                 return is_abandoned
         return False
 
@@ -267,8 +267,10 @@
 
     async def _on_ask_abandoned(
         self, sender: str, message: key_messages.AbandonedRequest
-    ) -> key_messages.Abandoned:
-        return key_messages.Abandoned(message.request_id in self._abandoned)
+    ) -> key_messages.AbandonedReply:
+        return key_messages.AbandonedReply(
+            message.request_id in self._abandoned
+        )
 
     def _shard(self, number: int) -> claim_shard.ClaimShard:
         shard = self._shards.get(number)
