--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -235,7 +235,7 @@
 
 @messages.message(33)
 @dataclasses.dataclass(frozen=True, slots=True)
-class HandOver(messages.Message):
+class ResponseHandover(messages.Message):
     """Transfers a finished response to another instance during a drain.
 
     Attributes:
@@ -264,7 +264,7 @@
 @messages.message(34)
 @dataclasses.dataclass(frozen=True, slots=True)
 class TookOver(messages.Message):
-    """Reply to ``HandOver``: the response is cached and its key registered."""
+    """Reply to ``ResponseHandover``, once cached and registered."""
 
 
 @messages.message(35)
--- a/src/jujubewharf/requests/handover.py
+++ b/src/jujubewharf/requests/handover.py
@@ -43,7 +43,7 @@
         self._homes = homes
         self._peers = peers
         self._clock = clock
-        peers.handle(key_messages.HandOver, self._on_hand_over)
+        peers.handle(key_messages.ResponseHandover, self._on_hand_over)
 
     async def hand_over_all(self, timeout_ms: float) -> int:
         """Hands over all finished answers that callers may ask for again.
@@ -57,7 +57,9 @@
         semaphore = asyncio.Semaphore(_MAX_CONCURRENT)
         accepted: list[bytes] = []
 
-        async def hand_over(key: bytes, message: key_messages.HandOver) -> None:
+        async def hand_over(
+            key: bytes, message: key_messages.ResponseHandover
+        ) -> None:
             async with semaphore:
                 if await self._hand_over(key, message):
                     accepted.append(key)
@@ -75,7 +77,7 @@
         return len(accepted)
 
     async def _hand_over(
-        self, key: bytes, message: key_messages.HandOver
+        self, key: bytes, message: key_messages.ResponseHandover
     ) -> bool:
         for home in self._homes.homes(key):
             if home == self._instance:
@@ -90,7 +92,7 @@
         return False
 
     async def _on_hand_over(
-        self, sender: str, message: key_messages.HandOver
+        self, sender: str, message: key_messages.ResponseHandover
     ) -> key_messages.TookOver:
         key = keys.key_of(message.account, message.callers_key)
         request = _rebuild_request(message, self._clock.now_ms())
@@ -116,7 +118,7 @@
 
 def _handover_message(
     cached: answer_cache.CachedAnswer,
-) -> key_messages.HandOver | None:
+) -> key_messages.ResponseHandover | None:
     """Builds the message, or ``None`` if the answer isn't handed over.
 
     Only complete answers to requests with a caller's key are handed over.
@@ -126,7 +128,7 @@
         return None
     match end:
         case model_request.Finished(count, digest, attempt_id):
-            return key_messages.HandOver(
+            return key_messages.ResponseHandover(
                 account=request.account,
                 callers_key=request.key,
                 body_digest=request.body_digest,
@@ -141,7 +143,7 @@
 
 
 def _rebuild_request(
-    message: key_messages.HandOver, now_ms: float
+    message: key_messages.ResponseHandover, now_ms: float
 ) -> model_request.ModelRequest:
     """Rebuilds the parts of the request that a cached answer needs."""
     return model_request.ModelRequest(
