--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -263,7 +263,7 @@
 
 @messages.message(34)
 @dataclasses.dataclass(frozen=True, slots=True)
-class TookOver(messages.Message):
+class HandoverReply(messages.Message):
     """Reply to ``ResponseHandover``, once cached and registered."""
 
 
--- a/src/jujubewharf/requests/handover.py
+++ b/src/jujubewharf/requests/handover.py
@@ -93,7 +93,7 @@
 
     async def _on_hand_over(
         self, sender: str, message: key_messages.ResponseHandover
-    ) -> key_messages.TookOver:
+    ) -> key_messages.HandoverReply:
         key = keys.key_of(message.account, message.callers_key)
         request = _rebuild_request(message, self._clock.now_ms())
         end = model_request.Finished(
@@ -113,7 +113,7 @@
             )
         except keys.HomesUnreachableError:
             pass
-        return key_messages.TookOver()
+        return key_messages.HandoverReply()
 
 
 def _handover_message(
