--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -130,7 +130,7 @@
 
 @messages.message(26)
 @dataclasses.dataclass(frozen=True, slots=True)
-class TakenOver(messages.Message):
+class TakeoverNotice(messages.Message):
     """Informs an owner that another instance has taken over its key."""
 
     request_id: str
--- a/src/jujubewharf/requests/answer_service.py
+++ b/src/jujubewharf/requests/answer_service.py
@@ -86,7 +86,7 @@
         self._by_id: dict[str, active_answers.ActiveAnswer] = {}
         self._logger = structlog.get_logger()
         peers.handle(key_messages.Pull, self._on_pull)
-        peers.handle(key_messages.TakenOver, self._on_taken_over)
+        peers.handle(key_messages.TakeoverNotice, self._on_taken_over)
 
     @property
     def running(self) -> int:
@@ -303,7 +303,7 @@
         return _pulled(active.answer, message.first_index)
 
     async def _on_taken_over(
-        self, sender: str, message: key_messages.TakenOver
+        self, sender: str, message: key_messages.TakeoverNotice
     ) -> None:
         active = self._by_id.get(message.request_id)
         if (
--- a/src/jujubewharf/requests/keys.py
+++ b/src/jujubewharf/requests/keys.py
@@ -305,7 +305,7 @@
     ) -> None:
         """Informs an owner that may only be paused that it lost the key."""
         if known.owner not in (self._peers.instance, message.owner):
-            notice = key_messages.TakenOver(
+            notice = key_messages.TakeoverNotice(
                 known.request_id, message.owner, message.request_id
             )
             self._peers.tell(known.owner, notice)
