--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -79,7 +79,7 @@
 
 @messages.message(24)
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pull(messages.Message):
+class PullRequest(messages.Message):
     """Requests the tokens of a response by long polling.
 
     Attributes:
@@ -100,7 +100,7 @@
 @messages.message(25)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pulled(messages.Message):
-    """Reply to ``Pull``: tokens of a response, and its end if reached.
+    """Reply to ``PullRequest``: tokens of a response, and its end if reached.
 
     Attributes:
         state: A ``PullState``.
--- a/src/jujubewharf/requests/answer_service.py
+++ b/src/jujubewharf/requests/answer_service.py
@@ -85,7 +85,7 @@
         self._by_key: dict[bytes, active_answers.ActiveAnswer] = {}
         self._by_id: dict[str, active_answers.ActiveAnswer] = {}
         self._logger = structlog.get_logger()
-        peers.handle(key_messages.Pull, self._on_pull)
+        peers.handle(key_messages.PullRequest, self._on_pull)
         peers.handle(key_messages.TakeoverNotice, self._on_taken_over)
 
     @property
@@ -268,12 +268,12 @@
             self._cache.add(active.key, request, active.answer)
 
     async def _on_pull(
-        self, sender: str, message: key_messages.Pull
+        self, sender: str, message: key_messages.PullRequest
     ) -> key_messages.Pulled:
         return await self._serve_pull(message)
 
     async def _serve_pull(
-        self, message: key_messages.Pull
+        self, message: key_messages.PullRequest
     ) -> key_messages.Pulled:
         active = self._by_id.get(message.request_id)
         if active is None:
--- a/src/jujubewharf/requests/relay.py
+++ b/src/jujubewharf/requests/relay.py
@@ -25,7 +25,9 @@
     {errors.ErrorKind.CANCELLED, errors.ErrorKind.SHUTTING_DOWN}
 )
 
-PullHandler = Callable[[key_messages.Pull], Awaitable[key_messages.Pulled]]
+PullHandler = Callable[
+    [key_messages.PullRequest], Awaitable[key_messages.Pulled]
+]
 
 
 class FollowOutcome(enum.Enum):
@@ -141,7 +143,7 @@
     async def _pull(
         self, source: Source, key: bytes, body: bytes, index: int
     ) -> key_messages.Pulled | None:
-        message = key_messages.Pull(
+        message = key_messages.PullRequest(
             source.request_id, key, body, index, _PULL_WAIT_MS
         )
         if source.owner == self._peers.instance:
