--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -99,7 +99,7 @@
 
 @messages.message(25)
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pulled(messages.Message):
+class PullReply(messages.Message):
     """Reply to ``PullRequest``: tokens of a response, and its end if reached.
 
     Attributes:
--- a/src/jujubewharf/requests/answer_service.py
+++ b/src/jujubewharf/requests/answer_service.py
@@ -269,12 +269,12 @@
 
     async def _on_pull(
         self, sender: str, message: key_messages.PullRequest
-    ) -> key_messages.Pulled:
+    ) -> key_messages.PullReply:
         return await self._serve_pull(message)
 
     async def _serve_pull(
         self, message: key_messages.PullRequest
-    ) -> key_messages.Pulled:
+    ) -> key_messages.PullReply:
         active = self._by_id.get(message.request_id)
         if active is None:
             cached = self._cache.by_id(message.request_id)
@@ -285,9 +285,9 @@
         if active.key != message.key:
             return _not_here()
         if active.body != message.body:
-            return key_messages.Pulled(key_messages.PullState.OTHER_BODY)
+            return key_messages.PullReply(key_messages.PullState.OTHER_BODY)
         if active.source is not None:
-            return key_messages.Pulled(
+            return key_messages.PullReply(
                 key_messages.PullState.ELSEWHERE,
                 owner=active.source.owner,
                 request_id=active.source.request_id,
@@ -365,16 +365,16 @@
     return False
 
 
-def _not_here() -> key_messages.Pulled:
-    return key_messages.Pulled(key_messages.PullState.NOT_HERE)
+def _not_here() -> key_messages.PullReply:
+    return key_messages.PullReply(key_messages.PullState.NOT_HERE)
 
 
-def _pulled(answer: answers.Answer, first_index: int) -> key_messages.Pulled:
+def _pulled(answer: answers.Answer, first_index: int) -> key_messages.PullReply:
     texts = tuple(answer.texts[first_index : first_index + _MAX_PULLED_TOKENS])
     is_last = first_index + len(texts) >= len(answer.texts)
     match answer.end:
         case model_request.Finished(count, digest, attempt_id) if is_last:
-            return key_messages.Pulled(
+            return key_messages.PullReply(
                 key_messages.PullState.FINISHED,
                 first_index,
                 texts,
@@ -383,12 +383,12 @@
                 attempt_id=attempt_id,
             )
         case model_request.Failed(kind, ran) if not texts:
-            return key_messages.Pulled(
+            return key_messages.PullReply(
                 key_messages.PullState.FAILED,
                 first_index,
                 kind=kind.value,
                 ran=ran.value,
             )
-    return key_messages.Pulled(
+    return key_messages.PullReply(
         key_messages.PullState.RUNNING, first_index, texts
     )
--- a/src/jujubewharf/requests/relay.py
+++ b/src/jujubewharf/requests/relay.py
@@ -26,7 +26,7 @@
 )
 
 PullHandler = Callable[
-    [key_messages.PullRequest], Awaitable[key_messages.Pulled]
+    [key_messages.PullRequest], Awaitable[key_messages.PullReply]
 ]
 
 
@@ -142,7 +142,7 @@
 
     async def _pull(
         self, source: Source, key: bytes, body: bytes, index: int
-    ) -> key_messages.Pulled | None:
+    ) -> key_messages.PullReply | None:
         message = key_messages.PullRequest(
             source.request_id, key, body, index, _PULL_WAIT_MS
         )
@@ -160,13 +160,13 @@
                     return None
                 await self._clock.sleep_ms(_RETRY_DELAY_MS * failures)
                 continue
-            assert isinstance(answer, key_messages.Pulled)
+            assert isinstance(answer, key_messages.PullReply)
             return answer
         return None
 
 
 def _add_pulled(
-    answer: answers.Answer, index: int, pulled: key_messages.Pulled
+    answer: answers.Answer, index: int, pulled: key_messages.PullReply
 ) -> int:
     """Appends new tokens; raises on a gap or on tokens that differ."""
     texts = list(pulled.texts)
@@ -179,7 +179,7 @@
     return index + len(texts)
 
 
-def _finish(answer: answers.Answer, pulled: key_messages.Pulled) -> None:
+def _finish(answer: answers.Answer, pulled: key_messages.PullReply) -> None:
     actual = (len(answer.texts), answer.digest)
     if actual != (pulled.count, pulled.digest):
         raise errors.WharfError(errors.ErrorKind.ANSWER_BROKEN)
@@ -188,6 +188,6 @@
     )
 
 
-def _failure(pulled: key_messages.Pulled) -> model_request.Failed:
+def _failure(pulled: key_messages.PullReply) -> model_request.Failed:
     kind = errors.ErrorKind(pulled.kind)
     return model_request.Failed(kind, errors.Ran(pulled.ran))
