--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -71,7 +71,7 @@
 
 @messages.message(23)
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lookup(messages.Message):
+class LookupRequest(messages.Message):
     """Requests a key's record from a home; answered by ``Registered``."""
 
     key: bytes
--- a/src/jujubewharf/requests/keys.py
+++ b/src/jujubewharf/requests/keys.py
@@ -139,7 +139,7 @@
             collections.OrderedDict()
         )
         peers.handle(key_messages.Register, self._on_register)
-        peers.handle(key_messages.Lookup, self._on_lookup)
+        peers.handle(key_messages.LookupRequest, self._on_lookup)
         peers.handle(key_messages.Dispatched, self._on_dispatched)
 
     def __len__(self) -> int:
@@ -193,7 +193,7 @@
         """
         for home in self.homes(key):
             try:
-                answer = await self._ask(home, key_messages.Lookup(key))
+                answer = await self._ask(home, key_messages.LookupRequest(key))
             except network.PeerError:
                 continue
             found = _record_of(key, answer)
@@ -224,7 +224,7 @@
     async def _ask(
         self,
         home: str,
-        message: key_messages.Register | key_messages.Lookup,
+        message: key_messages.Register | key_messages.LookupRequest,
         *,
         timeout_ms: float = _HOME_TIMEOUT_MS,
     ) -> key_messages.Registered:
@@ -232,7 +232,7 @@
             match message:
                 case key_messages.Register():
                     return await self._on_register(home, message)
-                case key_messages.Lookup():
+                case key_messages.LookupRequest():
                     return await self._on_lookup(home, message)
         answer = await self._peers.ask(home, message, timeout_ms=timeout_ms)
         if not isinstance(answer, key_messages.Registered):
@@ -278,7 +278,7 @@
             self._put(_record_of(message.key, answer), message.keep_ms)
 
     async def _on_lookup(
-        self, sender: str, message: key_messages.Lookup
+        self, sender: str, message: key_messages.LookupRequest
     ) -> key_messages.Registered:
         known = self._get(message.key)
         if known is None:
