--- a/src/jujubewharf/configuration/spread.py
+++ b/src/jujubewharf/configuration/spread.py
@@ -71,7 +71,7 @@
         self._kept: _Kept | None = None
         self._making = asyncio.Lock()
         self._logger = structlog.get_logger()
-        network.handle(configuration_messages.RecordsWanted, self._on_records)
+        network.handle(configuration_messages.RecordsRequest, self._on_records)
         network.handle(configuration_messages.SnapshotWanted, self._on_snapshot)
         network.handle(configuration_messages.ChunkWanted, self._on_chunk)
 
@@ -159,7 +159,7 @@
     async def _ask_records(
         self, peer: str
     ) -> configuration_messages.RecordsGiven | None:
-        wanted = configuration_messages.RecordsWanted(
+        wanted = configuration_messages.RecordsRequest(
             self._holding.next_offset, _PAGE_RECORDS
         )
         try:
@@ -194,7 +194,7 @@
         return decoder.finish(offered.digest)
 
     async def _on_records(
-        self, _: str, wanted: configuration_messages.RecordsWanted
+        self, _: str, wanted: configuration_messages.RecordsRequest
     ) -> configuration_messages.RecordsGiven:
         limit = min(wanted.limit, _PAGE_RECORDS)
         found = self._holding.recent(wanted.from_offset, limit)
--- a/src/jujubewharf/peers/configuration_messages.py
+++ b/src/jujubewharf/peers/configuration_messages.py
@@ -17,7 +17,7 @@
 
 @messages.message(60)
 @dataclasses.dataclass(frozen=True, slots=True)
-class RecordsWanted(messages.Message):
+class RecordsRequest(messages.Message):
     """Requests recently applied records of the log.
 
     Attributes:
@@ -32,7 +32,7 @@
 @messages.message(61)
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordsGiven(messages.Message):
-    """Reply to ``RecordsWanted``.
+    """Reply to ``RecordsRequest``.
 
     Attributes:
         next_offset: Offset of the next record that the sender will apply. If
