--- a/src/jujubewharf/configuration/spread.py
+++ b/src/jujubewharf/configuration/spread.py
@@ -158,7 +158,7 @@
 
     async def _ask_records(
         self, peer: str
-    ) -> configuration_messages.RecordsGiven | None:
+    ) -> configuration_messages.RecordsReply | None:
         wanted = configuration_messages.RecordsRequest(
             self._holding.next_offset, _PAGE_RECORDS
         )
@@ -166,7 +166,7 @@
             given = await self._ask(peer, wanted)
         except networks.PeerError:
             return None
-        if not isinstance(given, configuration_messages.RecordsGiven):
+        if not isinstance(given, configuration_messages.RecordsReply):
             return None
         return given
 
@@ -195,10 +195,10 @@
 
     async def _on_records(
         self, _: str, wanted: configuration_messages.RecordsRequest
-    ) -> configuration_messages.RecordsGiven:
+    ) -> configuration_messages.RecordsReply:
         limit = min(wanted.limit, _PAGE_RECORDS)
         found = self._holding.recent(wanted.from_offset, limit)
-        return configuration_messages.RecordsGiven(
+        return configuration_messages.RecordsReply(
             self._holding.next_offset,
             tuple(_within_page(found)),
             self._holding.caught_up.is_set(),
--- a/src/jujubewharf/peers/configuration_messages.py
+++ b/src/jujubewharf/peers/configuration_messages.py
@@ -31,7 +31,7 @@
 
 @messages.message(61)
 @dataclasses.dataclass(frozen=True, slots=True)
-class RecordsGiven(messages.Message):
+class RecordsReply(messages.Message):
     """Reply to ``RecordsRequest``.
 
     Attributes:
