--- a/src/jujubewharf/configuration/spread.py
+++ b/src/jujubewharf/configuration/spread.py
@@ -72,7 +72,9 @@
         self._making = asyncio.Lock()
         self._logger = structlog.get_logger()
         network.handle(configuration_messages.RecordsRequest, self._on_records)
-        network.handle(configuration_messages.SnapshotWanted, self._on_snapshot)
+        network.handle(
+            configuration_messages.SnapshotRequest, self._on_snapshot
+        )
         network.handle(configuration_messages.ChunkWanted, self._on_chunk)
 
     async def catch_up(self, *, peer_count: int = PEERS_A_ROUND) -> None:
@@ -178,7 +180,7 @@
             BrokenSnapshotError: What it gave is no whole state.
         """
         current = self._holding.current
-        wanted = configuration_messages.SnapshotWanted(current.next_offset)
+        wanted = configuration_messages.SnapshotRequest(current.next_offset)
         offered = await self._ask(peer, wanted)
         if not isinstance(offered, configuration_messages.SnapshotOffered):
             return None
@@ -205,7 +207,7 @@
         )
 
     async def _on_snapshot(
-        self, _: str, wanted: configuration_messages.SnapshotWanted
+        self, _: str, wanted: configuration_messages.SnapshotRequest
     ) -> configuration_messages.SnapshotOffered:
         is_whole = self._holding.caught_up.is_set()
         if not is_whole or self._holding.next_offset <= wanted.above_offset:
--- a/src/jujubewharf/peers/configuration_messages.py
+++ b/src/jujubewharf/peers/configuration_messages.py
@@ -50,7 +50,7 @@
 
 @messages.message(62)
 @dataclasses.dataclass(frozen=True, slots=True)
-class SnapshotWanted(messages.Message):
+class SnapshotRequest(messages.Message):
     """Requests a snapshot of the state beyond the given offset."""
 
     above_offset: int
@@ -59,7 +59,7 @@
 @messages.message(63)
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotOffered(messages.Message):
-    """Reply to ``SnapshotWanted``.
+    """Reply to ``SnapshotRequest``.
 
     Attributes:
         next_offset: End offset of the snapshot, or of the sender's state if
