--- a/src/jujubewharf/configuration/spread.py
+++ b/src/jujubewharf/configuration/spread.py
@@ -182,7 +182,7 @@
         current = self._holding.current
         wanted = configuration_messages.SnapshotRequest(current.next_offset)
         offered = await self._ask(peer, wanted)
-        if not isinstance(offered, configuration_messages.SnapshotOffered):
+        if not isinstance(offered, configuration_messages.SnapshotOffer):
             return None
         if not offered.digest:
             return None
@@ -208,14 +208,14 @@
 
     async def _on_snapshot(
         self, _: str, wanted: configuration_messages.SnapshotRequest
-    ) -> configuration_messages.SnapshotOffered:
+    ) -> configuration_messages.SnapshotOffer:
         is_whole = self._holding.caught_up.is_set()
         if not is_whole or self._holding.next_offset <= wanted.above_offset:
-            return configuration_messages.SnapshotOffered(
+            return configuration_messages.SnapshotOffer(
                 self._holding.next_offset
             )
         snapshot = await self._snapshot(wanted.above_offset)
-        return configuration_messages.SnapshotOffered(
+        return configuration_messages.SnapshotOffer(
             snapshot.next_offset, snapshot.digest, len(snapshot.chunks)
         )
 
--- a/src/jujubewharf/peers/configuration_messages.py
+++ b/src/jujubewharf/peers/configuration_messages.py
@@ -58,7 +58,7 @@
 
 @messages.message(63)
 @dataclasses.dataclass(frozen=True, slots=True)
-class SnapshotOffered(messages.Message):
+class SnapshotOffer(messages.Message):
     """Reply to ``SnapshotRequest``.
 
     Attributes:
