--- a/src/jujubewharf/configuration/spread.py
+++ b/src/jujubewharf/configuration/spread.py
@@ -75,7 +75,7 @@
         network.handle(
             configuration_messages.SnapshotRequest, self._on_snapshot
         )
-        network.handle(configuration_messages.ChunkWanted, self._on_chunk)
+        network.handle(configuration_messages.ChunkRequest, self._on_chunk)
 
     async def catch_up(self, *, peer_count: int = PEERS_A_ROUND) -> None:
         """Asks peers for records past what is held here.
@@ -188,7 +188,7 @@
             return None
         decoder = snapshots.Decoder(newest_rules=current.newest_rules)
         for index in range(offered.chunk_count):
-            chunk = configuration_messages.ChunkWanted(offered.digest, index)
+            chunk = configuration_messages.ChunkRequest(offered.digest, index)
             given = await self._ask(peer, chunk)
             if not isinstance(given, configuration_messages.ChunkGiven):
                 raise snapshots.BrokenSnapshotError("no chunk was given")
@@ -220,7 +220,7 @@
         )
 
     async def _on_chunk(
-        self, _: str, wanted: configuration_messages.ChunkWanted
+        self, _: str, wanted: configuration_messages.ChunkRequest
     ) -> configuration_messages.ChunkGiven:
         kept = self._kept
         if kept is None or kept.snapshot.digest != wanted.digest:
--- a/src/jujubewharf/peers/configuration_messages.py
+++ b/src/jujubewharf/peers/configuration_messages.py
@@ -76,7 +76,7 @@
 
 @messages.message(64)
 @dataclasses.dataclass(frozen=True, slots=True)
-class ChunkWanted(messages.Message):
+class ChunkRequest(messages.Message):
     """Requests one chunk of an offered snapshot."""
 
     digest: str
@@ -86,6 +86,6 @@
 @messages.message(65)
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkGiven(messages.Message):
-    """Reply to ``ChunkWanted``; empty if the snapshot was discarded."""
+    """Reply to ``ChunkRequest``; empty if the snapshot was discarded."""
 
     data: bytes = b""
