--- a/src/jujubewharf/configuration/spread.py
+++ b/src/jujubewharf/configuration/spread.py
@@ -190,7 +190,7 @@
         for index in range(offered.chunk_count):
             chunk = configuration_messages.ChunkRequest(offered.digest, index)
             given = await self._ask(peer, chunk)
-            if not isinstance(given, configuration_messages.ChunkGiven):
+            if not isinstance(given, configuration_messages.ChunkReply):
                 raise snapshots.BrokenSnapshotError("no chunk was given")
             decoder.feed(given.data)
         return decoder.finish(offered.digest)
@@ -221,13 +221,13 @@
 
     async def _on_chunk(
         self, _: str, wanted: configuration_messages.ChunkRequest
-    ) -> configuration_messages.ChunkGiven:
+    ) -> configuration_messages.ChunkReply:
         kept = self._kept
         if kept is None or kept.snapshot.digest != wanted.digest:
-            return configuration_messages.ChunkGiven()
+            return configuration_messages.ChunkReply()
         if not 0 <= wanted.index < len(kept.snapshot.chunks):
-            return configuration_messages.ChunkGiven()
-        return configuration_messages.ChunkGiven(
+            return configuration_messages.ChunkReply()
+        return configuration_messages.ChunkReply(
             kept.snapshot.chunks[wanted.index]
         )
 
--- a/src/jujubewharf/peers/configuration_messages.py
+++ b/src/jujubewharf/peers/configuration_messages.py
@@ -85,7 +85,7 @@
 
 @messages.message(65)
 @dataclasses.dataclass(frozen=True, slots=True)
-class ChunkGiven(messages.Message):
+class ChunkReply(messages.Message):
     """Reply to ``ChunkRequest``; empty if the snapshot was discarded."""
 
     data: bytes = b""
