--- a/src/jujubewharf/membership/fact_messages.py
+++ b/src/jujubewharf/membership/fact_messages.py
@@ -37,7 +37,7 @@
 
 @messages.message(11)
 @dataclasses.dataclass(frozen=True, slots=True)
-class FactsKnown(messages.Message):
+class FactsSyncRequest(messages.Message):
     """Requests the facts that differ within a range of key hashes.
 
     Attributes:
@@ -55,7 +55,7 @@
 @messages.message(12)
 @dataclasses.dataclass(frozen=True, slots=True)
 class FactsMissing(messages.Message):
-    """Reply to ``FactsKnown``.
+    """Reply to ``FactsSyncRequest``.
 
     Attributes:
         facts: Facts that the requester lacks or holds with other content.
--- a/src/jujubewharf/membership/facts.py
+++ b/src/jujubewharf/membership/facts.py
@@ -78,7 +78,7 @@
         self._sync_queue: list[str] = []
         self._logger = structlog.get_logger()
         mesh.handle(fact_messages.FactsPush, self._on_push)
-        mesh.handle(fact_messages.FactsKnown, self._on_sync_request)
+        mesh.handle(fact_messages.FactsSyncRequest, self._on_sync_request)
         mesh.on_heartbeat(self._on_heartbeat)
         mesh.facts_digest = lambda: self.store.digest
 
@@ -232,15 +232,15 @@
         Large stores are compared one random window of key hashes at a time.
         """
         ordered = sorted(self.store, key=lambda fact: fact.key_hash)
-        window = fact_messages.FactsKnown(0, 2**32, ())
+        window = fact_messages.FactsSyncRequest(0, 2**32, ())
         if len(ordered) > _MAX_FACTS_PER_SYNC:
             last_start = len(ordered) - _MAX_FACTS_PER_SYNC
             start = self._random.randint(0, last_start)
             ordered = ordered[start : start + _MAX_FACTS_PER_SYNC]
             low, high = ordered[0].key_hash, ordered[-1].key_hash
-            window = fact_messages.FactsKnown(low, high, ())
+            window = fact_messages.FactsSyncRequest(low, high, ())
         known = tuple((f.key_hash, f.content_hash) for f in ordered)
-        request = fact_messages.FactsKnown(
+        request = fact_messages.FactsSyncRequest(
             window.from_key, window.to_key, known
         )
         try:
@@ -259,7 +259,7 @@
             self._mesh.tell(peer, fact_messages.FactsPush(wire_facts))
 
     async def _on_sync_request(
-        self, peer: str, request: fact_messages.FactsKnown
+        self, peer: str, request: fact_messages.FactsSyncRequest
     ) -> fact_messages.FactsMissing:
         remote = dict(request.known)
         local = {
