--- a/src/jujubewharf/membership/fact_messages.py
+++ b/src/jujubewharf/membership/fact_messages.py
@@ -54,7 +54,7 @@
 
 @messages.message(12)
 @dataclasses.dataclass(frozen=True, slots=True)
-class FactsMissing(messages.Message):
+class FactsSyncReply(messages.Message):
     """Reply to ``FactsSyncRequest``.
 
     Attributes:
--- a/src/jujubewharf/membership/facts.py
+++ b/src/jujubewharf/membership/facts.py
@@ -249,7 +249,7 @@
             )
         except network.PeerError:
             return
-        if not isinstance(reply, fact_messages.FactsMissing):
+        if not isinstance(reply, fact_messages.FactsSyncReply):
             return
         self._add_all(reply.facts, peer)
         wanted = set(reply.wanted)
@@ -260,7 +260,7 @@
 
     async def _on_sync_request(
         self, peer: str, request: fact_messages.FactsSyncRequest
-    ) -> fact_messages.FactsMissing:
+    ) -> fact_messages.FactsSyncReply:
         remote = dict(request.known)
         local = {
             fact.key_hash: fact
@@ -280,7 +280,7 @@
         wire_facts = [
             self.store.to_wire(f) for f in differing[:_MAX_FACTS_PER_SYNC]
         ]
-        return fact_messages.FactsMissing(tuple(wire_facts), tuple(wanted))
+        return fact_messages.FactsSyncReply(tuple(wire_facts), tuple(wanted))
 
 
 def _size_bytes(fact: Fact) -> int:
