--- a/src/jujubewharf/peers/codec.py
+++ b/src/jujubewharf/peers/codec.py
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        reason: counters.Drop,
+        reason: counters.DropReason,
         *,
         correlation: int = 0,
         kind: FrameKind | None = None,
@@ -70,7 +70,7 @@
             between two frames or its connection failed.
     """
 
-    def __init__(self, reason: counters.Drop | None) -> None:
+    def __init__(self, reason: counters.DropReason | None) -> None:
         super().__init__("ended" if reason is None else reason.value)
         self.reason = reason
 
@@ -121,7 +121,9 @@
     message_type: Any = messages.TYPE_OF_NUMBER.get(number)
     if message_type is None:
         raise DroppedFrameError(
-            counters.Drop.UNKNOWN_MESSAGE, correlation=correlation, kind=kind
+            counters.DropReason.UNKNOWN_MESSAGE,
+            correlation=correlation,
+            kind=kind,
         )
     names = _field_names(message_type)
     named = dict(zip(names, fields, strict=False))
@@ -129,7 +131,7 @@
         message = _adapter(message_type).validate_python(named)
     except (ValueError, TypeError, OverflowError, RecursionError) as error:
         raise DroppedFrameError(
-            counters.Drop.MALFORMED, correlation=correlation, kind=kind
+            counters.DropReason.MALFORMED, correlation=correlation, kind=kind
         ) from error
     unknown = max(0, len(fields) - len(names))
     return Frame(kind, correlation, message, unknown)
@@ -150,11 +152,11 @@
         head = await reader.readexactly(_LENGTH.size)
         (size,) = _LENGTH.unpack(head)
         if size > max_bytes:
-            raise BrokenStreamError(counters.Drop.OVERSIZED)
+            raise BrokenStreamError(counters.DropReason.OVERSIZED)
         return await reader.readexactly(size)
     except asyncio.IncompleteReadError as error:
         is_orderly = not error.partial and error.expected == _LENGTH.size
-        reason = None if is_orderly else counters.Drop.TRUNCATED
+        reason = None if is_orderly else counters.DropReason.TRUNCATED
         raise BrokenStreamError(reason) from error
     except OSError as error:
         raise BrokenStreamError(None) from error
@@ -180,9 +182,9 @@
         RecursionError,
         msgpack.UnpackException,
     ) as error:
-        raise DroppedFrameError(counters.Drop.MALFORMED) from error
+        raise DroppedFrameError(counters.DropReason.MALFORMED) from error
     if not isinstance(parts, list) or len(parts) < _HEADER_ITEMS:
-        raise DroppedFrameError(counters.Drop.MALFORMED)
+        raise DroppedFrameError(counters.DropReason.MALFORMED)
     kind, correlation, number, fields = parts[:_HEADER_ITEMS]
     has_valid_types = (
         type(kind) is int
@@ -191,12 +193,12 @@
         and isinstance(fields, list)
     )
     if not has_valid_types or not 0 <= correlation < _MAX_CORRELATION:
-        raise DroppedFrameError(counters.Drop.MALFORMED)
+        raise DroppedFrameError(counters.DropReason.MALFORMED)
     try:
         return FrameKind(kind), correlation, number, fields
     except ValueError as error:
         raise DroppedFrameError(
-            counters.Drop.UNKNOWN_KIND, correlation=correlation
+            counters.DropReason.UNKNOWN_KIND, correlation=correlation
         ) from error
 
 
--- a/src/jujubewharf/peers/counters.py
+++ b/src/jujubewharf/peers/counters.py
@@ -23,7 +23,7 @@
 )
 
 
-class Drop(enum.Enum):
+class DropReason(enum.Enum):
     """Reason why a frame or a part of it was dropped."""
 
     TRUNCATED = "truncated"
@@ -67,7 +67,7 @@
         self.bytes_in = 0
         self.bytes_out = 0
         self.frames_out = 0
-        self.drops: collections.Counter[Drop] = collections.Counter()
+        self.drops: collections.Counter[DropReason] = collections.Counter()
         self.asks: collections.Counter[AskOutcome] = collections.Counter()
         self.task_failures = 0
         self.refusals: collections.Counter[str] = collections.Counter()
@@ -83,7 +83,7 @@
         self.frames_out += 1
         _bytes_out.add(size_bytes)
 
-    def drop(self, reason: Drop) -> None:
+    def drop(self, reason: DropReason) -> None:
         """Counts a dropped frame or field."""
         self.drops[reason] += 1
         _drops.add(1, {"reason": reason.value})
--- a/src/jujubewharf/peers/handshake.py
+++ b/src/jujubewharf/peers/handshake.py
@@ -164,7 +164,7 @@
             self.counts.drop(error.reason)
             raise RefusedHelloError(_Goodbye.BAD_HELLO.value) from error
         if frame.unknown_fields:
-            self.counts.drop(counters.Drop.UNKNOWN_FIELD)
+            self.counts.drop(counters.DropReason.UNKNOWN_FIELD)
         return frame.message
 
     def _send(self, message: messages.Message) -> None:
--- a/tests/peers/test_hostile.py
+++ b/tests/peers/test_hostile.py
@@ -148,21 +148,24 @@
 @pytest.mark.parametrize(
     ("data", "reason"),
     [
-        (struct.pack(">I", 9) + b"ab", counters.Drop.TRUNCATED),
-        (b"\x00", counters.Drop.TRUNCATED),
-        (b"\xff\xff\xff\xff", counters.Drop.OVERSIZED),
-        (_frame(b"\xc1"), counters.Drop.MALFORMED),
-        (_frame(msgpack.packb([0, 0, 9_301])), counters.Drop.MALFORMED),
+        (struct.pack(">I", 9) + b"ab", counters.DropReason.TRUNCATED),
+        (b"\x00", counters.DropReason.TRUNCATED),
+        (b"\xff\xff\xff\xff", counters.DropReason.OVERSIZED),
+        (_frame(b"\xc1"), counters.DropReason.MALFORMED),
+        (_frame(msgpack.packb([0, 0, 9_301])), counters.DropReason.MALFORMED),
         (
             _frame(msgpack.packb([0, 0, 9_301, [["x"]]])),
-            counters.Drop.MALFORMED,
+            counters.DropReason.MALFORMED,
+        ),
+        (
+            _frame(msgpack.packb([9, 0, 2, []])),
+            counters.DropReason.UNKNOWN_KIND,
         ),
-        (_frame(msgpack.packb([9, 0, 2, []])), counters.Drop.UNKNOWN_KIND),
         (
             _frame(msgpack.packb([0, 0, 99_999, [1]])),
-            counters.Drop.UNKNOWN_MESSAGE,
+            counters.DropReason.UNKNOWN_MESSAGE,
         ),
-        (_frame(msgpack.packb([2, 5, 2, []])), counters.Drop.LATE_ANSWER),
+        (_frame(msgpack.packb([2, 5, 2, []])), counters.DropReason.LATE_ANSWER),
     ],
 )
 def test_each_fault_is_counted_by_its_reason(data, reason):
@@ -213,8 +216,8 @@
         assert [3, 8, 0, []] in frames
         assert target.handled == [Sum((4, 5))]
         drops = target.mesh.counts.drops
-        assert drops[counters.Drop.UNKNOWN_FIELD] == 3
-        assert drops[counters.Drop.UNKNOWN_MESSAGE] == 2
+        assert drops[counters.DropReason.UNKNOWN_FIELD] == 3
+        assert drops[counters.DropReason.UNKNOWN_MESSAGE] == 2
         await target.mesh.stop()
 
     virtual_time.run(run())
@@ -264,7 +267,7 @@
         message = Sum((), "x" * 1_000_000)
         told = [target.mesh.tell("stranger", message) for _ in range(20)]
         assert told.count(True) == 7
-        full = target.mesh.counts.drops[counters.Drop.QUEUE_FULL]
+        full = target.mesh.counts.drops[counters.DropReason.QUEUE_FULL]
         assert full == told.count(False)
         await target.mesh.stop()
 
@@ -310,7 +313,7 @@
         assert caught.value.fault is network.PeerFault.LOST
         await target.clock.sleep_ms(1_000)
         drops = target.mesh.counts.drops
-        assert drops == {counters.Drop.LATE_ANSWER: 1}
+        assert drops == {counters.DropReason.LATE_ANSWER: 1}
         await other.stop()
         await target.mesh.stop()
 
