--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -329,7 +329,7 @@
             return
         self._background_tasks.spawn(self._run_link(self._make_link(opened)))
 
-    def _make_link(self, opened: openers.Opened) -> links.Link:
+    def _make_link(self, opened: openers.OpenedStream) -> links.Link:
         link = links.Link(
             opened.hello,
             is_dialled=opened.is_dialled,
--- a/src/jujubewharf/peers/opener.py
+++ b/src/jujubewharf/peers/opener.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Opened:
+class OpenedStream:
     """A stream after a successful handshake.
 
     Attributes:
@@ -95,7 +95,7 @@
 
     async def dial(
         self, name: str, address: str, *, is_standing: bool
-    ) -> Opened:
+    ) -> OpenedStream:
         """Opens a stream to a peer and runs the handshake.
 
         Raises:
@@ -116,11 +116,11 @@
         except BaseException:
             writer.close()
             raise
-        return Opened(hello, True, is_standing, reader, writer)
+        return OpenedStream(hello, True, is_standing, reader, writer)
 
     async def accept(
         self, reader: asyncio.StreamReader, writer: streams.StreamWriter
-    ) -> Opened | None:
+    ) -> OpenedStream | None:
         """Runs the handshake on an accepted stream.
 
         Returns:
@@ -144,9 +144,9 @@
             return None
         finally:
             self.handshakes -= 1
-        return Opened(hello, False, hello.is_standing, reader, writer)
+        return OpenedStream(hello, False, hello.is_standing, reader, writer)
 
-    def refuse_busy(self, opened: Opened) -> None:
+    def refuse_busy(self, opened: OpenedStream) -> None:
         """Refuses an opened stream because the peer limit is reached."""
         self._refuse_busy(
             self._handshake(opened.reader, opened.writer, is_standing=False)
