--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -24,7 +24,7 @@
     from jujubewharf.peers import mesh as meshes
     from jujubewharf.peers import peer as peers
 
-REPORTS_TO_BELIEVE = 2
+MIN_REPORTS = 2
 
 _SUFFICIENT_REPORTS = 3
 _REPORT_TTL_MS = 30_000.0
@@ -226,7 +226,7 @@
         contact = self._mesh.contact(name)
         if contact.is_watched or (contact.is_linked and self.is_heard(name)):
             return False
-        return len(reports) >= REPORTS_TO_BELIEVE
+        return len(reports) >= MIN_REPORTS
 
     def _update_report(
         self, name: str, is_silent: bool, report_count: int
