--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -69,7 +69,7 @@
         self._clock = clock
         self._timing = timing
         self._poll_ms = poll_ms
-        self._suspicion = suspicion.Suspicion(
+        self._suspicion = suspicion.FailureDetector(
             mesh, facts, domain, clock, timing=timing
         )
         self._listed: dict[str, live_list.LiveMember] = {}
--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -47,7 +47,7 @@
     incarnation: int
 
 
-class Suspicion:
+class FailureDetector:
     """Detects members that have gone silent.
 
     Args:
