--- a/src/jujubewharf/membership/facts.py
+++ b/src/jujubewharf/membership/facts.py
@@ -30,7 +30,7 @@
 Topic = fact_store.Topic
 Listener = Callable[[Fact], None]
 
-COPIES = 6
+MAX_COPIES = 6
 
 _FANOUT = 3
 _PUSH_INTERVAL_MS = 200.0
@@ -178,7 +178,9 @@
         if not linked:
             return
         for key, pending in list(self._pending.items()):
-            if pending.copies >= COPIES or pending.informed.issuperset(linked):
+            if pending.copies >= MAX_COPIES or pending.informed.issuperset(
+                linked
+            ):
                 del self._pending[key]
 
     async def _push_to(self, target: str) -> None:
