--- a/src/jujubewharf/membership/neighbours.py
+++ b/src/jujubewharf/membership/neighbours.py
@@ -15,7 +15,7 @@
 from jujubewharf import hashing
 from jujubewharf.membership import view
 
-ALL_IN_DOMAIN = 8
+MAX_FULLY_LINKED_PEERS = 8
 DOMAIN_LINKS = 4
 CROSS_LINKS = 2
 
@@ -28,7 +28,7 @@
     for member in others:
         by_domain.setdefault(member.domain, []).append(member.instance)
     same_domain = by_domain.pop(myself.domain, [])
-    if len(same_domain) > ALL_IN_DOMAIN:
+    if len(same_domain) > MAX_FULLY_LINKED_PEERS:
         same_domain = hashing.rank(myself.instance, same_domain)[:DOMAIN_LINKS]
     domains = hashing.rank(myself.instance, by_domain)[:CROSS_LINKS]
     other_domains = [
