--- a/src/jujubewharf/membership/neighbours.py
+++ b/src/jujubewharf/membership/neighbours.py
@@ -17,7 +17,7 @@
 
 MAX_FULLY_LINKED_PEERS = 8
 DOMAIN_LINKS = 4
-CROSS_LINKS = 2
+CROSS_DOMAIN_LINKS = 2
 
 
 def choose(
@@ -30,7 +30,7 @@
     same_domain = by_domain.pop(myself.domain, [])
     if len(same_domain) > MAX_FULLY_LINKED_PEERS:
         same_domain = hashing.rank(myself.instance, same_domain)[:DOMAIN_LINKS]
-    domains = hashing.rank(myself.instance, by_domain)[:CROSS_LINKS]
+    domains = hashing.rank(myself.instance, by_domain)[:CROSS_DOMAIN_LINKS]
     other_domains = [
         hashing.rank(myself.instance, by_domain[domain])[0]
         for domain in domains
