--- a/src/jujubewharf/membership/member_facts.py
+++ b/src/jujubewharf/membership/member_facts.py
@@ -70,7 +70,7 @@
     return f"{silent}\t{watcher}"
 
 
-def silent_in(subject: str) -> str:
+def silent_member(subject: str) -> str:
     """Returns the name of the silent instance from a report's subject."""
     return subject.partition("\t")[0]
 
--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -210,7 +210,7 @@
         reports: dict[str, list[member_facts.Report]]
         reports = collections.defaultdict(list)
         for fact in self._facts.about(all_facts.Topic.SUSPICION):
-            name = member_facts.silent_in(fact.subject)
+            name = member_facts.silent_member(fact.subject)
             report = member_facts.report(fact)
             member = members.get(name)
             if report is None or member is None or not report.is_silent:
