--- a/src/jujubewharf/membership/member_facts.py
+++ b/src/jujubewharf/membership/member_facts.py
@@ -50,7 +50,7 @@
 _report = pydantic.TypeAdapter(Report)
 
 
-def dump(value: Presence | Report) -> str:
+def encode(value: Presence | Report) -> str:
     """Encodes a fact's value as a JSON list, which omits the field names."""
     return json.dumps(dataclasses.astuple(value), separators=(",", ":"))
 
--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -232,7 +232,7 @@
             all_facts.Topic.MEMBER,
             self._mesh.instance,
             version=version,
-            value=member_facts.dump(presence),
+            value=member_facts.encode(presence),
             ttl_ms=_PRESENCE_TTL_MS,
         )
 
--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -267,7 +267,7 @@
             all_facts.Topic.SUSPICION,
             member_facts.report_subject(name, self._mesh.instance),
             version=int(self._clock.wall_ms()),
-            value=member_facts.dump(report),
+            value=member_facts.encode(report),
             ttl_ms=_REPORT_TTL_MS,
         )
 
