--- a/src/jujubewharf/membership/member_facts.py
+++ b/src/jujubewharf/membership/member_facts.py
@@ -55,7 +55,7 @@
     return json.dumps(dataclasses.astuple(value), separators=(",", ":"))
 
 
-def presence(fact: fact_store.Fact) -> Presence | None:
+def decode_presence(fact: fact_store.Fact) -> Presence | None:
     """Decodes a presence; returns ``None`` if the format is unknown."""
     return _decode_presence(fact.value)
 
--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -275,7 +275,7 @@
         hello = self._mesh.hello_of(name)
         hello_incarnation = 0 if hello is None else hello.incarnation
         fact = self._facts.get(all_facts.Topic.MEMBER, name)
-        announced = None if fact is None else member_facts.presence(fact)
+        announced = None if fact is None else member_facts.decode_presence(fact)
         return (
             hello_incarnation
             if announced is None
