--- a/src/jujubewharf/membership/member_facts.py
+++ b/src/jujubewharf/membership/member_facts.py
@@ -60,7 +60,7 @@
     return _decode_presence(fact.value)
 
 
-def report(fact: fact_store.Fact) -> Report | None:
+def decode_report(fact: fact_store.Fact) -> Report | None:
     """Decodes a report; returns ``None`` if the format is unknown."""
     return _decode_report(fact.value)
 
--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -211,7 +211,7 @@
         reports = collections.defaultdict(list)
         for fact in self._facts.about(all_facts.Topic.SUSPICION):
             name = member_facts.silent_member(fact.subject)
-            report = member_facts.report(fact)
+            report = member_facts.decode_report(fact)
             member = members.get(name)
             if report is None or member is None or not report.is_silent:
                 continue
