--- a/src/jujubewharf/membership/fact_store.py
+++ b/src/jujubewharf/membership/fact_store.py
@@ -148,7 +148,7 @@
         heapq.heappush(self._expiries, (fact.expires_ms, fact.key))
         return True
 
-    def forget_expired(self) -> None:
+    def remove_expired(self) -> None:
         """Removes expired facts."""
         now_ms = self._clock.now_ms()
         while self._expiries and self._expiries[0][0] <= now_ms:
--- a/src/jujubewharf/membership/facts.py
+++ b/src/jujubewharf/membership/facts.py
@@ -131,7 +131,7 @@
     async def _push_loop(self) -> None:
         while not self.should_stop:
             await self._clock.sleep_ms(_PUSH_INTERVAL_MS)
-            self.store.forget_expired()
+            self.store.remove_expired()
             if self._pending:
                 await self._push_pending()
 
