--- a/src/jujubewharf/membership/fact_store.py
+++ b/src/jujubewharf/membership/fact_store.py
@@ -118,7 +118,7 @@
             return None
         return fact
 
-    def about(self, topic: str) -> tuple[Fact, ...]:
+    def by_topic(self, topic: str) -> tuple[Fact, ...]:
         """Returns the unexpired facts on a topic, sorted by subject."""
         by_subject = self._by_topic.get(topic, {})
         now_ms = self._clock.now_ms()
--- a/src/jujubewharf/membership/facts.py
+++ b/src/jujubewharf/membership/facts.py
@@ -115,7 +115,7 @@
 
     def about(self, topic: str) -> tuple[Fact, ...]:
         """Returns the known facts on a topic, sorted by subject."""
-        return self.store.about(topic)
+        return self.store.by_topic(topic)
 
     def listen(self, topic: str, listener: Listener) -> None:
         """Registers a callback for new facts, including local ones."""
