--- a/src/jujubewharf/leaving/leaving_endpoints.py
+++ b/src/jujubewharf/leaving/leaving_endpoints.py
@@ -152,7 +152,7 @@
         topic = all_facts.Topic.ENDPOINT_LEAVING
         published = {
             fact.subject: Source.PEER
-            for fact in self._facts.about(topic)
+            for fact in self._facts.by_topic(topic)
             if fact.value != _REVOKED
         }
         leaving = published | self._own_notices
--- a/src/jujubewharf/membership/facts.py
+++ b/src/jujubewharf/membership/facts.py
@@ -113,7 +113,7 @@
         """Returns a fact, or ``None`` if it is unknown or has expired."""
         return self.store.get(topic, subject)
 
-    def about(self, topic: str) -> tuple[Fact, ...]:
+    def by_topic(self, topic: str) -> tuple[Fact, ...]:
         """Returns the known facts on a topic, sorted by subject."""
         return self.store.by_topic(topic)
 
--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -282,7 +282,7 @@
 
     def _published_presences(self) -> dict[str, member_facts.Presence]:
         presences = {}
-        for fact in self._facts.about(all_facts.Topic.MEMBER):
+        for fact in self._facts.by_topic(all_facts.Topic.MEMBER):
             presence = member_facts.decode_presence(fact)
             if presence is not None:
                 presences[fact.subject] = presence
--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -209,7 +209,7 @@
         """Returns the valid reports by silent member."""
         reports: dict[str, list[member_facts.Report]]
         reports = collections.defaultdict(list)
-        for fact in self._facts.about(all_facts.Topic.SUSPICION):
+        for fact in self._facts.by_topic(all_facts.Topic.SUSPICION):
             name = member_facts.silent_member(fact.subject)
             report = member_facts.decode_report(fact)
             member = members.get(name)
