--- a/src/jujubewharf/membership/fact_messages.py
+++ b/src/jujubewharf/membership/fact_messages.py
@@ -16,7 +16,7 @@
         subject: See ``facts.Fact``.
         version: See ``facts.Fact``.
         value: See ``facts.Fact``.
-        left_ms: Remaining time to live. A duration rather than a timestamp,
+        ttl_ms: Remaining time to live. A duration rather than a timestamp,
             because the clocks of instances differ.
     """
 
@@ -24,7 +24,7 @@
     subject: str
     version: int
     value: str
-    left_ms: int
+    ttl_ms: int
 
 
 @messages.message(10)
--- a/src/jujubewharf/membership/fact_store.py
+++ b/src/jujubewharf/membership/fact_store.py
@@ -168,7 +168,7 @@
 
     def from_wire(self, wire: fact_messages.WireFact) -> Fact:
         """Converts a received fact, with its expiry on the local clock."""
-        ttl_ms = min(wire.left_ms, MAX_TTL_MS)
+        ttl_ms = min(wire.ttl_ms, MAX_TTL_MS)
         expires_ms = self._clock.now_ms() + ttl_ms
         return Fact(
             wire.topic, wire.subject, wire.version, wire.value, expires_ms
--- a/src/jujubewharf/membership/facts.py
+++ b/src/jujubewharf/membership/facts.py
@@ -167,7 +167,7 @@
         self, wire_facts: Iterable[fact_messages.WireFact], source: str
     ) -> None:
         for wire_fact in wire_facts:
-            if wire_fact.left_ms > 0:
+            if wire_fact.ttl_ms > 0:
                 self._add(self.store.from_wire(wire_fact), source)
 
     async def _push_pending(self) -> None:
