--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -248,7 +248,7 @@
             self._merged_ms = now_ms
             self._is_stale = False
             has_changed |= self._update_members()
-        suspected = self._suspicion.find(self._members)
+        suspected = self._suspicion.find_suspected(self._members)
         if suspected != self._suspected:
             self._suspected = suspected
             self._is_stale = True
--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -81,7 +81,9 @@
         self._checked_ms: float | None = None
         self._resumed_ms = float("-inf")
 
-    def find(self, members: Mapping[str, view.Member]) -> frozenset[str]:
+    def find_suspected(
+        self, members: Mapping[str, view.Member]
+    ) -> frozenset[str]:
         """Returns the names of the suspected members.
 
         Checks only peers known to the links and members with reports, whose
