--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -260,7 +260,7 @@
     def _update_members(self) -> bool:
         """Merges all sources again; returns whether a member changed."""
         members = self._merge()
-        self._suspicion.on_members(members)
+        self._suspicion.update_members(members)
         if members == self._members:
             return False
         self._members = members
--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -106,7 +106,7 @@
                 suspected.add(name)
         return frozenset(suspected)
 
-    def on_members(self, members: Mapping[str, view.Member]) -> None:
+    def update_members(self, members: Mapping[str, view.Member]) -> None:
         """Records when members became known; drops state of removed ones."""
         now_ms = self._clock.now_ms()
         for name in members:
