--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -191,7 +191,7 @@
         if fact.topic == all_facts.Topic.MEMBER:
             # An earlier failed dial may have been to a previous process.
             # Keeping it would fall back to the outdated listed address.
-            self._mesh.forgive(fact.subject)
+            self._mesh.clear_failure(fact.subject)
         self._updated.set()
 
     async def _wait_for_update(self) -> None:
--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -155,7 +155,7 @@
         for name, member in members.items():
             contact = self._mesh.contact(name)
             if member.domain == domain and not contact.is_watched:
-                self._mesh.forgive(name)
+                self._mesh.clear_failure(name)
 
     def next_probe(
         self, members: Mapping[str, view.Member], suspected: frozenset[str]
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -152,7 +152,7 @@
         if entry is not None and entry.best_link() is None:
             self._background_tasks.spawn(self._probe(entry))
 
-    def forgive(self, peer: str) -> None:
+    def clear_failure(self, peer: str) -> None:
         """Clears a failed dial and its backoff."""
         entry = self._peers.get(peer)
         if entry is not None:
--- a/tests/peers/test_keys.py
+++ b/tests/peers/test_keys.py
@@ -79,7 +79,7 @@
     async def ping(self, other: Node) -> None:
         name = other.mesh.instance
         self.mesh.set_addresses({name: other.mesh.address})
-        self.mesh.forgive(name)
+        self.mesh.clear_failure(name)
         await self.mesh.ask(name, Ping(), timeout_ms=5_000)
 
 
