--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -156,7 +156,7 @@
         """Clears a failed dial and its backoff."""
         entry = self._peers.get(peer)
         if entry is not None:
-            entry.forgive()
+            entry.clear_failure()
 
     def set_addresses(self, addresses: Mapping[str, str]) -> None:
         """Sets the listening address of each other instance, by name."""
--- a/src/jujubewharf/peers/peer.py
+++ b/src/jujubewharf/peers/peer.py
@@ -196,7 +196,7 @@
             self._backoff_ms = 0.0
             self._changed.set()
 
-    def forgive(self) -> None:
+    def clear_failure(self) -> None:
         """Clears a failed dial and its backoff."""
         self.failed_ms = None
         self._backoff_ms = 0.0
