--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -272,7 +272,7 @@
 
     def _merge(self) -> dict[str, view.Member]:
         presences = self._published_presences()
-        names = {*self._listed, *presences, *self._mesh.greeted()}
+        names = {*self._listed, *presences, *self._mesh.peers_with_hello()}
         members = {}
         for name in sorted(names - {self._mesh.instance}):
             member = self._merge_member(name, presences)
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -194,7 +194,7 @@
         """Returns the names of peers with current or recent contact."""
         return self._peers.names()
 
-    def greeted(self) -> tuple[str, ...]:
+    def peers_with_hello(self) -> tuple[str, ...]:
         """Returns the names of peers whose hello is known."""
         return tuple(self._peers.hellos)
 
