--- a/src/jujubewharf/membership/suspicion.py
+++ b/src/jujubewharf/membership/suspicion.py
@@ -92,7 +92,7 @@
         self._detect_pause()
         reports_by_name = self._valid_reports(members)
         suspected = set()
-        for name in self._mesh.known():
+        for name in self._mesh.known_peers():
             if name not in members:
                 continue
             is_silent = self.is_silent(name)
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -190,7 +190,7 @@
             )
         )
 
-    def known(self) -> tuple[str, ...]:
+    def known_peers(self) -> tuple[str, ...]:
         """Returns the names of peers with current or recent contact."""
         return self._peers.names()
 
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -26,7 +26,7 @@
         core = bench.instances["e1"].core
         names = [member.instance for member in core.membership.members()]
         assert names == ["e1", "e2", "e3"]
-        assert sorted(core.peers.known()) == ["e2", "e3"]
+        assert sorted(core.peers.known_peers()) == ["e2", "e3"]
         assert sorted(core.peers.peers_with_hello()) == ["e2", "e3"]
         assert len(core.facts.store) == 0
         assert core.facts.store.digest == 0
