--- a/src/jujubewharf/membership/facts.py
+++ b/src/jujubewharf/membership/facts.py
@@ -145,7 +145,7 @@
 
     def _next_sync_peer(self) -> str | None:
         """Returns the next peer to synchronize with, skipping unlinked ones."""
-        linked = self._mesh.linked()
+        linked = self._mesh.linked_peers()
         for peer in [name for name in self._mismatches if name not in linked]:
             del self._mismatches[peer]
         while self._sync_queue:
@@ -171,7 +171,7 @@
                 self._add(self.store.from_wire(wire_fact), source)
 
     async def _push_pending(self) -> None:
-        linked = self._mesh.linked()
+        linked = self._mesh.linked_peers()
         targets = self._random.sample(linked, min(_FANOUT, len(linked)))
         for target in targets:
             await self._push_to(target)
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -180,7 +180,7 @@
         for entry in self._peers:
             entry.renew()
 
-    def linked(self) -> tuple[str, ...]:
+    def linked_peers(self) -> tuple[str, ...]:
         """Returns the names of peers with a standing link, sorted."""
         return tuple(
             sorted(
--- a/tests/peers/test_mesh.py
+++ b/tests/peers/test_mesh.py
@@ -94,7 +94,7 @@
         bench = await _bench(*names)
         meshes = {n: i.core.peers for n, i in bench.instances.items()}
         await bench.clock.sleep_ms(30_000)
-        others = [n for n in meshes if n not in meshes["e00"].linked()]
+        others = [n for n in meshes if n not in meshes["e00"].linked_peers()]
         other = next(n for n in others if n != "e00")
         sent = bench.network.bytes_sent["e00"]
         await meshes["e00"].ask(other, Question("q"), timeout_ms=1_000)
@@ -105,7 +105,7 @@
             linked = meshes["e00"].contact(other).is_linked
         assert not linked
         for mesh in meshes.values():
-            assert mesh.link_count() == len(mesh.linked())
+            assert mesh.link_count() == len(mesh.linked_peers())
         await bench.stop()
 
     virtual_time.run(run())
