--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -267,7 +267,9 @@
         self._mesh.set_addresses(
             {name: member.address for name, member in members.items()}
         )
-        self._mesh.keep_links(neighbours.choose(self.myself, members.values()))
+        self._mesh.set_standing_peers(
+            neighbours.choose(self.myself, members.values())
+        )
         return True
 
     def _merge(self) -> dict[str, view.Member]:
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -162,7 +162,7 @@
         """Sets the listening address of each other instance, by name."""
         self._peers.addresses = addresses
 
-    def keep_links(self, names: Iterable[str]) -> None:
+    def set_standing_peers(self, names: Iterable[str]) -> None:
         """Sets the peers to which to keep a standing link."""
         wanted = {name: None for name in names if name != self._instance}
         for name in wanted:
