--- a/src/jujubewharf/peers/keys.py
+++ b/src/jujubewharf/peers/keys.py
@@ -91,6 +91,6 @@
         contexts = tls.load(self._files)
         self._stamp = stamp
         self._transport.renew(contexts)
-        self._mesh.renew_links()
+        self._mesh.replace_links()
         self.reloads += 1
         self._logger.info("peer_keys_reloaded")
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -175,7 +175,7 @@
                 entry.want(False)
                 self._peers.forget(entry)
 
-    def renew_links(self) -> None:
+    def replace_links(self) -> None:
         """Replaces all links by new ones after a change of TLS keys."""
         for entry in self._peers:
             entry.renew()
