--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -178,7 +178,7 @@
     def replace_links(self) -> None:
         """Replaces all links by new ones after a change of TLS keys."""
         for entry in self._peers:
-            entry.renew()
+            entry.replace_links()
 
     def linked_peers(self) -> tuple[str, ...]:
         """Returns the names of peers with a standing link, sorted."""
--- a/src/jujubewharf/peers/peer.py
+++ b/src/jujubewharf/peers/peer.py
@@ -202,7 +202,7 @@
         self._backoff_ms = 0.0
         self._changed.set()
 
-    def renew(self) -> None:
+    def replace_links(self) -> None:
         """Replaces all links by new ones without losing pending requests."""
         for link in self.links:
             link.stale_ms = self._clock.now_ms()
