--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -168,11 +168,11 @@
         for name in wanted:
             entry = self._peers.reachable(name)
             if entry is not None:
-                entry.want(True)
+                entry.set_wanted(True)
                 self._ensure_maintained(entry)
         for entry in tuple(self._peers):
             if entry.name not in wanted:
-                entry.want(False)
+                entry.set_wanted(False)
                 self._peers.forget(entry)
 
     def replace_links(self) -> None:
--- a/src/jujubewharf/peers/peer.py
+++ b/src/jujubewharf/peers/peer.py
@@ -189,7 +189,7 @@
             # The peer announced that it stops: treat it as a failed dial.
             self._record_failure()
 
-    def want(self, is_wanted: bool) -> None:
+    def set_wanted(self, is_wanted: bool) -> None:
         """Sets whether to keep a standing link."""
         if is_wanted != self.is_wanted:
             self.is_wanted = is_wanted
