--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -142,7 +142,7 @@
         link = entry.best_link()
         if link is not None:
             return link.tell(message)
-        is_kept = entry.tell_later(message)
+        is_kept = entry.tell_when_linked(message)
         self._ensure_maintained(entry)
         return is_kept
 
--- a/src/jujubewharf/peers/peer.py
+++ b/src/jujubewharf/peers/peer.py
@@ -208,7 +208,7 @@
             link.stale_ms = self._clock.now_ms()
         self._changed.set()
 
-    def tell_later(self, message: messages.Message) -> bool:
+    def tell_when_linked(self, message: messages.Message) -> bool:
         """Queues a message for the link that is about to be dialled.
 
         Returns:
