--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -345,7 +345,7 @@
         return link
 
     def _add_link(self, link: links.Link) -> None:
-        entry = self._peers.made(link.peer)
+        entry = self._peers.get_or_create(link.peer)
         newest = self._peers.hellos.get(link.peer)
         if newest is not None and newest.incarnation < link.hello.incarnation:
             for old in list(entry.links):
@@ -357,7 +357,7 @@
             listener(link.hello)
 
     async def _run_link(self, link: links.Link) -> None:
-        entry = self._peers.made(link.peer)
+        entry = self._peers.get_or_create(link.peer)
         try:
             await link.run()
         finally:
--- a/src/jujubewharf/peers/peer_table.py
+++ b/src/jujubewharf/peers/peer_table.py
@@ -55,9 +55,9 @@
             return entry
         if name not in self.addresses:
             return None
-        return self.made(name)
+        return self.get_or_create(name)
 
-    def made(self, name: str) -> peers.Peer:
+    def get_or_create(self, name: str) -> peers.Peer:
         """Returns a peer, created if it is not in the table."""
         entry = self._peers.get(name)
         if entry is None:
