--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -136,7 +136,7 @@
         if peer == self._instance:
             self._background_tasks.spawn(self._handlers.tell_myself(message))
             return True
-        entry = self._peers.reachable(peer)
+        entry = self._peers.get_reachable(peer)
         if entry is None:
             return False
         link = entry.best_link()
@@ -148,7 +148,7 @@
 
     def probe(self, peer: str) -> None:
         """Dials a peer without a link to check whether it is reachable."""
-        entry = self._peers.reachable(peer)
+        entry = self._peers.get_reachable(peer)
         if entry is not None and entry.best_link() is None:
             self._background_tasks.spawn(self._probe(entry))
 
@@ -166,7 +166,7 @@
         """Sets the peers to which to keep a standing link."""
         wanted = {name: None for name in names if name != self._instance}
         for name in wanted:
-            entry = self._peers.reachable(name)
+            entry = self._peers.get_reachable(name)
             if entry is not None:
                 entry.set_wanted(True)
                 self._ensure_maintained(entry)
@@ -241,7 +241,7 @@
             return await self._handlers.ask_myself(message, timeout_ms)
         deadline_ms = self._clock.now_ms() + timeout_ms
         unreachable = network.PeerError(network.PeerFault.UNREACHABLE, peer)
-        entry = self._peers.reachable(peer)
+        entry = self._peers.get_reachable(peer)
         if entry is None:
             raise unreachable
         try:
--- a/src/jujubewharf/peers/peer_table.py
+++ b/src/jujubewharf/peers/peer_table.py
@@ -44,7 +44,7 @@
         """Returns a peer, ``None`` if it is not in the table."""
         return self._peers.get(name)
 
-    def reachable(self, name: str) -> peers.Peer | None:
+    def get_reachable(self, name: str) -> peers.Peer | None:
         """Returns a peer with a link or an address, created if needed.
 
         Returns:
