--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -173,7 +173,7 @@
         for entry in tuple(self._peers):
             if entry.name not in wanted:
                 entry.set_wanted(False)
-                self._peers.forget(entry)
+                self._peers.remove_unused(entry)
 
     def replace_links(self) -> None:
         """Replaces all links by new ones after a change of TLS keys."""
@@ -292,7 +292,7 @@
             await entry.run()
         finally:
             self._maintained.discard(entry.name)
-            self._peers.forget(entry)
+            self._peers.remove_unused(entry)
 
     def _on_task_failure(self, exception: BaseException) -> None:
         self.counts.task_failures += 1
@@ -362,7 +362,7 @@
             await link.run()
         finally:
             entry.remove(link)
-            self._peers.forget(entry)
+            self._peers.remove_unused(entry)
         self._probe_if_broken(entry, link)
 
     def _probe_if_broken(self, entry: peers.Peer, link: links.Link) -> None:
--- a/src/jujubewharf/peers/peer_table.py
+++ b/src/jujubewharf/peers/peer_table.py
@@ -65,7 +65,7 @@
             self._peers[name] = entry
         return entry
 
-    def forget(self, entry: peers.Peer) -> None:
+    def remove_unused(self, entry: peers.Peer) -> None:
         """Removes a peer that is not needed and has no known address."""
         if not entry.is_needed and entry.name not in self.addresses:
             self._peers.pop(entry.name, None)
