--- a/src/jujubewharf/peers/link.py
+++ b/src/jujubewharf/peers/link.py
@@ -160,7 +160,7 @@
         self.last_used_ms = self._clock.now_ms()
         return self._enqueue(data)
 
-    def beat(self, heartbeat: link_messages.Heartbeat) -> None:
+    def send_heartbeat(self, heartbeat: link_messages.Heartbeat) -> None:
         """Queues a heartbeat, which doesn't count as use of the link."""
         self._send(codec.Frame(codec.FrameKind.TELL, 0, heartbeat))
 
--- a/src/jujubewharf/peers/peer.py
+++ b/src/jujubewharf/peers/peer.py
@@ -323,7 +323,7 @@
             self._record_failure()
             return
         is_heard = silence_ms <= self._timing.suspect_after_ms
-        link.beat(self._make_heartbeat(is_heard))
+        link.send_heartbeat(self._make_heartbeat(is_heard))
 
     def _is_idle(self, link: links.Link) -> bool:
         if not link.is_dialled or link.is_busy:
