--- a/src/jujubewharf/peers/handlers.py
+++ b/src/jujubewharf/peers/handlers.py
@@ -59,7 +59,7 @@
             raise links.HandlerMissingError
         return await handler(peer, message)
 
-    async def ask_myself(
+    async def ask_local(
         self, message: messages.Message, timeout_ms: float
     ) -> messages.Message:
         """Handles a request that this instance sends to itself.
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -238,7 +238,7 @@
         self, peer: str, message: messages.Message, timeout_ms: float
     ) -> messages.Message:
         if peer == self._instance:
-            return await self._handlers.ask_myself(message, timeout_ms)
+            return await self._handlers.ask_local(message, timeout_ms)
         deadline_ms = self._clock.now_ms() + timeout_ms
         unreachable = network.PeerError(network.PeerFault.UNREACHABLE, peer)
         entry = self._peers.get_reachable(peer)
