--- a/src/jujubewharf/peers/handlers.py
+++ b/src/jujubewharf/peers/handlers.py
@@ -81,7 +81,7 @@
             raise refusal
         return reply
 
-    async def tell_myself(self, message: messages.Message) -> None:
+    async def tell_local(self, message: messages.Message) -> None:
         """Handles a one-way message that this instance sends to itself."""
         try:
             await self.dispatch(self._instance, message)
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -134,7 +134,7 @@
             dialled. Delivery is not guaranteed.
         """
         if peer == self._instance:
-            self._background_tasks.spawn(self._handlers.tell_myself(message))
+            self._background_tasks.spawn(self._handlers.tell_local(message))
             return True
         entry = self._peers.get_reachable(peer)
         if entry is None:
