--- a/src/jujubewharf/leadership/leadership.py
+++ b/src/jujubewharf/leadership/leadership.py
@@ -211,7 +211,7 @@
             reader, writer, self._hello, lambda instance: 0, self._counts
         )
         try:
-            hello = await link_handshake.greet()
+            hello = await link_handshake.dial_any()
         except BaseException:
             writer.close()
             raise
--- a/src/jujubewharf/peers/handshake.py
+++ b/src/jujubewharf/peers/handshake.py
@@ -75,9 +75,9 @@
             RefusedHelloError: Either side refused.
             OSError: The stream was lost.
         """
-        return await self.greet(expected=expected)
+        return await self.dial_any(expected=expected)
 
-    async def greet(
+    async def dial_any(
         self, *, expected: str | None = None
     ) -> link_messages.Hello:
         """Runs the dialling side, where the peer's name may be unknown.
