--- a/src/jujubewharf/peers/counters.py
+++ b/src/jujubewharf/peers/counters.py
@@ -72,7 +72,7 @@
         self.task_failures = 0
         self.refusals: collections.Counter[str] = collections.Counter()
 
-    def received(self, size_bytes: int) -> None:
+    def count_received(self, size_bytes: int) -> None:
         """Counts a frame read."""
         self.bytes_in += size_bytes
         _bytes_in.add(size_bytes)
--- a/src/jujubewharf/peers/handshake.py
+++ b/src/jujubewharf/peers/handshake.py
@@ -157,7 +157,7 @@
             if error.reason is not None:
                 self.counts.drop(error.reason)
             raise ConnectionResetError(str(error)) from error
-        self.counts.received(codec.frame_bytes(body))
+        self.counts.count_received(codec.frame_bytes(body))
         try:
             frame = codec.decode(body)
         except codec.DroppedFrameError as error:
--- a/src/jujubewharf/peers/link.py
+++ b/src/jujubewharf/peers/link.py
@@ -251,7 +251,7 @@
                 if error.reason is not None:
                     self._counts.drop(error.reason)
                 return
-            self._counts.received(codec.frame_bytes(body))
+            self._counts.count_received(codec.frame_bytes(body))
             self.last_heard_ms = self._clock.now_ms()
             try:
                 frame = codec.decode(body)
