--- a/src/jujubewharf/peers/counters.py
+++ b/src/jujubewharf/peers/counters.py
@@ -77,7 +77,7 @@
         self.bytes_in += size_bytes
         _bytes_in.add(size_bytes)
 
-    def sent(self, size_bytes: int) -> None:
+    def count_sent(self, size_bytes: int) -> None:
         """Counts a frame written."""
         self.bytes_out += size_bytes
         self.frames_out += 1
--- a/src/jujubewharf/peers/handshake.py
+++ b/src/jujubewharf/peers/handshake.py
@@ -170,4 +170,4 @@
     def _send(self, message: messages.Message) -> None:
         data = codec.encode(codec.Frame(codec.FrameKind.TELL, 0, message))
         self.writer.write(data)
-        self.counts.sent(len(data))
+        self.counts.count_sent(len(data))
--- a/src/jujubewharf/peers/link.py
+++ b/src/jujubewharf/peers/link.py
@@ -241,7 +241,7 @@
 
     def _write(self, data: bytes) -> None:
         self._writer.write(data)
-        self._counts.sent(len(data))
+        self._counts.count_sent(len(data))
 
     async def _read_loop(self) -> None:
         while not self.is_closed and self.farewell is None:
