--- a/src/jujubewharf/peers/counters.py
+++ b/src/jujubewharf/peers/counters.py
@@ -83,7 +83,7 @@
         self.frames_out += 1
         _bytes_out.add(size_bytes)
 
-    def drop(self, reason: DropReason) -> None:
+    def count_drop(self, reason: DropReason) -> None:
         """Counts a dropped frame or field."""
         self.drops[reason] += 1
         _drops.add(1, {"reason": reason.value})
--- a/src/jujubewharf/peers/handlers.py
+++ b/src/jujubewharf/peers/handlers.py
@@ -86,4 +86,4 @@
         try:
             await self.dispatch(self._instance, message)
         except links.HandlerMissingError:
-            self._counts.drop(counters.DropReason.NO_HANDLER)
+            self._counts.count_drop(counters.DropReason.NO_HANDLER)
--- a/src/jujubewharf/peers/handshake.py
+++ b/src/jujubewharf/peers/handshake.py
@@ -155,16 +155,16 @@
             body = await codec.read_body(self.reader, max_bytes=MAX_HELLO_BYTES)
         except codec.BrokenStreamError as error:
             if error.reason is not None:
-                self.counts.drop(error.reason)
+                self.counts.count_drop(error.reason)
             raise ConnectionResetError(str(error)) from error
         self.counts.count_received(codec.frame_bytes(body))
         try:
             frame = codec.decode(body)
         except codec.DroppedFrameError as error:
-            self.counts.drop(error.reason)
+            self.counts.count_drop(error.reason)
             raise RefusedHelloError(_Goodbye.BAD_HELLO.value) from error
         if frame.unknown_fields:
-            self.counts.drop(counters.DropReason.UNKNOWN_FIELD)
+            self.counts.count_drop(counters.DropReason.UNKNOWN_FIELD)
         return frame.message
 
     def _send(self, message: messages.Message) -> None:
--- a/src/jujubewharf/peers/link.py
+++ b/src/jujubewharf/peers/link.py
@@ -215,10 +215,10 @@
         if self.is_closed:
             return False
         if len(data) > codec.MAX_FRAME_BYTES:
-            self._counts.drop(counters.DropReason.TOO_LARGE_TO_SEND)
+            self._counts.count_drop(counters.DropReason.TOO_LARGE_TO_SEND)
             return False
         if self._queued_bytes + len(data) > MAX_QUEUED_BYTES:
-            self._counts.drop(counters.DropReason.QUEUE_FULL)
+            self._counts.count_drop(counters.DropReason.QUEUE_FULL)
             return False
         self._queue.append(data)
         self._queued_bytes += len(data)
@@ -249,7 +249,7 @@
                 body = await codec.read_body(self._reader)
             except codec.BrokenStreamError as error:
                 if error.reason is not None:
-                    self._counts.drop(error.reason)
+                    self._counts.count_drop(error.reason)
                 return
             self._counts.count_received(codec.frame_bytes(body))
             self.last_heard_ms = self._clock.now_ms()
@@ -259,12 +259,12 @@
                 self._on_dropped(error)
                 continue
             if frame.unknown_fields:
-                self._counts.drop(counters.DropReason.UNKNOWN_FIELD)
+                self._counts.count_drop(counters.DropReason.UNKNOWN_FIELD)
             self._on_frame(frame)
 
     def _on_dropped(self, error: codec.DroppedFrameError) -> None:
         """Refuses an unreadable request, which would time out otherwise."""
-        self._counts.drop(error.reason)
+        self._counts.count_drop(error.reason)
         match error.kind:
             case codec.FrameKind.ASK:
                 self._refuse(error.correlation)
@@ -286,7 +286,7 @@
             case link_messages.Farewell() as farewell:
                 self.farewell = farewell
             case None:
-                self._counts.drop(counters.DropReason.MALFORMED)
+                self._counts.count_drop(counters.DropReason.MALFORMED)
             case _:
                 self._start_handler(frame)
 
@@ -295,7 +295,7 @@
     ) -> None:
         reply = self._pending_replies.get(correlation)
         if reply is None or reply.done():
-            self._counts.drop(counters.DropReason.LATE_ANSWER)
+            self._counts.count_drop(counters.DropReason.LATE_ANSWER)
             return
         if message is None:
             reply.set_exception(
@@ -308,7 +308,7 @@
         """Runs the handler in a task, so that it does not block reading."""
         self.last_used_ms = self._clock.now_ms()
         if len(self._handler_tasks) >= MAX_HANDLERS:
-            self._counts.drop(counters.DropReason.BUSY)
+            self._counts.count_drop(counters.DropReason.BUSY)
             if frame.kind is codec.FrameKind.ASK:
                 self._refuse(frame.correlation)
             return
@@ -322,11 +322,11 @@
         try:
             reply = await self._dispatch(self.peer, frame.message)
         except HandlerMissingError:
-            self._counts.drop(counters.DropReason.NO_HANDLER)
+            self._counts.count_drop(counters.DropReason.NO_HANDLER)
         except Exception:
             # An exception in one handler must not close the link, which would
             # fail all other pending requests on it.
-            self._counts.drop(counters.DropReason.HANDLER_FAILED)
+            self._counts.count_drop(counters.DropReason.HANDLER_FAILED)
             self._logger.exception(
                 "peer_handler_failed",
                 peer=self.peer,
