--- a/src/jujubewharf/peers/counters.py
+++ b/src/jujubewharf/peers/counters.py
@@ -88,7 +88,7 @@
         self.drops[reason] += 1
         _drops.add(1, {"reason": reason.value})
 
-    def ask(self, outcome: AskOutcome) -> None:
+    def count_ask(self, outcome: AskOutcome) -> None:
         """Counts a finished request."""
         self.asks[outcome] += 1
         _asks.add(1, {"outcome": outcome.value})
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -121,9 +121,9 @@
         try:
             reply = await self._ask(peer, message, timeout_ms)
         except network.PeerError as error:
-            self.counts.ask(counters.AskOutcome(error.fault.value))
+            self.counts.count_ask(counters.AskOutcome(error.fault.value))
             raise
-        self.counts.ask(counters.AskOutcome.ANSWERED)
+        self.counts.count_ask(counters.AskOutcome.ANSWERED)
         return reply
 
     def tell(self, peer: str, message: messages.Message) -> bool:
