--- a/src/jujubewharf/peers/counters.py
+++ b/src/jujubewharf/peers/counters.py
@@ -93,7 +93,7 @@
         self.asks[outcome] += 1
         _asks.add(1, {"outcome": outcome.value})
 
-    def refuse(self, reason: str) -> None:
+    def count_refused_link(self, reason: str) -> None:
         """Counts a refused link."""
         self.refusals[reason] += 1
         count_refusal(reason)
--- a/src/jujubewharf/peers/handshake.py
+++ b/src/jujubewharf/peers/handshake.py
@@ -121,7 +121,7 @@
         """Sends the reason to the other side, unless it refused itself."""
         if error.is_theirs:
             return
-        self.counts.refuse(error.reason)
+        self.counts.count_refused_link(error.reason)
         self._send(link_messages.Farewell(error.reason, error.incarnation))
 
     def _check(self, hello: link_messages.Hello) -> None:
