--- a/src/jujubewharf/peers/keys.py
+++ b/src/jujubewharf/peers/keys.py
@@ -90,7 +90,7 @@
             return
         contexts = tls.load(self._files)
         self._stamp = stamp
-        self._transport.renew(contexts)
+        self._transport.set_contexts(contexts)
         self._mesh.replace_links()
         self.reloads += 1
         self._logger.info("peer_keys_reloaded")
--- a/src/jujubewharf/peers/streams.py
+++ b/src/jujubewharf/peers/streams.py
@@ -130,7 +130,7 @@
         self._port = port
         self._contexts = contexts
 
-    def renew(self, contexts: tls.TlsContexts) -> None:
+    def set_contexts(self, contexts: tls.TlsContexts) -> None:
         """Sets the TLS contexts for streams opened from now on."""
         self._contexts = contexts
 
