--- a/src/jujubewharf/peers/keys.py
+++ b/src/jujubewharf/peers/keys.py
@@ -69,7 +69,7 @@
         self._mesh = mesh
         self._clock = clock
         self._poll_ms = poll_ms
-        self._stamp = files.stamp()
+        self._stamp = files.file_versions()
         self._logger = structlog.get_logger()
 
     @mode.Service.task
@@ -85,7 +85,7 @@
                 self._logger.warning("peer_keys_unusable", detail=str(error))
 
     def _reload_if_changed(self) -> None:
-        stamp = self._files.stamp()
+        stamp = self._files.file_versions()
         if stamp == self._stamp:
             return
         contexts = tls.load(self._files)
--- a/src/jujubewharf/peers/tls.py
+++ b/src/jujubewharf/peers/tls.py
@@ -30,7 +30,7 @@
     key: pathlib.Path
     authority: pathlib.Path
 
-    def stamp(self) -> tuple[tuple[int, int], ...]:
+    def file_versions(self) -> tuple[tuple[int, int], ...]:
         """Returns modification time and size of each file.
 
         Raises:
