--- a/src/jujubewharf/peers/link_messages.py
+++ b/src/jujubewharf/peers/link_messages.py
@@ -8,7 +8,7 @@
 from jujubewharf.peers import messages
 
 PROTOCOL_VERSION = 1
-OLDEST_SPOKEN_VERSION = 1
+OLDEST_SUPPORTED_VERSION = 1
 
 
 class Goodbye(enum.Enum):
@@ -47,7 +47,7 @@
     address: str
     incarnation: int
     version: int = PROTOCOL_VERSION
-    oldest_version: int = OLDEST_SPOKEN_VERSION
+    oldest_version: int = OLDEST_SUPPORTED_VERSION
     capabilities: tuple[str, ...] = ()
     is_standing: bool = False
     is_leaving: bool = False
