--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -124,7 +124,7 @@
             writer.close()
             return
         if not self.is_leading:
-            reason = link_messages.Goodbye.STOPPING.value
+            reason = link_messages.CloseReason.STOPPING.value
             link_handshake.refuse(handshake.RefusedHelloError(reason))
             writer.close()
             return
@@ -195,7 +195,7 @@
     def stop_leading(self) -> None:
         """Closes the links of all followers."""
         self.is_leading = False
-        reason = link_messages.Goodbye.STOPPING.value
+        reason = link_messages.CloseReason.STOPPING.value
         for link in list(self._links):
             link.close(link_messages.Farewell(reason))
 
--- a/src/jujubewharf/peers/handshake.py
+++ b/src/jujubewharf/peers/handshake.py
@@ -25,14 +25,14 @@
 MAX_HELLO_BYTES = 4_096
 HELLO_TIMEOUT_MS = 2_000.0
 
-_Goodbye = link_messages.Goodbye
+_CloseReason = link_messages.CloseReason
 
 
 class RefusedHelloError(Exception):
     """One side refused the other side's hello.
 
     Args:
-        reason: A value of ``Goodbye``, or a reason known to newer peers only.
+        reason: A value of ``CloseReason``, or a reason of a newer peer.
         incarnation: For the reason ``replaced``, the newest known incarnation.
         is_theirs: Whether the other side refused.
     """
@@ -92,7 +92,7 @@
         self._send(self.hello)
         hello = await self._receive_hello()
         if expected is not None and hello.instance != expected:
-            raise RefusedHelloError(_Goodbye.OTHER_INSTANCE.value)
+            raise RefusedHelloError(_CloseReason.OTHER_INSTANCE.value)
         self._check(hello)
         self._send(link_messages.Heartbeat())
         return hello
@@ -115,7 +115,7 @@
                     reason, incarnation=known, is_theirs=True
                 )
             case _:
-                raise RefusedHelloError(_Goodbye.BAD_HELLO.value)
+                raise RefusedHelloError(_CloseReason.BAD_HELLO.value)
 
     def refuse(self, error: RefusedHelloError) -> None:
         """Sends the reason to the other side, unless it refused itself."""
@@ -127,17 +127,19 @@
     def _check(self, hello: link_messages.Hello) -> None:
         if hello.instance == self.hello.instance:
             if hello.incarnation == self.hello.incarnation:
-                raise RefusedHelloError(_Goodbye.OTHER_INSTANCE.value)
+                raise RefusedHelloError(_CloseReason.OTHER_INSTANCE.value)
         names = tls.peer_names(self.writer)
         if names is not None and hello.instance not in names:
-            raise RefusedHelloError(_Goodbye.STRANGER.value)
+            raise RefusedHelloError(_CloseReason.STRANGER.value)
         spoken = min(hello.version, self.hello.version)
         oldest = max(hello.oldest_version, self.hello.oldest_version)
         if spoken < oldest:
-            raise RefusedHelloError(_Goodbye.VERSION.value)
+            raise RefusedHelloError(_CloseReason.VERSION.value)
         newest = self.newest_incarnation(hello.instance)
         if hello.incarnation < newest:
-            raise RefusedHelloError(_Goodbye.REPLACED.value, incarnation=newest)
+            raise RefusedHelloError(
+                _CloseReason.REPLACED.value, incarnation=newest
+            )
 
     async def _receive_hello(self) -> link_messages.Hello:
         match await self._receive():
@@ -148,7 +150,7 @@
                     reason, incarnation=known, is_theirs=True
                 )
             case _:
-                raise RefusedHelloError(_Goodbye.BAD_HELLO.value)
+                raise RefusedHelloError(_CloseReason.BAD_HELLO.value)
 
     async def _receive(self) -> messages.Message | None:
         try:
@@ -162,7 +164,7 @@
             frame = codec.decode(body)
         except codec.DroppedFrameError as error:
             self.counts.count_drop(error.reason)
-            raise RefusedHelloError(_Goodbye.BAD_HELLO.value) from error
+            raise RefusedHelloError(_CloseReason.BAD_HELLO.value) from error
         if frame.unknown_fields:
             self.counts.count_drop(counters.DropReason.UNKNOWN_FIELD)
         return frame.message
--- a/src/jujubewharf/peers/link_messages.py
+++ b/src/jujubewharf/peers/link_messages.py
@@ -11,7 +11,7 @@
 OLDEST_SUPPORTED_VERSION = 1
 
 
-class Goodbye(enum.Enum):
+class CloseReason(enum.Enum):
     """Reason for closing a link or refusing a hello."""
 
     STOPPING = "stopping"
@@ -75,8 +75,8 @@
     """Last message on a link.
 
     Attributes:
-        reason: Reason, usually a value of ``Goodbye``; newer senders may send
-            others.
+        reason: Usually a value of ``CloseReason``; newer senders may send
+            other reasons.
         incarnation: For the reason ``replaced``, the newest known incarnation.
     """
 
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -28,7 +28,7 @@
 
 _MAX_PEERS = 2_000
 
-_Goodbye = link_messages.Goodbye
+_CloseReason = link_messages.CloseReason
 
 
 class PeerMesh(mode.Service):
@@ -231,7 +231,7 @@
             await self._listener.close()
         for entry in self._peers:
             for link in list(entry.links):
-                link.close(_farewell(_Goodbye.STOPPING))
+                link.close(_farewell(_CloseReason.STOPPING))
         await self._background_tasks.stop()
 
     async def _ask(
@@ -349,7 +349,7 @@
         newest = self._peers.hellos.get(link.peer)
         if newest is not None and newest.incarnation < link.hello.incarnation:
             for old in list(entry.links):
-                old.close(_farewell(_Goodbye.REPLACED))
+                old.close(_farewell(_CloseReason.REPLACED))
         self._peers.hellos[link.peer] = link.hello
         entry.add(link)
         self._ensure_maintained(entry)
@@ -382,5 +382,5 @@
             listener(link.peer, heartbeat.facts_digest)
 
 
-def _farewell(reason: link_messages.Goodbye) -> link_messages.Farewell:
+def _farewell(reason: link_messages.CloseReason) -> link_messages.Farewell:
     return link_messages.Farewell(reason.value)
--- a/src/jujubewharf/peers/opener.py
+++ b/src/jujubewharf/peers/opener.py
@@ -23,7 +23,7 @@
 _DIAL_TIMEOUT_MS = 2_000.0
 _STARTUP_MS = 60_000.0
 
-_Goodbye = link_messages.Goodbye
+_CloseReason = link_messages.CloseReason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -153,7 +153,9 @@
         )
 
     def _refuse_busy(self, hello_exchange: handshake.Handshake) -> None:
-        hello_exchange.refuse(handshake.RefusedHelloError(_Goodbye.BUSY.value))
+        hello_exchange.refuse(
+            handshake.RefusedHelloError(_CloseReason.BUSY.value)
+        )
         hello_exchange.writer.close()
 
     def _handshake(
@@ -195,7 +197,7 @@
             reason=error.reason,
             is_theirs=error.is_theirs,
         )
-        if error.is_theirs and error.reason == _Goodbye.REPLACED.value:
+        if error.is_theirs and error.reason == _CloseReason.REPLACED.value:
             self._on_replaced(error.incarnation)
 
     def _on_replaced(self, newest: int) -> None:
--- a/src/jujubewharf/peers/peer.py
+++ b/src/jujubewharf/peers/peer.py
@@ -26,7 +26,7 @@
 _MIN_WAIT_MS = 10.0
 _MAX_STALE_MS = 60_000.0
 _JITTER = 0.1
-_STOPPING = link_messages.Goodbye.STOPPING.value
+_STOPPING = link_messages.CloseReason.STOPPING.value
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -391,4 +391,4 @@
 
 
 def _idle_farewell() -> link_messages.Farewell:
-    return link_messages.Farewell(link_messages.Goodbye.IDLE.value)
+    return link_messages.Farewell(link_messages.CloseReason.IDLE.value)
