--- a/src/jujubewharf/entry.py
+++ b/src/jujubewharf/entry.py
@@ -88,7 +88,7 @@
         await self.add_runtime_dependency(self.core)
         await self.add_runtime_dependency(self.operators)
         await self.add_runtime_dependency(self.callers)
-        files = peer_keys.files_of(peers)
+        files = peer_keys.configured_files(peers)
         if files is not None:
             reloader = peer_keys.KeyReloader(
                 files,
--- a/src/jujubewharf/peers/keys.py
+++ b/src/jujubewharf/peers/keys.py
@@ -16,7 +16,7 @@
     from jujubewharf.settings import models
 
 
-def files_of(settings: models.PeerSettings) -> tls.TlsFiles | None:
+def configured_files(settings: models.PeerSettings) -> tls.TlsFiles | None:
     """Returns the configured key files; ``None`` if TLS is disabled."""
     certificate = settings.tls_certificate_file
     key = settings.tls_key_file
@@ -32,7 +32,7 @@
     Raises:
         TlsFilesError: The keys can't be loaded.
     """
-    files = files_of(settings)
+    files = configured_files(settings)
     contexts = None if files is None else tls.load(files)
     return streams.TcpTransport(settings.host, settings.port, contexts=contexts)
 
--- a/tests/peers/test_keys.py
+++ b/tests/peers/test_keys.py
@@ -60,7 +60,7 @@
             name, "a", clock, self.transport, timing=peer.Timing(100, 350)
         )
         self.mesh.handle(Ping, self._answer)
-        files = keys.files_of(settings)
+        files = keys.configured_files(settings)
         self.reloader = None
         if files is not None:
             self.reloader = keys.KeyReloader(
