--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -268,7 +268,7 @@
             {name: member.address for name, member in members.items()}
         )
         self._mesh.set_standing_peers(
-            neighbours.choose(self.myself, members.values())
+            neighbours.select_peers(self.myself, members.values())
         )
         return True
 
--- a/src/jujubewharf/membership/neighbours.py
+++ b/src/jujubewharf/membership/neighbours.py
@@ -20,7 +20,7 @@
 CROSS_DOMAIN_LINKS = 2
 
 
-def choose(
+def select_peers(
     myself: view.Member, others: Iterable[view.Member]
 ) -> tuple[str, ...]:
     """Returns the names of the chosen peers, sorted."""
--- a/tests/membership/test_neighbours.py
+++ b/tests/membership/test_neighbours.py
@@ -23,7 +23,7 @@
     linked: dict[str, set[str]] = collections.defaultdict(set)
     for member in members:
         others = [other for other in members if other is not member]
-        for name in neighbours.choose(member, others):
+        for name in neighbours.select_peers(member, others):
             linked[member.instance].add(name)
             linked[name].add(member.instance)
     return linked
