--- a/src/jujubewharf/platform/__init__.py
+++ b/src/jujubewharf/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform's services, each behind a small typed interface."""
+"""Clients of the platform's services, each behind a typed protocol."""
--- a/src/jujubewharf/platform/groups.py
+++ b/src/jujubewharf/platform/groups.py
@@ -1,4 +1,4 @@
-"""Groups on the platform: which instance holds which part of some work."""
+"""Group membership: which instance is assigned which partitions."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupShare:
-    """What one member holds.
+    """Partitions assigned to one member.
 
     Attributes:
-        generation: Grows whenever the parts are dealt anew.
-        parts: Parts that this member holds.
+        generation: Increases whenever partitions are reassigned.
+        parts: Partitions assigned to this member.
     """
 
     generation: int
@@ -20,35 +20,47 @@
 
 
 class Group(Protocol):
-    """The group of all instances of a deployment.
+    """A group of instances among which partitions are evenly assigned.
 
-    Its parts are dealt evenly to its members; a part is dealt to another
-    member only after this one has taken note or has been silent for the
-    group's time to live. Calls raise ``log.LogUnavailableError``.
+    A partition moves to another member only after its holder has acknowledged
+    the new generation or has been silent for the group's time to live. Calls
+    raise ``log.LogUnavailableError``.
     """
 
     @property
     def part_count(self) -> int:
-        """Parts that are dealt."""
+        """Number of partitions to assign."""
         ...
 
     @property
     def ttl_ms(self) -> float:
-        """Silence after which a member's parts are dealt to others."""
+        """Silence in milliseconds after which partitions are reassigned."""
         ...
 
     async def join(self, generation: int) -> GroupShare:
-        """Joins, or stays; tells the last generation that was received."""
+        """Joins the group or renews membership.
+
+        Args:
+            generation: Last generation that this member has received, which
+                it thereby acknowledges.
+
+        Returns:
+            The current assignment of this member.
+        """
         ...
 
     async def contacts(self) -> dict[int, str]:
-        """What the holder of each part told as its contact."""
+        """Returns the contact address of the holder of each partition."""
         ...
 
     async def evict(self, contact: str) -> None:
-        """Takes a member out that told this contact and is surely gone."""
+        """Removes a member that is known to be gone.
+
+        Args:
+            contact: Contact address of the member.
+        """
         ...
 
     async def leave(self) -> None:
-        """Gives all parts back."""
+        """Leaves the group, which frees all partitions of this member."""
         ...
--- a/src/jujubewharf/platform/http_json.py
+++ b/src/jujubewharf/platform/http_json.py
@@ -1,4 +1,4 @@
-"""Reads JSON from one of the platform's small HTTP services."""
+"""Fetches JSON from the platform's HTTP services."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
 async def get(
     url: str, session: aiohttp.ClientSession, clock: clocks.Clock
 ) -> Any:
-    """The body found at an address, within two seconds.
+    """Fetches and parses a JSON document, with a timeout.
 
     Raises:
-        aiohttp.ClientError: Not reached, refused, or not said to be JSON.
-        OSError: Not reached; ``TimeoutError`` when it took too long.
-        ValueError: The body is no JSON.
+        aiohttp.ClientError: The connection failed, the status was an error,
+            or the content type was not JSON.
+        OSError: The connection failed; ``TimeoutError`` on a timeout.
+        ValueError: The body is not valid JSON.
     """
     async with clock.timeout_ms(_REQUEST_TIMEOUT_MS):
         async with session.get(url) as response:
--- a/src/jujubewharf/platform/http_log.py
+++ b/src/jujubewharf/platform/http_log.py
@@ -1,4 +1,4 @@
-"""The log over HTTP with msgpack bodies."""
+"""HTTP client for the platform's log, with msgpack bodies."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class HttpLog:
-    """Speaks to the platform's log service.
+    """Implements ``log.Log`` over HTTP.
 
     Args:
         url: ``http://IP:PORT`` of the service.
         session: Shared client session.
-        clock: Times out slow answers.
+        clock: Clock for timeouts.
     """
 
     def __init__(
@@ -76,7 +76,12 @@
 
 
 def _check_append(status: int) -> None:
-    """Tells refusals from failures, which may come after the append."""
+    """Raises unless the append succeeded.
+
+    Raises:
+        LogUnavailableError: The log refused; nothing was appended.
+        AppendUnknownError: A server error, possibly after the append.
+    """
     if status == _OK:
         return
     if status == _UNAVAILABLE or status < _SERVER_ERROR:
--- a/src/jujubewharf/platform/live_list.py
+++ b/src/jujubewharf/platform/live_list.py
@@ -1,4 +1,7 @@
-"""The platform's lagging list of live and leaving instances and endpoints."""
+"""Client for the platform's list of live and leaving instances and endpoints.
+
+The list is eventually consistent: it lags behind the actual state.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +16,11 @@
 
 
 class LiveListUnavailableError(Exception):
-    """The list was not reached; keep the last one."""
+    """The list could not be fetched; the last known one stays in use."""
 
 
 class LiveState(enum.Enum):
-    """What the list says of one member."""
+    """State of a member on the list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -43,19 +46,19 @@
 
 
 class LiveList(Protocol):
-    """What the system needs of the list."""
+    """Interface of the live list."""
 
     async def fetch(self) -> tuple[LiveMember, ...]:
-        """Reads the whole list.
+        """Fetches the whole list.
 
         Raises:
-            LiveListUnavailableError: The list was not reached.
+            LiveListUnavailableError: The list could not be fetched.
         """
         ...
 
 
 class HttpLiveList:
-    """The list over HTTP with a JSON body."""
+    """Implements ``LiveList`` over HTTP with JSON bodies."""
 
     def __init__(
         self, url: str, session: aiohttp.ClientSession, clock: clocks.Clock
@@ -65,7 +68,7 @@
         self._clock = clock
 
     async def fetch(self) -> tuple[LiveMember, ...]:
-        """Reads the whole list; see ``LiveList``."""
+        """Fetches the whole list; see ``LiveList``."""
         try:
             items = await http_json.get(
                 f"{self._url}/list", self._session, self._clock
@@ -74,7 +77,7 @@
         except (aiohttp.ClientError, OSError) as error:
             raise LiveListUnavailableError(str(error)) from error
         except (KeyError, TypeError, ValueError) as error:
-            # Half a list must not pass for a list on which many are gone.
+            # A partly parsed list would make live members look gone.
             raise LiveListUnavailableError("malformed list") from error
 
 
--- a/src/jujubewharf/platform/log.py
+++ b/src/jujubewharf/platform/log.py
@@ -1,9 +1,8 @@
-"""The platform's append-only log.
+"""Interface of the platform's append-only log.
 
-The log holds streams, each with its own offsets, and forgets old records.
-The system keeps streams of its own there. An append that gets no answer may
-have taken effect: ``AppendUnknownError`` says so, and only reading the log
-resolves it.
+The log holds streams, each with its own offsets, and drops old records after
+a retention period. An append without a response may still have taken effect.
+It raises ``AppendUnknownError``; its outcome is found by reading the log.
 """
 
 from __future__ import annotations
@@ -14,28 +13,30 @@
 
 
 class LogUnavailableError(Exception):
-    """The log was not reached; nothing was appended."""
+    """The log could not be reached or refused; nothing was appended."""
 
 
 class AppendUnknownError(Exception):
-    """The append got no answer; it may have taken effect."""
+    """The append got no response; it may have taken effect."""
 
 
 class LogTruncatedError(Exception):
-    """The wanted offset is older than what the log still keeps.
+    """The requested offset is older than the oldest retained record.
 
     Args:
-        first_offset: Oldest offset still kept.
+        first_offset: Oldest retained offset.
     """
 
     def __init__(self, first_offset: int) -> None:
-        super().__init__(f"the log starts at {first_offset}")
+        super().__init__(
+            f"offset was truncated; the log starts at {first_offset}"
+        )
         self.first_offset = first_offset
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogRecord:
-    """One record with the place the log gave it."""
+    """A record with the offset that the log assigned to it."""
 
     offset: int
     payload: bytes
@@ -43,11 +44,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogPage:
-    """A run of records.
+    """Consecutive records of a stream.
 
     Attributes:
-        records: In offset order, without holes.
-        first_offset: Oldest offset the log still keeps.
+        records: Records in offset order, without gaps.
+        first_offset: Oldest offset that the log retains.
         next_offset: Offset that the next append will get.
     """
 
@@ -57,17 +58,17 @@
 
 
 class Log(Protocol):
-    """What the system needs of the log."""
+    """Interface of the log."""
 
     async def append(self, stream: str, payloads: Sequence[bytes]) -> list[int]:
-        """Appends records to a stream in order, all or none.
+        """Appends records to a stream atomically and in order.
 
         Returns:
-            Their offsets.
+            Offsets of the records.
 
         Raises:
             LogUnavailableError: Nothing was appended.
-            AppendUnknownError: The records may be on the log.
+            AppendUnknownError: The records may have been appended.
         """
         ...
 
@@ -79,10 +80,16 @@
         limit: int = 500,
         wait_ms: float = 0.0,
     ) -> LogPage:
-        """Reads a stream, waiting a while for the first when there is none.
+        """Reads records of a stream.
+
+        Args:
+            stream: Name of the stream.
+            from_offset: Offset of the first record to return.
+            limit: Maximum number of records to return.
+            wait_ms: Milliseconds to wait for a record if there is none yet.
 
         Raises:
-            LogUnavailableError: The log was not reached.
-            LogTruncatedError: Records from ``from_offset`` on are gone.
+            LogUnavailableError: The log could not be reached or refused.
+            LogTruncatedError: ``from_offset`` is no longer retained.
         """
         ...
--- a/src/jujubewharf/platform/record_errors.py
+++ b/src/jujubewharf/platform/record_errors.py
@@ -1,4 +1,4 @@
-"""Logs records of a table that can't be understood, each of them once."""
+"""Logs records of a table that can't be decoded, once per record."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RecordErrors:
-    """Remembers which records were logged.
+    """Logs undecodable records and remembers which have been logged.
 
     Args:
         table: Name of the table in log lines.
@@ -16,12 +16,18 @@
 
     def __init__(self, table: str) -> None:
         self._table = table
-        # Newest offset at which each key was logged.
+        # Newest logged offset of each key.
         self._logged: dict[str, int] = {}
         self._logger = structlog.get_logger()
 
     def note(self, key: str, offset: int, error: Exception) -> None:
-        """Learns that a record can't be understood."""
+        """Logs a record that can't be decoded, unless done before.
+
+        Args:
+            key: Key of the record.
+            offset: Offset of the record.
+            error: Error that the decoder raised.
+        """
         if self._logged.get(key, -1) >= offset:
             return
         self._logged[key] = offset
@@ -35,5 +41,5 @@
         )
 
     def readable(self, key: str) -> None:
-        """Learns that the newest record of a key can be understood."""
+        """Forgets logged offsets of a key whose newest record was decoded."""
         self._logged.pop(key, None)
--- a/src/jujubewharf/platform/tables.py
+++ b/src/jujubewharf/platform/tables.py
@@ -1,4 +1,4 @@
-"""Tables on the platform: the newest record of each key, and its changes."""
+"""Interface of the platform's tables, which hold one record per key."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TableRecord(Generic[T]):
-    """The newest record of one key, or one change of it.
+    """The newest record of a key, or one change of it.
 
     Attributes:
-        key: The key.
-        offset: Place in the table's log; of two records the later counts.
-        value: What it holds; ``None`` where the key was removed.
-        is_unreadable: Whether it was written but can't be understood; it has
-            no value then.
+        key: Key of the record.
+        offset: Offset in the table's log; the record with the highest offset
+            is in force.
+        value: Decoded value; ``None`` if the key was removed.
+        is_unreadable: Whether the record can't be decoded; ``value`` is
+            ``None`` then.
     """
 
     key: str
@@ -34,8 +35,8 @@
     """Records of a table.
 
     Attributes:
-        records: In offset order for changes; in no order for a whole table.
-        end: Offset from which later changes are read.
+        records: Changes in offset order, or a whole table in any order.
+        end: Offset from which to read later changes.
     """
 
     records: tuple[TableRecord[T], ...]
@@ -43,34 +44,41 @@
 
 
 class Table(Protocol[T]):
-    """A table that others write and this system follows.
+    """Read interface of a table.
 
     Both calls raise ``log.LogUnavailableError``.
     """
 
     async def newest(self) -> TablePage[T]:
-        """The newest record of each key."""
+        """Reads the newest record of each key."""
         ...
 
     async def changes(
         self, from_offset: int, *, wait_ms: float
     ) -> TablePage[T]:
-        """Records from an offset on, waiting a while when there is none.
+        """Reads changes.
+
+        Args:
+            from_offset: Offset of the first change to return.
+            wait_ms: Milliseconds to wait for a change if there is none yet.
 
         Raises:
-            LogTruncatedError: Records from the offset on are gone.
+            LogTruncatedError: ``from_offset`` is no longer retained.
         """
         ...
 
 
 class KeptTable(Table[bytes], Protocol):
-    """A table of this system's own, for what outlives all instances."""
+    """A table to which the router itself writes, e.g. crash records."""
 
     async def write(self, values: Mapping[str, bytes | None]) -> None:
-        """Writes records, all or none; ``None`` removes a key.
+        """Writes records atomically.
+
+        Args:
+            values: New value of each key; ``None`` removes the key.
 
         Raises:
-            LogUnavailableError: There was no answer; it may take effect all
-                the same, and later.
+            LogUnavailableError: No response; the write may still take effect,
+                even later.
         """
         ...
--- a/src/jujubewharf/platform/weights.py
+++ b/src/jujubewharf/platform/weights.py
@@ -1,7 +1,7 @@
-"""The platform's rate-limited store of model weights.
+"""Client for the platform's rate-limited store of model weights.
 
-Engines fetch weights themselves; the system only asks what a load will cost,
-so that it never starts more loads than the store's rate carries.
+Engines fetch weights themselves. The router only reads the store's rate and
+load, so that it starts no more loads than the store can serve.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 
 
 class WeightStoreUnavailableError(Exception):
-    """The store was not reached; start no loads."""
+    """The store could not be reached; no loads may be started."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightStatus:
-    """The store's rate and what is being fetched from it now."""
+    """Transfer rate of the store and number of fetches in progress."""
 
     rate_bytes_per_s: float
     active_fetches: int
 
 
 class WeightStore(Protocol):
-    """What the system needs of the store."""
+    """Interface of the weight store."""
 
     async def status(self) -> WeightStatus:
         """Reads the store's rate and load.
 
         Raises:
-            WeightStoreUnavailableError: The store was not reached.
+            WeightStoreUnavailableError: The store could not be reached.
         """
         ...
 
 
 class HttpWeightStore:
-    """The store over HTTP with a JSON body."""
+    """Implements ``WeightStore`` over HTTP with JSON bodies."""
 
     def __init__(
         self, url: str, session: aiohttp.ClientSession, clock: clocks.Clock
--- a/src/jujubewharf/settings/__init__.py
+++ b/src/jujubewharf/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Checked JSON settings of one entry instance."""
+"""Validated JSON settings of an entry instance."""
--- a/src/jujubewharf/settings/models.py
+++ b/src/jujubewharf/settings/models.py
@@ -1,4 +1,4 @@
-"""The settings file's models; unknown fields are errors."""
+"""Pydantic models of the settings file; unknown fields are errors."""
 
 from __future__ import annotations
 
@@ -14,9 +14,11 @@
 
 
 def check_ip_number(value: str) -> str:
-    """Refuses what is no IP number."""
-    # A name would need a resolver, whose outage or stale answer would move
-    # traffic; the fleet is addressed by number only.
+    """Validates an IP address; raises ``ValueError`` for host names.
+
+    Host names are rejected because a failed or stale name lookup would
+    redirect traffic.
+    """
     ipaddress.ip_address(value)
     return value
 
@@ -24,7 +26,7 @@
 def _check_ip_url(value: str) -> str:
     url = yarl.URL(value)
     if url.scheme not in ("http", "https") or url.host is None:
-        raise ValueError("give http://IP:PORT")
+        raise ValueError("expected http://IP:PORT or https://IP:PORT")
     check_ip_number(url.host)
     return value
 
@@ -40,15 +42,15 @@
 
 
 class CallerSettings(_Model):
-    """The caller edge.
+    """HTTP server for callers.
 
     Attributes:
-        host: IP number to listen on.
-        port: TCP port; 0 takes a free one.
-        max_body_bytes: Largest accepted request body of a model request.
-        max_plain_body_bytes: Largest accepted request body of a plain one.
-        body_timeout_ms: Longest wait for a model request's body, and for
-            each part of a plain one's.
+        host: IP address to listen on.
+        port: TCP port; 0 selects a free one.
+        max_body_bytes: Maximum body size of a model request.
+        max_plain_body_bytes: Maximum body size of a plain request.
+        body_timeout_ms: Timeout for the whole body of a model request, and
+            for each chunk of a plain request's body.
     """
 
     host: IpNumber = "127.0.0.1"
@@ -59,17 +61,18 @@
 
 
 class OperatorSettings(_Model):
-    """The operator RPC.
+    """gRPC server for operators.
 
     Attributes:
-        host: IP number to listen on.
-        port: TCP port; 0 takes a free one.
+        host: IP address to listen on.
+        port: TCP port; 0 selects a free one.
         bootstrap_token_sha256: Hex SHA-256 of the token of a built-in admin,
-            for the first change on an empty log. Empty switches it off.
-        max_changes_per_s: Changes that one operator may ask this instance
-            for, on average; a burst of ten seconds' worth passes.
-        max_reads_per_s: The same for calls that only ask.
-        max_watches: Watches open at this instance, of all operators.
+            for the first change on an empty log. Empty disables it.
+        max_changes_per_s: Average rate of changes per operator at this
+            instance; bursts of ten times as many are allowed.
+        max_reads_per_s: The same for read-only calls.
+        max_watches: Maximum number of open watches at this instance, over all
+            operators.
     """
 
     host: IpNumber = "127.0.0.1"
@@ -81,17 +84,20 @@
 
 
 class PeerSettings(_Model):
-    """Links to other entry instances.
+    """Connections to other entry instances.
 
     Attributes:
-        host: IP number to listen on, which others dial as well.
-        port: TCP port; 0 takes a free one.
-        tls_certificate_file: PEM certificate; all three or none are given.
-        tls_key_file: PEM key.
-        tls_authority_file: PEM authority that signs every instance.
-        tls_poll_ms: Time between two looks whether the TLS files changed.
-        heartbeat_ms: Time between heartbeats.
-        suspect_after_ms: Silence after which a peer is suspected.
+        host: IP address to listen on; other instances connect to it.
+        port: TCP port; 0 selects a free one.
+        tls_certificate_file: PEM certificate. The three TLS files must be
+            given together or not at all.
+        tls_key_file: PEM private key.
+        tls_authority_file: PEM certificate of the authority that signs the
+            certificates of all instances.
+        tls_poll_ms: Interval of checks for changed TLS files.
+        heartbeat_ms: Interval of heartbeats.
+        suspect_after_ms: Time without a heartbeat after which a peer is
+            suspected to have failed.
     """
 
     host: IpNumber = "127.0.0.1"
@@ -107,7 +113,7 @@
     @classmethod
     def _host_can_be_dialled(cls, host: str) -> str:
         if ipaddress.ip_address(host).is_unspecified:
-            raise ValueError("others dial this number; give the instance's own")
+            raise ValueError("peers connect here; must not be unspecified")
         return host
 
     @pydantic.model_validator(mode="after")
@@ -118,7 +124,7 @@
             self.tls_authority_file,
         )
         if any(files) and not all(files):
-            raise ValueError("give all three TLS files or none")
+            raise ValueError("all three TLS files must be set, or none")
         return self
 
 
@@ -126,13 +132,13 @@
     """Addresses of the platform's services, as ``http://IP:PORT``.
 
     Attributes:
-        log_url: The log.
-        live_list_url: The live list.
-        weight_store_url: The weight store.
-        live_list_poll_ms: Time between two readings of the list.
-        log_wait_ms: How long one read of the log waits for news.
-        log_retention_ms: How long the log keeps records at least;
-            checkpoints are written by it.
+        log_url: Address of the log.
+        live_list_url: Address of the live list.
+        weight_store_url: Address of the weight store.
+        live_list_poll_ms: Interval between fetches of the live list.
+        log_wait_ms: Long-poll timeout of a log read.
+        log_retention_ms: Minimum retention of log records, from which the
+            checkpoint interval is derived.
     """
 
     log_url: IpUrl
@@ -147,12 +153,11 @@
     """Logs and metrics.
 
     Attributes:
-        log_level: Lowest level written.
-        metrics_host: IP number that the Prometheus endpoint listens on.
-        metrics_port: Port of the Prometheus endpoint; ``None`` switches it
-            off.
-        otlp_url: OTLP/HTTP endpoint; ``None`` switches it off.
-        otlp_interval_ms: Time between OTLP exports.
+        log_level: Lowest level that is logged.
+        metrics_host: IP address that the Prometheus endpoint listens on.
+        metrics_port: Port of the Prometheus endpoint; ``None`` disables it.
+        otlp_url: OTLP/HTTP endpoint; ``None`` disables the export.
+        otlp_interval_ms: Interval of OTLP exports.
     """
 
     log_level: Literal["debug", "info", "warning", "error"] = "info"
@@ -163,15 +168,20 @@
 
 
 class EntrySettings(_Model):
-    """Everything one entry instance is told before it starts.
+    """All settings of an entry instance.
 
     Attributes:
         instance: Name, unique in the deployment; a replacement may reuse it.
         region: Region of the instance.
         domain: Failure domain of the instance.
-        drain_ms: Upper bound of a graceful shutdown.
-        balancer_grace_ms: How long a shutdown goes on taking requests, until
-            the balancer has noticed.
+        platform: Addresses of the platform's services.
+        callers: HTTP server for callers.
+        operators: gRPC server for operators.
+        peers: Connections to other entry instances.
+        telemetry: Logs and metrics.
+        drain_ms: Maximum duration of a graceful shutdown.
+        balancer_grace_ms: Time for which a shutdown still accepts requests,
+            until the load balancer has noticed.
     """
 
     instance: Annotated[str, pydantic.Field(min_length=1, max_length=64)]
--- a/src/jujubewharf/settings/reader.py
+++ b/src/jujubewharf/settings/reader.py
@@ -1,4 +1,4 @@
-"""Reads a settings file and names every error with its path."""
+"""Reads and validates a settings file; errors name the path of the field."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def read(path: pathlib.Path) -> result.Result[models.EntrySettings, list[str]]:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
 
     Returns:
-        The settings, or one line an error, each opening with the path of the
-        field it is about.
+        The settings, or one line per error that starts with the path of the
+        field.
     """
     try:
         data = json.loads(path.read_text(encoding="utf-8"))
@@ -28,7 +28,7 @@
 
 
 def check(data: object) -> result.Result[models.EntrySettings, list[str]]:
-    """Checks settings that were read from JSON already."""
+    """Validates settings that have already been parsed from JSON."""
     try:
         return result.Ok(models.EntrySettings.model_validate(data))
     except pydantic.ValidationError as error:
