--- a/src/jujubewharf/callers/accounts.py
+++ b/src/jujubewharf/callers/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts: who calls, and what the caller may ask for."""
+"""Client accounts: authentication and authorization of callers."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class Accounts:
-    """The accounts in force, found by token.
+    """Looks up configured client accounts by bearer token.
 
-    While no account is configured every caller is anonymous and may call
-    everything; from the first account on, a token is needed.
+    As long as no account is configured, every caller is anonymous and may
+    call every service. Otherwise a token is required.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self._by_name: dict[str, resources.Account] = {}
 
     def on_configuration(self, state: states.State) -> None:
-        """Takes over the accounts of a configuration."""
+        """Replaces the accounts by those of a new configuration."""
         accounts = [
             entry.resource
             for entry in state.of_kind(resources.Kind.ACCOUNT)
@@ -42,21 +42,25 @@
         self._by_name = {account.name: account for account in accounts}
 
     def get(self, name: str) -> resources.Account | None:
-        """One account in force."""
+        """Returns the account of a name, if it is configured."""
         return self._by_name.get(name)
 
     def identify(self, headers: Mapping[str, str]) -> resources.Account | None:
-        """The caller's account; ``None`` for an anonymous caller.
+        """Authenticates a caller by the request headers.
+
+        Returns:
+            The caller's account; ``None`` for an anonymous caller.
 
         Raises:
-            WharfError: ``UNAUTHENTICATED``.
+            WharfError: ``UNAUTHENTICATED`` for a missing or unknown token.
         """
         if not self._by_name:
             return None
         given = headers.get(bearer.HEADER)
         account = None
         with contextlib.suppress(errors.WharfError):
-            # Callers here are told one thing for every token that isn't taken.
+            # Callers get the same error for missing, malformed and unknown
+            # tokens.
             token = bearer.token_of(() if given is None else (given,))
             account = self._by_token.find(token)
         if account is None:
@@ -67,10 +71,10 @@
 def check_service(
     account: resources.Account | None, service: resources.Service
 ) -> None:
-    """Refuses an account that may not call a service.
+    """Checks that an account may call a service.
 
     Raises:
-        WharfError: ``FORBIDDEN``.
+        WharfError: ``FORBIDDEN`` if it may not.
     """
     if account is None or not account.services:
         return
@@ -79,10 +83,10 @@
 
 
 def capped_priority(account: resources.Account | None, asked: int) -> int:
-    """The priority asked for, up to what the account may have."""
+    """Limits a requested priority to the maximum of the account."""
     return asked if account is None else min(asked, account.priority)
 
 
 def name_of(account: resources.Account | None) -> str:
-    """The account's name, as requests carry it."""
+    """Returns the account's name; ``ANONYMOUS`` without an account."""
     return ANONYMOUS if account is None else account.name
--- a/src/jujubewharf/callers/answers.py
+++ b/src/jujubewharf/callers/answers.py
@@ -1,4 +1,4 @@
-"""Error answers of the caller edge, made from the error table."""
+"""Error responses of the caller edge, built from the error table."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def error_body(
     kind: errors.ErrorKind, ran: errors.Ran, detail: str = ""
 ) -> dict[str, object]:
-    """The JSON body of an error, in the shape usual clients expect."""
+    """Builds the JSON body of an error in the OpenAI format."""
     row = errors.TABLE[kind]
     message = f"{row.message} {detail}".strip()
     return {
@@ -38,11 +38,15 @@
 def error_headers(
     kind: errors.ErrorKind, retry_after_ms: float | None
 ) -> dict[str, str]:
-    """Headers that tell a client whether and when to come back.
+    """Builds the headers that tell a client whether and when to retry.
 
-    ``X-Should-Retry`` is obeyed by the official OpenAI clients. Without it
-    they send every 5xx again, also one whose outcome is unknown, and a
-    request that may not be repeated would run twice.
+    The official OpenAI clients honor ``X-Should-Retry``. Without it they retry
+    every 5xx response, even one whose outcome is unknown, so a request that
+    may not be repeated could run twice.
+
+    Args:
+        kind: Kind of the error.
+        retry_after_ms: Milliseconds after which to retry, if known.
     """
     row = errors.TABLE[kind]
     headers = {"X-Should-Retry": "true" if row.retryable else "false"}
@@ -54,7 +58,7 @@
 
 
 def count(kind: errors.ErrorKind) -> None:
-    """Counts an error answer by its reason."""
+    """Counts an error response by its reason."""
     _refusals.add(1, {"reason": kind.value})
 
 
@@ -66,7 +70,7 @@
     retry_after_ms: float | None = None,
     headers: Mapping[str, str] | None = None,
 ) -> web.Response:
-    """A whole error answer; it is counted."""
+    """Builds and counts an error response."""
     count(kind)
     return web.json_response(
         error_body(kind, ran, detail),
@@ -76,7 +80,7 @@
 
 
 def response_to(error: errors.WharfError) -> web.Response:
-    """The answer to a raised error."""
+    """Builds the response to a raised error."""
     return error_response(
         error.kind,
         error.ran,
@@ -88,7 +92,7 @@
 def failed_response(
     event: model_request.Failed, headers: Mapping[str, str]
 ) -> web.Response:
-    """The answer to a model request that failed before its first token."""
+    """Builds the response to a model request that failed before a token."""
     return error_response(
         event.kind,
         event.ran,
--- a/src/jujubewharf/callers/bodies.py
+++ b/src/jujubewharf/callers/bodies.py
@@ -1,4 +1,4 @@
-"""Reads request bodies within bounds of size and time."""
+"""Reads request bodies with limits on size and time."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Content(Protocol):
-    """The part of ``aiohttp.StreamReader`` that is used here."""
+    """The methods of ``aiohttp.StreamReader`` that this module uses."""
 
     async def read(self, n: int = -1) -> bytes:
-        """Up to ``n`` bytes; none at the end."""
+        """Reads up to ``n`` bytes; returns none at the end of the body."""
         ...
 
 
@@ -26,10 +26,14 @@
     max_bytes: int,
     timeout_ms: float,
 ) -> bytes:
-    """Reads a body whole.
+    """Reads a whole body.
 
-    The time bounds the whole body, so a caller that trickles bytes holds a
-    request no longer than one that sends none.
+    Args:
+        content: The body's stream.
+        clock: Clock for the timeout.
+        max_bytes: Maximum size of the body.
+        timeout_ms: Timeout of the whole body, so that a caller can't hold a
+            request open by sending single bytes.
 
     Raises:
         WharfError: ``BODY_TOO_LARGE`` or ``SLOW_BODY``.
@@ -55,11 +59,17 @@
     max_bytes: int,
     timeout_ms: float,
 ) -> AsyncIterator[bytes]:
-    """Passes a body on as it comes; each chunk has the given time.
+    """Yields the chunks of a body as they arrive.
+
+    Args:
+        content: The body's stream.
+        clock: Clock for the timeout.
+        max_bytes: Maximum size of the body.
+        timeout_ms: Timeout of each chunk.
 
     Raises:
-        WharfError: ``BODY_TOO_LARGE`` or ``SLOW_BODY``; part of the body was
-            passed on by then.
+        WharfError: ``BODY_TOO_LARGE`` or ``SLOW_BODY``, possibly after some
+            chunks.
     """
     size_bytes = 0
     while True:
--- a/src/jujubewharf/callers/completions.py
+++ b/src/jujubewharf/callers/completions.py
@@ -1,4 +1,4 @@
-"""Completions and chat completions, streamed and whole."""
+"""Handlers of completions and chat completions, streamed or not."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 
 class Completions:
-    """Handlers of the model request paths.
+    """Handlers of the OpenAI-compatible paths.
 
     Args:
-        core: Knows the configuration and answers requests.
-        clock: Time.
-        settings: Bounds of bodies.
-        new_id: Mints request ids.
+        core: Holds the configuration and runs the requests.
+        clock: Clock for arrival times and read timeouts.
+        settings: Limits of request bodies.
+        new_id: Generates request ids.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self._new_id = new_id
 
     def add_to(self, app: web.Application) -> None:
-        """Adds the routes."""
+        """Adds the routes to an application."""
         app.router.add_post("/v1/completions", self._completions)
         app.router.add_post("/v1/chat/completions", self._chat)
         app.router.add_get("/v1/models", self._models)
@@ -81,7 +81,7 @@
     async def _handle(
         self, request: web.Request, *, is_chat: bool
     ) -> web.StreamResponse:
-        # Everything that can refuse without the body comes before it.
+        # Checks that don't need the body are made before it is read.
         arrived_ms = self._clock.now_ms()
         account = self._core.accounts.identify(request.headers)
         marks = caller_marks.Marks.from_headers(request.headers)
--- a/src/jujubewharf/callers/edge.py
+++ b/src/jujubewharf/callers/edge.py
@@ -22,24 +22,24 @@
 
 _Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-# A shutdown has waited for requests before; who is left then is cut.
+# Requests have been drained before; any that are left are aborted.
 _STOP_S = 0.1
 _READY_STATUS = {True: 200, False: 503}
 _PROBES = frozenset({"/healthz", "/readyz"})
 
 
 class CallerEdge(mode.Service):
-    """Serves callers.
+    """HTTP server for callers.
 
     Args:
-        settings: Where to listen, and bounds.
+        settings: Address to listen on, and limits.
         model_paths: Handlers of model requests.
         plain_paths: Handler of plain requests.
-        readiness: Whether requests are taken.
+        readiness: Whether requests are accepted.
 
     Attributes:
-        port: Port listened on, once started.
-        readiness: Whether requests are taken.
+        port: The port it listens on, once started.
+        readiness: Whether requests are accepted.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         structlog.get_logger().info("callers_listening", port=self.port)
 
     async def on_stop(self) -> None:
-        """Stops listening and ends open requests."""
+        """Stops listening and aborts open requests."""
         await self._runner.cleanup()
 
     async def _readyz(self, request: web.Request) -> web.Response:
--- a/src/jujubewharf/callers/event_stream.py
+++ b/src/jujubewharf/callers/event_stream.py
@@ -1,4 +1,4 @@
-"""A streamed answer: server-sent events, numbered by token."""
+"""Streams the tokens of an answer as server-sent events."""
 
 from __future__ import annotations
 
@@ -18,17 +18,19 @@
 
 
 class EventStream:
-    """Sends one answer to one caller.
+    """Streams one answer to one caller.
 
-    The id of an event is the number of the next token, so a caller that sends
-    the last id it saw as ``Last-Event-ID`` goes on without a gap or a repeat.
+    The id of an event is the index of the next token. A caller that sends the
+    last id it received as ``Last-Event-ID`` resumes without gaps or
+    duplicates.
 
     Args:
         request: The caller's HTTP request.
-        shape: Bodies of the events.
-        headers: Headers of the answer.
-        resume_from: Tokens that the caller has already.
-        usage: Told at the end; ``None`` leaves it out.
+        shape: Builds the bodies of the events.
+        headers: Headers of the response.
+        resume_from: Number of tokens that the caller already has.
+        prompt_tokens: Prompt tokens for the usage chunk at the end; ``None``
+            omits the chunk.
     """
 
     def __init__(
@@ -57,7 +59,7 @@
     async def send(
         self, events: AsyncIterator[model_request.Event]
     ) -> web.StreamResponse:
-        """Sends the events; the first decides on the status."""
+        """Sends the events; the first one determines the HTTP status."""
         async for event in events:
             match event:
                 case model_request.Tokens():
@@ -95,11 +97,11 @@
         return self._response
 
     def _cut(self) -> None:
-        """Closes the connection before the body's end.
+        """Closes the connection before the end of the body.
 
-        A body that ends in order would be taken for a whole answer by a
-        client that doesn't know error events; one that breaks off is an error
-        to every HTTP client. What was written is still sent.
+        Clients that ignore error events would take a terminated body for a
+        complete answer; a truncated one is an error to every HTTP client.
+        Buffered data is still sent.
         """
         transport = self._request.transport
         if transport is not None:
--- a/src/jujubewharf/callers/guarded_server.py
+++ b/src/jujubewharf/callers/guarded_server.py
@@ -1,4 +1,4 @@
-"""Callers' connections, with a bound on how long a request's head may take."""
+"""HTTP server with a timeout for the head of each request."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 class _GuardedHandler(web_protocol.RequestHandler):
-    """Closes a connection whose request head doesn't come to its end.
+    """Closes a connection whose request head is not completed in time.
 
-    aiohttp bounds the time between requests only. A sender that stops inside a
-    head would hold its connection, and with enough of them all descriptors.
+    aiohttp limits only the idle time between requests. A client that stops in
+    the middle of a head would keep its connection open, and many of them would
+    use up the process's file descriptors.
     """
 
     head_within_ms: float = 0.0
@@ -47,12 +48,13 @@
 
 
 class GuardedServer(web.Server):
-    """Makes the protocol of each connection.
+    """A ``web.Server`` with a timeout for request heads.
 
     Args:
-        handler: Answers requests.
-        head_within_ms: Longest time from a head's first byte to its last.
-        **options: Of aiohttp's own protocol.
+        handler: Handles requests.
+        head_within_ms: Maximum time from the first to the last byte of a
+            request head.
+        **options: Options of ``web.Server``.
     """
 
     def __init__(
@@ -62,7 +64,7 @@
         self._head_within_ms = head_within_ms
 
     def __call__(self) -> web_protocol.RequestHandler:
-        """A protocol for one connection."""
+        """Creates the protocol handler of a connection."""
         made = _GuardedHandler(self, loop=self._loop, **self._kwargs)
         made.head_within_ms = self._head_within_ms
         return made
--- a/src/jujubewharf/callers/hops.py
+++ b/src/jujubewharf/callers/hops.py
@@ -1,4 +1,4 @@
-"""Headers that concern one connection only, which are not passed on."""
+"""Removes hop-by-hop headers before messages are forwarded."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 def end_to_end(
     pairs: Iterable[tuple[str, str]], *, dropped: Collection[str] = ()
 ) -> Headers:
-    """The headers that are passed on.
+    """Returns the headers to forward.
 
     Args:
-        pairs: Names and values, in their order.
-        dropped: Names left out besides, in lower case.
+        pairs: Names and values of the received headers.
+        dropped: Lower-case names of further headers to remove.
 
     Returns:
-        All but those of one connection, those that the Connection header
-        names, and those to drop.
+        The headers without hop-by-hop headers, headers named by the
+        Connection header, and ``dropped``; the order is kept.
     """
     items = tuple(pairs)
     named = {
--- a/src/jujubewharf/callers/marks.py
+++ b/src/jujubewharf/callers/marks.py
@@ -1,4 +1,4 @@
-"""What a caller says of its request in headers, checked."""
+"""Request options that callers set in headers."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Marks:
-    """The checked headers; ``None`` stands for one that wasn't given.
+    """Validated request options; ``None`` for headers that are not set.
 
     Attributes:
         key: Idempotency key.
-        deadline_ms: Time after arrival at which to give up.
-        priority: Higher goes first.
-        is_repeatable: Whether the request may run twice.
-        resume_from: Tokens of the answer that the caller has already.
+        deadline_ms: Time limit of the request, counted from its arrival.
+        priority: Requests of a higher priority are served first.
+        is_repeatable: Whether the request may run more than once.
+        resume_from: Number of answer tokens that the caller already has.
     """
 
     key: str | None = None
@@ -46,10 +46,10 @@
 
     @classmethod
     def from_headers(cls, headers: Mapping[str, str]) -> Marks:
-        """Checks the headers.
+        """Parses and validates the headers.
 
         Raises:
-            WharfError: ``BAD_REQUEST``, naming the header.
+            WharfError: ``BAD_REQUEST``; the detail names the invalid header.
         """
         marks = cls(
             key=_key(headers),
--- a/src/jujubewharf/callers/plain.py
+++ b/src/jujubewharf/callers/plain.py
@@ -1,4 +1,4 @@
-"""Plain services: any method and path under ``/s/<service>/``."""
+"""Handler of plain services: any method and path under ``/s/<service>/``."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 if TYPE_CHECKING:
     from jujubewharf import core as cores
 
-# What the next connection sets anew, and the caller's token, which is for this
-# system.
+# Headers that are set per hop, and the caller's token, which must not reach
+# endpoints.
 _DROPPED = frozenset(
     {
         "authorization",
@@ -40,13 +40,13 @@
 
 
 class PlainServices:
-    """The handler of plain requests.
+    """Handler of plain requests.
 
     Args:
-        core: Knows the configuration and calls endpoints.
-        clock: Time.
-        settings: Bounds of bodies.
-        new_id: Mints request ids.
+        core: Holds the configuration and calls endpoints.
+        clock: Clock for arrival times and read timeouts.
+        settings: Limits of request bodies.
+        new_id: Generates request ids.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._new_id = new_id
 
     def add_to(self, app: web.Application) -> None:
-        """Adds the route."""
+        """Adds the route to an application."""
         app.router.add_route("*", "/s/{service}/{path:.*}", self._handle)
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
@@ -115,8 +115,9 @@
         except errors.WharfError as error:
             if response is None:
                 return answers.response_to(error)
-            # The status is out already. A body that ended in order would be
-            # taken for whole, so the connection is cut before its end.
+            # The status has already been sent. The connection is closed
+            # without the end of the body, so that the truncated response is
+            # not taken for a complete one.
             answers.count(error.kind)
             if request.transport is not None:
                 request.transport.close()
--- a/src/jujubewharf/callers/readiness.py
+++ b/src/jujubewharf/callers/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this instance takes traffic, and what it says when it doesn't."""
+"""Readiness of this instance, and refusals while it is not ready."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class Readiness:
-    """The two steps of taking traffic and of leaving it.
+    """Readiness during startup and shutdown.
 
-    A starting instance has folded only part of the configuration: it may
-    know a service but not yet the accounts that guard it, so it refuses
-    everything until it has caught up. A leaving instance first tells the
-    balancer, then still serves what comes until the balancer has noticed.
+    A starting instance refuses all requests until it has read the whole
+    configuration: before, it may know a service but not the accounts that may
+    call it. An instance that shuts down first reports that it is not ready,
+    and still serves requests until the load balancer has noticed.
 
     Args:
-        caught_up: Set once the configuration was read to its end.
-        admission: Closed by a shutdown.
+        caught_up: Event that is set when the configuration has been read.
+        admission: Admission state, which a shutdown closes.
     """
 
     def __init__(
@@ -35,12 +35,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """What ``/readyz`` says."""
+        """Whether ``/readyz`` reports this instance as ready."""
         is_serving = self._admission.is_ready and self._admission.is_accepting
         return is_serving and self._caught_up.is_set()
 
     def check(self) -> None:
-        """Refuses a new request unless this instance takes traffic.
+        """Raises if this instance does not accept requests.
 
         Raises:
             WharfError: ``NOT_READY`` or ``SHUTTING_DOWN``.
--- a/src/jujubewharf/callers/server.py
+++ b/src/jujubewharf/callers/server.py
@@ -1,7 +1,8 @@
-"""An aiohttp server whose own refusals are JSON errors as well.
+"""An aiohttp server that sends its protocol errors as JSON.
 
-aiohttp answers what it can't parse (a malformed request line, a header over
-its bound) by itself, before any handler or middleware runs, as plain text.
+aiohttp itself responds to requests that it can't parse, e.g. with a malformed
+request line or an oversized header. It does so in plain text, before any
+handler or middleware runs.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class _JsonErrorHandler(web.RequestHandler):
-    """Speaks HTTP on one connection."""
+    """Request handler of a connection that sends errors as JSON."""
 
     __slots__ = ()
 
@@ -27,7 +28,7 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answers what no handler answered, and closes the connection."""
+        """Responds to a protocol error and closes the connection."""
         if status >= web.HTTPInternalServerError.status_code:
             return super().handle_error(request, status, exc, message)
         kind = errors.ErrorKind.BAD_REQUEST
@@ -37,19 +38,19 @@
 
 
 class _JsonErrorServer(web.Server):
-    """Makes connection handlers that answer in JSON."""
+    """Server whose connection handlers send errors as JSON."""
 
     def __call__(self) -> web.RequestHandler:
-        """Makes the handler of one connection."""
+        """Creates the handler of a connection."""
         return _JsonErrorHandler(self, loop=self._loop, **self._kwargs)
 
 
 class JsonErrorRunner(web.AppRunner):
-    """Runs an application on such a server.
+    """Runs an application on a server that sends errors as JSON.
 
     Args:
         app: The application.
-        shutdown_timeout: Seconds that a stop leaves open requests.
+        shutdown_timeout: Seconds that open requests get to finish on a stop.
         **options: Options of ``web.Server``.
     """
 
--- a/src/jujubewharf/callers/services.py
+++ b/src/jujubewharf/callers/services.py
@@ -1,4 +1,4 @@
-"""Finds the service that a caller names."""
+"""Looks up the service that a caller names."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 def find(
     core: cores.EntryCore, name: str, kind: resources.ServiceKind
 ) -> resources.Service:
-    """The service of a name.
+    """Returns a configured service.
 
     Args:
-        core: Knows the configuration.
-        name: As the caller gave it.
-        kind: What the caller's path is for.
+        core: Holds the configuration.
+        name: Name of the service, as given by the caller.
+        kind: Kind of service that the request path is for.
 
     Raises:
         WharfError: ``UNKNOWN_SERVICE``, also for a service of another kind.
--- a/src/jujubewharf/callers/shapes.py
+++ b/src/jujubewharf/callers/shapes.py
@@ -1,4 +1,4 @@
-"""Bodies of the OpenAI-compatible interface: checked in, built out."""
+"""Request and response bodies of the OpenAI-compatible API."""
 
 from __future__ import annotations
 
@@ -43,7 +43,10 @@
 
 
 class Body(pydantic.BaseModel):
-    """Fields of both kinds of request; unknown ones are left aside."""
+    """Body of a completion or chat completion request.
+
+    Unknown fields are ignored.
+    """
 
     model_config = pydantic.ConfigDict(strict=True)
 
@@ -67,11 +70,11 @@
 
     @classmethod
     def from_json(cls, raw: bytes, *, is_chat: bool) -> Body:
-        """Checks a body.
+        """Parses and validates a request body.
 
         Raises:
-            WharfError: ``BAD_REQUEST``; the detail names fields, never what
-                stood in them.
+            WharfError: ``BAD_REQUEST``; the detail names invalid fields but
+                never quotes their values.
         """
         try:
             body = cls.model_validate_json(raw)
@@ -87,7 +90,7 @@
         return body
 
     def text(self, *, is_chat: bool) -> str:
-        """The prompt, or the messages as one text."""
+        """Returns the prompt, or all chat messages as one text."""
         if is_chat:
             messages = self.messages or []
             return "\n".join(f"{m.role}: {m.text()}" for m in messages)
@@ -96,7 +99,7 @@
         return self.prompt or ""
 
     def answer_bound(self) -> int:
-        """Longest answer asked for, in tokens."""
+        """Returns the requested maximum number of output tokens."""
         bound = self.max_completion_tokens or self.max_tokens
         return bound or _DEFAULT_MAX_TOKENS
 
@@ -108,13 +111,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """Tokens read and written."""
+    """Numbers of prompt and output tokens."""
 
     prompt_tokens: int
     completion_tokens: int
 
     def body(self) -> Json:
-        """As the interface spells it."""
+        """Returns the ``usage`` object of a response."""
         return {
             "prompt_tokens": self.prompt_tokens,
             "completion_tokens": self.completion_tokens,
@@ -123,10 +126,10 @@
 
 
 class TextShape:
-    """Bodies of text completions.
+    """Builds response bodies of text completions.
 
     Args:
-        request: What is answered.
+        request: The request that is answered.
     """
 
     prefix = "cmpl"
@@ -142,26 +145,26 @@
         }
 
     def chunk(self, text: str, *, is_first: bool = False) -> Json:
-        """Some tokens of a streamed answer."""
+        """Builds a chunk with tokens of a streamed answer."""
         choice = self._piece(text, is_first=is_first)
         choice |= {"index": 0, "finish_reason": None}
         return {**self._base, "object": self.chunk_object, "choices": [choice]}
 
     def last_chunk(self, end: model_request.Finished) -> Json:
-        """The end of a streamed answer, with count and digest."""
+        """Builds the last chunk, with the token count and digest."""
         body = self.chunk("")
         body["choices"][0]["finish_reason"] = self._finish_reason(end)
         return body | {EXTENSION: self._extension(end)}
 
     def usage_chunk(self, usage: Usage) -> Json:
-        """The chunk that follows the last where usage was asked for."""
+        """Builds the usage chunk, which is sent last if it was requested."""
         empty: Json = {"object": self.chunk_object, "choices": []}
         return {**self._base, **empty, "usage": usage.body()}
 
     def whole(
         self, text: str, end: model_request.Finished, usage: Usage
     ) -> Json:
-        """A whole answer."""
+        """Builds the body of a response that is not streamed."""
         choice = self._whole_piece(text)
         choice |= {"index": 0, "finish_reason": self._finish_reason(end)}
         return {
@@ -191,7 +194,7 @@
 
 
 class ChatShape(TextShape):
-    """Bodies of chat completions."""
+    """Builds response bodies of chat completions."""
 
     prefix = "chatcmpl"
     chunk_object = "chat.completion.chunk"
@@ -207,7 +210,7 @@
 
 
 def new_request_id() -> str:
-    """An id that is unique for all time."""
+    """Generates a unique request id."""
     return uuid.uuid4().hex
 
 
