--- a/src/jujubewharf/telemetry/error_page.py
+++ b/src/jujubewharf/telemetry/error_page.py
@@ -1,4 +1,4 @@
-"""The error table as a page, so that code and docs can't differ."""
+"""Generates the documentation page of the error table."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def page() -> str:
-    """The page in Markdown."""
+    """Returns the page in Markdown."""
     rows = [_row(kind, answer) for kind, answer in errors.TABLE.items()]
     return _HEAD + "".join(rows)
 
--- a/src/jujubewharf/telemetry/explanation.py
+++ b/src/jujubewharf/telemetry/explanation.py
@@ -1,4 +1,4 @@
-"""One request's life, put together from the log files of many instances."""
+"""Reconstructs the history of a request from the logs of several instances."""
 
 from __future__ import annotations
 
@@ -9,10 +9,9 @@
 import json
 import pathlib
 
-# Changes of belief this long before and after the request's own lines are
-# shown: what an instance believed was mostly learned within seconds.
+# State changes are shown up to this long before and after the request.
 _AROUND_S = 10.0
-# Events that tell of a change of belief, not of a request.
+# Events of an instance's state rather than of a single request.
 _BELIEFS = frozenset(
     {
         "configuration_in_force",
@@ -34,19 +33,19 @@
         "store_regained",
     }
 )
-# Said by the line's own columns.
+# Fields that are shown in columns of their own, or are the same in all lines.
 _IN_COLUMNS = frozenset({"event", "instance", "level", "request", "timestamp"})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Line:
-    """One log line.
+    """A parsed log line.
 
     Attributes:
-        at_s: Wall-clock seconds at which it was written.
-        instance: Who wrote it.
-        event: What happened.
-        fields: Everything else.
+        at_s: Unix time of the line in seconds.
+        instance: Name of the instance that wrote it.
+        event: Name of the event.
+        fields: All fields of the line.
     """
 
     at_s: float
@@ -57,13 +56,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Story:
-    """What the files say of one request.
+    """Log lines that concern one request.
 
     Attributes:
-        request_id: The request.
-        lines: Its own lines, oldest first.
-        beliefs: Changes of belief around them at its instances.
-        skipped: Lines that are no log lines, or are cut off.
+        request_id: Id of the request.
+        lines: Lines of the request, oldest first.
+        beliefs: State changes of its instances around that time.
+        skipped: Number of lines that could not be parsed.
     """
 
     request_id: str
@@ -73,7 +72,11 @@
 
 
 def read(request_id: str, files: Sequence[pathlib.Path]) -> Story:
-    """Reads files line by line, twice, so that their size doesn't matter."""
+    """Collects the lines of a request from log files.
+
+    Each file is read line by line in two passes, so that large files are not
+    held in memory.
+    """
     story = Story(request_id, [], [])
     for line in _lines(files, story):
         if line.fields.get("request") == request_id:
@@ -95,7 +98,7 @@
 
 
 def page(story: Story) -> str:
-    """The story as text, oldest line first."""
+    """Renders the history as text, oldest line first."""
     if not story.lines:
         return (
             f"no line of request {story.request_id}; "
@@ -119,7 +122,7 @@
 
 
 def _deciding(lines: Sequence[Line]) -> str:
-    """The last line that says why it ended as it did."""
+    """Returns the log line that decided the outcome of the request."""
     for line in reversed(lines):
         if line.event in ("request_not_placed", "retry_denied"):
             return f"{line.event} {_said(line)}"
@@ -128,7 +131,7 @@
             return f"{line.event} {_said(line)}"
     sent = [line for line in lines if line.event == "request_sent"]
     if sent and any(line.event == "request_failed" for line in lines):
-        # It ended while an engine that was sent to gave no answer.
+        # The request failed before an engine responded.
         last = max(sent, key=_since_ms)
         return f"no answer to {last.event} {_said(last)}"
     for line in reversed(lines):
@@ -161,7 +164,7 @@
 
 
 def _line(raw: str) -> Line | None:
-    """A line of JSON, also where a collector has put its own words before."""
+    """Parses a JSON line, which may have a prefix from a log collector."""
     _, brace, rest = raw.partition("{")
     if not brace:
         return None
--- a/src/jujubewharf/telemetry/gauges.py
+++ b/src/jujubewharf/telemetry/gauges.py
@@ -1,4 +1,4 @@
-"""Gauges read from a running core whenever metrics are collected."""
+"""Observable gauges of an entry core."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def watch(core: cores.EntryCore) -> None:
-    """Registers the gauges of a core; called once a process."""
+    """Registers the gauges of a core; called once per process."""
     meter = metrics.get_meter("jujubewharf")
 
     def slots_held(
--- a/src/jujubewharf/telemetry/goodput.py
+++ b/src/jujubewharf/telemetry/goodput.py
@@ -1,4 +1,4 @@
-"""Counts requests and goodput: those that met both of their targets."""
+"""Metrics of requests and goodput: requests that met both targets."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 class Stopwatch:
-    """Follows one request from its arrival to its end.
+    """Measures a request from its arrival to its end.
 
     Args:
-        service: Whose targets count.
-        arrived_ms: Clock reading at arrival.
-        clock: Time.
+        service: The requested service, which defines the targets.
+        arrived_ms: Clock reading in milliseconds when the request arrived.
+        clock: Clock for the measurement.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._first_ms: float | None = None
 
     def see(self, event: model_request.Event) -> None:
-        """Takes note of an event of a model request's answer."""
+        """Updates the metrics for an event of a model request."""
         match event:
             case model_request.Tokens():
                 self.first()
@@ -62,14 +62,14 @@
                 self.ended(event.kind.value)
 
     def first(self) -> None:
-        """The first token or byte came; later calls count for nothing."""
+        """Records the time to the first token or byte, once per request."""
         if self._first_ms is None:
             self._first_ms = self._clock.now_ms() - self._arrived_ms
             attributes = {"service": self._service.name}
             _first_answer_ms.record(self._first_ms, attributes)
 
     def finished(self) -> None:
-        """The answer is whole."""
+        """Records that the answer was completed."""
         self.first()
         assert self._first_ms is not None
         took_ms = self._clock.now_ms() - self._arrived_ms
@@ -84,6 +84,10 @@
         self.ended(FINISHED)
 
     def ended(self, outcome: str) -> None:
-        """The request ended; the outcome is an error kind's reason."""
+        """Counts the request by outcome.
+
+        Args:
+            outcome: ``FINISHED`` or the value of an ``errors.ErrorKind``.
+        """
         attributes = {"service": self._service.name, "outcome": outcome}
         _requests.add(1, attributes)
--- a/src/jujubewharf/telemetry/line_writer.py
+++ b/src/jujubewharf/telemetry/line_writer.py
@@ -1,8 +1,8 @@
-"""Writes log lines from a thread of its own, so that no request waits.
+"""Writes log lines in a background thread, so that no request waits.
 
-Whoever reads standard output may stall: a full pipe stops a writer. A line
-that finds the queue full is dropped and counted, and the count is written
-once lines move again.
+Writing to standard output blocks when its reader stalls and the pipe is full.
+Lines are queued; when the queue is full they are dropped, and the number of
+dropped lines is logged once the reader continues.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 import threading
 from typing import TextIO
 
-# Some seconds of lines at a few hundred a second, and under 2 MB.
+# Maximum number of queued lines: less than 2 MB.
 MAX_WAITING_LINES = 4_000
 _CLOSE_S = 0.3
 
 
 class LineWriter:
-    """Takes lines at once and writes them when it can.
+    """A text stream that never blocks its writers.
 
     Args:
-        stream: Where the lines go in the end.
-        max_waiting: Lines that wait at most.
+        stream: The stream that the background thread writes to.
+        max_waiting: Maximum number of queued lines.
 
     Attributes:
-        dropped: Lines dropped since the last count was written.
+        dropped: Number of dropped lines that has not been logged yet.
     """
 
     def __init__(
@@ -41,7 +41,11 @@
         self._thread.start()
 
     def write(self, line: str) -> int:
-        """Queues a line, or drops it."""
+        """Queues a line, or drops it if the queue is full.
+
+        Returns:
+            Number of characters queued; 0 for a dropped line.
+        """
         with self._changed:
             if len(self._waiting) >= self._max_waiting:
                 self.dropped += 1
@@ -51,10 +55,10 @@
         return len(line)
 
     def flush(self) -> None:
-        """Nothing: the thread writes as soon as it can."""
+        """Does nothing; the background thread flushes after each write."""
 
     def close(self) -> None:
-        """Writes what waits, for a short time at most."""
+        """Writes the queued lines, with a short timeout."""
         with self._changed:
             self._is_closed = True
             self._changed.notify()
@@ -75,7 +79,7 @@
                 self._stream.write(text)
                 self._stream.flush()
             except (OSError, ValueError):
-                # Nobody reads any more; there is nowhere left to say so.
+                # The reader has closed the stream, so this can't be logged.
                 return
             if is_last:
                 return
--- a/src/jujubewharf/telemetry/logs.py
+++ b/src/jujubewharf/telemetry/logs.py
@@ -1,9 +1,9 @@
-"""Structured logs: one JSON line an event on standard error.
+"""Structured logs: one JSON line per event, on standard error by default.
 
-No line carries a token or a prompt. What our own code logs is chosen field
-by field; what it does not choose is the text of exceptions and of other
-libraries' records, which may quote what they failed on. So an exception is
-written as its type and its places in the code, never its message.
+Log lines must not contain tokens or prompts. The messages of exceptions and of
+other libraries' records may quote their input. So exceptions are logged with
+their type and stack frames but without their message, and other libraries'
+records are cut to their first line.
 """
 
 from __future__ import annotations
@@ -23,12 +23,11 @@
 
 _MAX_FRAMES = 12
 
-# Their records say what our own lines and counters say already, or quote
-# addresses and bodies of calls.
+# Loggers limited to errors: their records repeat our own log lines and
+# metrics, or quote addresses and bodies.
 _QUIET_LOGGERS = ("aiohttp.access", "urllib3", "opentelemetry")
 
-# The libraries' lines on each start and stop of a part say nothing that ours
-# don't; their warnings are kept.
+# Loggers limited to warnings: `mode` logs each start and stop of a service.
 _WARNING_LOGGERS = ("jujubewharf", "mode", "users_platform")
 
 
@@ -42,10 +41,11 @@
     """Sets up structlog for the process, and routes ``logging`` into it.
 
     Args:
-        level: Lowest level written.
-        instance: Bound to every line.
-        stream: Where lines go; ``None`` takes standard error.
-        max_lines_per_s: Bound of the lines of one kind; ``None`` for none.
+        level: Lowest level that is logged.
+        instance: Name of the instance, added to every line.
+        stream: Stream to write to; ``None`` selects standard error.
+        max_lines_per_s: Rate limit for the lines of each event; ``None``
+            disables it.
     """
     stream = stream or sys.stderr
     bounds: list[structlog.typing.Processor] = []
@@ -82,10 +82,10 @@
 
 
 def handle_loop_errors(loop: asyncio.AbstractEventLoop) -> None:
-    """Logs what the event loop reports, without the failed objects.
+    """Logs errors that the event loop reports.
 
-    asyncio's own report holds the representation of the exception, whose
-    message may quote a body.
+    asyncio's own log records contain the exception's message, which may quote
+    a request body.
     """
     loop.set_exception_handler(_on_loop_error)
 
@@ -122,7 +122,7 @@
 def _safe_exception(
     logger: Any, method: str, event: structlog.typing.EventDict
 ) -> structlog.typing.EventDict:
-    """Puts an exception's type and places in place of its text."""
+    """Replaces an exception by its type and stack frames."""
     info = event.pop("exc_info", None)
     if not info:
         return event
@@ -146,9 +146,9 @@
 def _first_line(
     logger: Any, method: str, event: structlog.typing.EventDict
 ) -> structlog.typing.EventDict:
-    """Cuts other libraries' records to the line that says what happened.
+    """Cuts other libraries' records to their first line.
 
-    The lines after it are representations of objects and tracebacks.
+    Further lines hold tracebacks and object representations.
     """
     event["event"] = str(event["event"]).partition("\n")[0]
     return event
--- a/src/jujubewharf/telemetry/metrics.py
+++ b/src/jujubewharf/telemetry/metrics.py
@@ -1,8 +1,8 @@
-"""Sets up OpenTelemetry: the Prometheus endpoint and OTLP, by setting.
+"""Sets up OpenTelemetry with a Prometheus endpoint and OTLP export.
 
-Instruments are made where they count, on the meter ``jujubewharf``; the list
-of all is ``docs/operating/metrics.md``. Until ``configure`` runs they count
-into nothing, so that library users and tests pay for none of it.
+Instruments are created in the modules that use them, on the meter
+``jujubewharf``; ``docs/operating/metrics.md`` lists them all. Until
+``configure`` is called they record nothing.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 
 class MetricsEdge(mode.Service):
-    """Serves ``GET /metrics`` on a port of its own.
+    """Serves ``GET /metrics`` on its own port.
 
-    It is not on the caller edge: callers have no business with it, and a
-    scrape should get through when the caller edge refuses everything.
+    It is separate from the caller edge, so that callers can't read metrics and
+    scrapes succeed while the caller edge refuses requests.
 
     Args:
-        settings: Where to listen.
-        registry: What is told.
+        settings: Address to listen on.
+        registry: Registry of the exposed metrics.
 
     Attributes:
-        port: Port listened on, once started.
+        port: The port it listens on, once started.
     """
 
     def __init__(
@@ -70,12 +70,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """Who counts.
+    """Resource attributes of exported metrics.
 
     Attributes:
         instance: Name of the instance.
-        region: Its region.
-        domain: Its failure domain.
+        region: Region of the instance.
+        domain: Failure domain of the instance.
     """
 
     instance: str
@@ -86,10 +86,10 @@
 def configure(
     telemetry: models.TelemetrySettings, identity: Identity
 ) -> MetricsEdge | None:
-    """Makes the process's meter provider; called once, before the start.
+    """Sets the process's meter provider; called once, before the start.
 
     Returns:
-        The Prometheus endpoint, where the settings ask for one.
+        The Prometheus endpoint, if the settings enable it.
     """
     readers: list[export.MetricReader] = []
     edge: MetricsEdge | None = None
@@ -116,7 +116,7 @@
 def _otlp_reader(
     telemetry: models.TelemetrySettings,
 ) -> export.PeriodicExportingMetricReader:
-    # Loaded only where it is asked for: it brings an HTTP client of its own.
+    # Imported only if enabled, since it loads another HTTP client.
     from opentelemetry.exporter.otlp.proto.http import metric_exporter
 
     exporter = metric_exporter.OTLPMetricExporter(endpoint=telemetry.otlp_url)
--- a/src/jujubewharf/telemetry/rate_bound.py
+++ b/src/jujubewharf/telemetry/rate_bound.py
@@ -1,7 +1,7 @@
-"""Bounds how many lines of one kind are written a second.
+"""Rate limit for log lines of the same event.
 
-In a storm of refusals each line says the same, and writing them takes time
-from the requests that are served.
+Under overload, thousands of similar refusals per second would be logged, and
+writing them would slow down the requests that are served.
 """
 
 from __future__ import annotations
@@ -13,20 +13,19 @@
 
 import structlog
 
-# Refusals and failures of an instance are a few dozen a second; a storm is
-# many times that.
+# Well above the rate of refusals and failures in normal operation.
 MAX_LINES_PER_S = 200
 
 
 class RateBound:
-    """A processor that drops lines of a kind that came too often.
+    """A structlog processor that drops lines of too frequent events.
 
-    The next line that is written, of whatever kind, tells how many of each
-    kind were left out before it, in its field ``left_out``.
+    The next line that is written, of any event, has the number of dropped
+    lines by event in its field ``left_out``.
 
     Args:
-        max_per_s: Lines of one kind in one second.
-        now_s: Reads a clock that never goes back.
+        max_per_s: Maximum number of lines per event and second.
+        now_s: Reads a monotonic clock, in seconds.
     """
 
     def __init__(
@@ -44,7 +43,7 @@
     def __call__(
         self, logger: Any, method: str, event: structlog.typing.EventDict
     ) -> structlog.typing.EventDict:
-        """Passes an event on, or drops it."""
+        """Returns the event, or raises ``structlog.DropEvent``."""
         second = int(self._now_s())
         if second != self._second:
             self._second = second
--- a/src/jujubewharf/telemetry/tallies.py
+++ b/src/jujubewharf/telemetry/tallies.py
@@ -1,7 +1,7 @@
-"""The process's own reading of its counters, for the operator interface.
+"""Reads the process's own counters, for the operator interface.
 
-Operators ask one instance for its refusals and retries by reason; what they
-are told is what the metrics count, so that there is one count of each.
+Operators can ask an instance for its refusals and retries by reason. The
+values are read from the metrics, so that both always agree.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 def make_reader() -> export.MetricReader:
-    """The reader for the process's meter provider; called once."""
+    """Creates the reader for the process's meter provider; called once."""
     reader = export.InMemoryMetricReader()
     _readers[:] = [reader]
     return reader
 
 
 def by_reason(instrument: str) -> collections.Counter[str] | None:
-    """Totals of a counter by reason; ``None`` where nothing is counted."""
+    """Returns a counter's totals by reason; ``None`` if metrics are off."""
     if not _readers:
         return None
     totals: collections.Counter[str] = collections.Counter()
