--- a/src/jujubewharf/__init__.py
+++ b/src/jujubewharf/__init__.py
@@ -1,3 +1,3 @@
-"""A router for separate prefill and decode pools, beside plain services."""
+"""A router for plain services and for models with prefill and decode pools."""
 
 __version__ = "0.1.0"
--- a/src/jujubewharf/bearer.py
+++ b/src/jujubewharf/bearer.py
@@ -1,7 +1,7 @@
-"""Bearer tokens: taken from a request, and found by their digests only.
+"""Bearer tokens: parsing of headers, and lookup by digest.
 
-No token is kept and none is compared: a configuration that leaks, and the time
-that an answer takes, tell nothing of a token.
+Only digests are stored and compared, so that neither a leaked configuration
+nor the response time reveals anything about a token.
 """
 
 from __future__ import annotations
@@ -22,22 +22,25 @@
 
 
 def digest_of(token: str) -> str:
-    """What is kept of a token: its SHA-256 in hexadecimal.
+    """Returns the hexadecimal SHA-256 of a token.
 
-    Bytes that are no text arrive as lone surrogates, which have to be turned
-    back: a plain encoding of them raises, and the caller would see a failure of
-    the system where it should see that its token is unknown.
+    Header bytes that are not UTF-8 arrive as lone surrogates. They are encoded
+    back to the original bytes, so that such a token is unknown rather than an
+    internal error.
     """
     raw = token.encode("utf-8", "surrogateescape")
     return hashlib.sha256(raw).hexdigest()
 
 
 def token_of(values: Sequence[str]) -> str:
-    """The token in a request's ``Authorization`` headers.
+    """Parses the token of a request.
+
+    Args:
+        values: Values of all ``Authorization`` headers of the request.
 
     Raises:
-        WharfError: ``UNAUTHENTICATED``: there is none, there are several, or
-            it is of another scheme.
+        WharfError: ``UNAUTHENTICATED`` unless there is exactly one header
+            with a bearer token.
     """
     if len(values) != 1:
         raise errors.WharfError(
@@ -54,13 +57,15 @@
 
 
 class DigestTable(Generic[T]):
-    """Finds what belongs to a token.
+    """Maps tokens to values by their digests.
 
-    A digest that belongs to two things finds neither: it doesn't tell which of
-    them the caller is.
+    A digest that occurs more than once is ambiguous and matches nothing.
 
     Args:
-        entries: Digests, in upper or lower case, and what belongs to each.
+        entries: Pairs of a digest, in upper or lower case, and its value.
+
+    Attributes:
+        ambiguous: Number of ambiguous digests.
     """
 
     def __init__(self, entries: Iterable[tuple[str, T]]) -> None:
@@ -80,11 +85,11 @@
         return len(self._found)
 
     def find(self, token: str) -> T | None:
-        """What belongs to a token; ``None`` for one that isn't known.
+        """Returns the value of a token; ``None`` for an unknown token.
 
-        A digest can't be steered byte by byte by who doesn't know the token,
-        so its way through the table tells nothing; the last comparison takes
-        the same time for every digest.
+        The timing of the table lookup depends only on the digest, which can't
+        be chosen byte by byte without knowing a matching token. The final
+        comparison takes constant time.
         """
         digest = digest_of(token)
         stored, value = self._found.get(digest, ("", None))
--- a/src/jujubewharf/clock.py
+++ b/src/jujubewharf/clock.py
@@ -1,8 +1,8 @@
-"""The one clock: milliseconds, read from the running event loop.
+"""Clock and timers in milliseconds, based on the running event loop.
 
-Every timer in the package goes through this type, so a test or an experiment
-that runs on a virtual-time loop moves the whole system by hand. A skewed clock
-stands for an instance whose time differs from its peers'.
+All timers of the package use this type, so that tests and experiments can run
+the whole system on an event loop with virtual time. A clock with skew models
+an instance whose wall clock differs from that of its peers.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
     """Reads time and waits, in milliseconds.
 
     Args:
-        skew_ms: Added to every wall-clock reading; failure tests use it to
-            model instances whose clocks differ.
-        wall_origin_ms: Wall time at loop time zero. ``None`` reads the
-            machine's wall clock; virtual-time runs give a constant.
+        skew_ms: Added to every wall-clock reading, to model clock skew between
+            instances.
+        wall_origin_ms: Wall-clock time at loop time zero, for virtual-time
+            runs. ``None`` reads the machine's wall clock.
     """
 
     def __init__(
@@ -34,45 +34,45 @@
         return f"Clock(skew_ms={self._skew_ms})"
 
     def now_ms(self) -> float:
-        """Monotonic milliseconds; comparable only within one process."""
+        """Returns monotonic milliseconds, comparable only in this process."""
         return asyncio.get_running_loop().time() * MS_PER_S
 
     def wall_ms(self) -> float:
-        """Wall-clock milliseconds, for log lines and history only."""
+        """Returns Unix time in milliseconds, for logs and history only."""
         if self._wall_origin_ms is None:
             return time.time() * MS_PER_S + self._skew_ms
         return self._wall_origin_ms + self.now_ms() + self._skew_ms
 
     def awake_ms(self) -> float:
-        """As ``now_ms``, but time in which the process was suspended counts.
+        """Returns monotonic milliseconds that include time in suspension.
 
-        A lease that ran out while its holder was suspended still looks young
-        by a clock that stood still meanwhile.
+        Lease holders use it: ``now_ms`` may stand still while the machine is
+        suspended, and an expired lease would look valid.
         """
         if self._wall_origin_ms is not None:
             return self.now_ms()
         return time.clock_gettime(time.CLOCK_BOOTTIME) * MS_PER_S
 
     async def sleep_ms(self, duration_ms: float) -> None:
-        """Waits; a duration of zero or less yields to other tasks once."""
+        """Sleeps; a duration of zero or less yields to other tasks once."""
         await asyncio.sleep(max(0.0, duration_ms) / MS_PER_S)
 
     async def sleep_until_ms(self, at_ms: float) -> None:
-        """Waits until ``now_ms()`` reaches the given reading."""
+        """Sleeps until ``now_ms()`` reaches the given time."""
         await self.sleep_ms(at_ms - self.now_ms())
 
     def call_at_ms(
         self, at_ms: float, call: Callable[[], None]
     ) -> asyncio.TimerHandle:
-        """Calls back when ``now_ms()`` reaches the given reading."""
+        """Schedules a callback for when ``now_ms()`` reaches the given time."""
         loop = asyncio.get_running_loop()
         return loop.call_at(at_ms / MS_PER_S, call)
 
     def timeout_ms(self, duration_ms: float | None) -> asyncio.Timeout:
-        """An ``async with`` block that raises ``TimeoutError`` after a while.
+        """Returns an ``async with`` context that raises ``TimeoutError``.
 
         Args:
-            duration_ms: ``None`` never times out.
+            duration_ms: Timeout in milliseconds; ``None`` never times out.
         """
         if duration_ms is None:
             return asyncio.timeout(None)
--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -1,7 +1,7 @@
-"""All of an instance but its servers.
+"""The core of an instance: everything except its servers.
 
-``EntryCore`` holds everything that decides. It is given adapters, so that
-tests and experiments run the same code on stand-ins and a virtual clock.
+``EntryCore`` accesses the outside through adapters, so that tests and
+experiments can run it with stand-ins on a virtual clock.
 """
 
 from __future__ import annotations
@@ -57,14 +57,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Adapters:
-    """Everything outside that a core speaks to.
+    """Adapters through which a core accesses the outside.
 
     Attributes:
         log: The platform's log.
-        live_list: The platform's list of the living.
+        live_list: The platform's live list.
         weight_store: The platform's weight store.
-        make_engine_client: Makes the client of a model engine.
-        endpoints: Calls plain endpoints.
+        make_engine_client: Creates the client of a model engine.
+        endpoints: Client for plain endpoints.
         transport: Streams to and from peers.
     """
 
@@ -77,31 +77,31 @@
 
 
 class EntryCore(mode.Service):
-    """Everything of an instance that decides.
+    """The services of an instance, wired together.
 
     Args:
         settings: The instance's settings.
-        clock: Time.
-        adapters: What it speaks to.
-        policy: Decides where requests run; ``None`` takes the product's own.
+        clock: Clock for all timers.
+        adapters: Adapters to the outside.
+        policy: Placement policy; ``None`` selects the default policy.
 
     Attributes:
-        configuration: Configuration in force here.
-        changes: Takes operators' changes.
+        configuration: Follows the configuration on the log.
+        changes: Applies configuration changes of operators.
         fleet: Views of the engines.
-        departures: Endpoints that somebody says are leaving.
+        departures: Endpoints that are reported to be leaving.
         admission: Counts requests in flight; closed by a shutdown.
         leases: Leases on the log.
-        orders: Orders to engines.
-        accounts: Client accounts in force here.
-        model_limits: Limits of model requests here.
-        plain_limits: Limits of plain calls here.
+        orders: Reconciles engines with the configuration by orders.
+        accounts: Configured client accounts.
+        model_limits: Limits of model requests at this instance.
+        plain_limits: Limits of plain calls at this instance.
         plain: Runs plain calls.
-        peers: Links to the other instances.
-        facts: Small facts known to the whole fleet.
-        membership: Who they are.
-        runner: Runs model requests, and counts.
-        answers: Runs the answers of this instance.
+        peers: Connections to the other instances.
+        facts: Facts that are replicated to all instances.
+        membership: Tracks which instances are present.
+        runner: Runs model requests and counts their outcomes.
+        answers: Runs the answers that this instance serves.
         claims: Claims of requests that may not be repeated.
     """
 
@@ -243,7 +243,7 @@
         )
 
     async def on_start(self) -> None:
-        """Starts the parts, those that others need first."""
+        """Starts all services, in the order of their dependencies."""
         await self.add_runtime_dependency(self.peers)
         await self.add_runtime_dependency(self.facts)
         await self.add_runtime_dependency(self.membership)
@@ -259,7 +259,7 @@
         await self.add_runtime_dependency(self.sweep)
 
     def new_shutdown(self) -> shutdown.Shutdown:
-        """A graceful shutdown of this instance; the caller runs it."""
+        """Creates a graceful shutdown, which the caller runs."""
         return shutdown.Shutdown(
             self.admission,
             lambda: self.answers.running,
@@ -270,7 +270,7 @@
         )
 
     def _hand_over(self) -> None:
-        """Peers take this instance's roles when they hear that it leaves."""
+        """Stops orders and leaves the membership, so that peers take over."""
         self.orders.retire()
         self.membership.leave()
 
--- a/src/jujubewharf/entry.py
+++ b/src/jujubewharf/entry.py
@@ -1,4 +1,4 @@
-"""The daemon: an entry core on real adapters, and its servers."""
+"""The daemon: an entry core with its adapters and servers."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
     Args:
         settings: The instance's settings.
-        clock: Time.
+        clock: Clock for all timers.
 
     Attributes:
         core: The instance's core, once started.
@@ -54,7 +54,7 @@
         self.operators: operator_server.OperatorServer | None = None
 
     async def on_start(self) -> None:
-        """Makes the adapters and starts core and edges."""
+        """Creates the adapters, then starts the core and the servers."""
         peers = self._settings.peers
         transport = peer_keys.make_transport(peers)
         self.core = cores.EntryCore(
@@ -100,17 +100,17 @@
             await self.add_runtime_dependency(reloader)
 
     def new_shutdown(self) -> shutdown.Shutdown:
-        """A graceful shutdown; see ``core.EntryCore.new_shutdown``."""
+        """Creates a graceful shutdown; see ``core.EntryCore.new_shutdown``."""
         assert self.core is not None
         return self.core.new_shutdown()
 
     async def on_shutdown(self) -> None:
-        """Closes the client sessions once all parts stopped."""
+        """Closes the client sessions once all services have stopped."""
         for session in self._sessions:
             await session.close()
 
     def _new_session(self) -> aiohttp.ClientSession:
-        """A connection pool of its own."""
+        """Creates a client session with a separate connection pool."""
         session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
             timeout=aiohttp.ClientTimeout(
--- a/src/jujubewharf/errors.py
+++ b/src/jujubewharf/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds and the one table from kind to answer.
+"""All error kinds, and the table of their responses.
 
-Everything a caller or an operator can be told is here. ``ran`` is a promise:
-``Ran.NO`` may be said only when it is certain that no engine or endpoint was
-given the request; when that can't be known the kind says ``Ran.UNKNOWN``.
+The table holds every error that callers or operators can get. ``ran`` is a
+guarantee: ``Ran.NO`` may be used only if no engine or endpoint can have
+received the request; otherwise it is ``Ran.UNKNOWN``.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Ran(enum.Enum):
-    """Whether the refused request ran."""
+    """Whether the failed request ran."""
 
     NO = "no"
     YES = "yes"
@@ -20,7 +20,7 @@
 
 
 class ErrorKind(enum.Enum):
-    """Every kind of failure; the value is the counter's reason."""
+    """Kinds of failure; the value is the ``reason`` label of the counters."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -57,14 +57,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What the outside is told for one error kind.
+    """Response to one kind of error.
 
     Attributes:
-        http_status: Status on the caller edge.
-        grpc_code: Name of the ``grpc.StatusCode`` on the operator edge.
+        http_status: HTTP status for callers.
+        grpc_code: Name of the ``grpc.StatusCode`` for operators.
         ran: Whether the request ran.
-        retryable: Whether the same request may help when sent again.
-        message: One sentence for a person.
+        retryable: Whether a retry of the same request may succeed.
+        message: Human-readable message of one sentence.
     """
 
     http_status: int
@@ -166,8 +166,7 @@
     ErrorKind.ANSWER_BROKEN: Answer(
         502, "DATA_LOSS", _YES, True, "The answer's digest did not match."
     ),
-    # Neither a promise that nothing ran nor an invitation to come back: each
-    # further run would crash an engine.
+    # Not retryable: each further run may crash another engine.
     ErrorKind.QUARANTINED: Answer(
         500, "INTERNAL", _YES, False, "Engines crash while they run it."
     ),
@@ -204,13 +203,13 @@
 
 
 class WharfError(Exception):
-    """The one exception that crosses package borders.
+    """Base exception for failures that are reported to callers or operators.
 
     Args:
-        kind: Row of the table that answers this failure.
-        detail: What was wrong this time; never a token or a prompt.
-        retry_after_ms: When the caller should come back, if known.
-        ran: Overrides the table's word when the raiser knows more.
+        kind: Kind of the error, which selects the response.
+        detail: Description of this failure; never contains tokens or prompts.
+        retry_after_ms: Milliseconds after which to retry, if known.
+        ran: Overrides the table's value if more is known about this request.
     """
 
     def __init__(
@@ -229,5 +228,5 @@
 
     @property
     def answer(self) -> Answer:
-        """The table's row for this failure."""
+        """The table's entry for this kind of error."""
         return TABLE[self.kind]
--- a/src/jujubewharf/hashing.py
+++ b/src/jujubewharf/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every instance picks the same owner without talking."""
+"""Rendezvous hashing, by which all instances agree on the owner of a key."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def rank(key: str, candidates: Iterable[str]) -> list[str]:
-    """Orders candidates for a key, best first.
+    """Orders candidates for a key by rendezvous hashing, best first.
 
-    When a candidate leaves, only the keys it owned move (highest random
+    When a candidate leaves, only the keys that it owned move (highest random
     weight hashing, Thaler and Ravishankar 1998).
     """
     return sorted(
@@ -24,5 +24,5 @@
 
 
 def digest(data: bytes) -> str:
-    """A short content digest, for comparing bodies and answers."""
+    """Returns a short digest to compare request bodies and answers."""
     return xxhash.xxh3_128_hexdigest(data)
--- a/src/jujubewharf/header_values.py
+++ b/src/jujubewharf/header_values.py
@@ -1,15 +1,15 @@
-"""Numbers in the headers of requests and answers."""
+"""Parses numbers in HTTP headers."""
 
 from __future__ import annotations
 
 import math
 
-# Digits of the largest whole number that a float holds exactly.
+# Integers of up to 15 digits are exact in a float.
 _MAX_DIGITS = 15
 
 
 def amount(text: str | None) -> float | None:
-    """A decimal number that isn't negative; ``None`` for all else."""
+    """Parses a non-negative decimal number; returns ``None`` otherwise."""
     if not text:
         return None
     try:
@@ -20,7 +20,7 @@
 
 
 def whole(text: str | None) -> int | None:
-    """A number in digits; ``None`` for all else, of any length or script."""
+    """Parses an integer of ASCII digits; returns ``None`` otherwise."""
     text = (text or "").strip()
     is_number = text.isascii() and text.isdigit() and len(text) <= _MAX_DIGITS
     return int(text) if is_number else None
