--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -417,7 +417,7 @@
             run,
             leader=leader,
             waited_ms=waited_ms,
-            come_back_ms=answer.come_back_ms,
+            come_back_ms=answer.retry_after_ms,
             is_over_quota=answer.is_over_quota,
         )
         if run.may_have_run:
@@ -425,7 +425,7 @@
         kind = errors.ErrorKind.QUEUE_FULL
         if answer.is_over_quota:
             kind = errors.ErrorKind.RATE_LIMITED
-        return errors.WharfError(kind, retry_after_ms=answer.come_back_ms)
+        return errors.WharfError(kind, retry_after_ms=answer.retry_after_ms)
 
 
 def _table_record(
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -171,12 +171,12 @@
     """Reply to ``PlacementRequest``: the request was rejected.
 
     Attributes:
-        come_back_ms: Retry-after for the caller, in ms.
+        retry_after_ms: Retry-after for the caller, in ms.
         is_over_quota: Whether the account has exhausted its quota; else no
             memory became free within the maximum wait.
     """
 
-    come_back_ms: float
+    retry_after_ms: float
     is_over_quota: bool = False
 
 
