--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -388,7 +388,7 @@
             return None
         reservation = all_reservations.Reservation(
             engine,
-            placed.hold,
+            placed.reservation_id,
             reserved_at_ms=self._clock.now_ms(),
             tokens=placed.tokens,
             memory_share=placed.memory_part,
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -150,7 +150,7 @@
 
     Attributes:
         engine: Name of the decode engine.
-        hold: Id of the reservation at the engine.
+        reservation_id: Id of the reservation at the engine.
         tokens: Reserved memory, in tokens.
         memory_part: Reserved share of the engine's memory.
         readers: Prefill engines for the prompt, in order of preference.
@@ -158,7 +158,7 @@
     """
 
     engine: str
-    hold: str
+    reservation_id: str
     tokens: int
     memory_part: float
     readers: tuple[str, ...] = ()
