--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -391,7 +391,7 @@
             placed.reservation_id,
             reserved_at_ms=self._clock.now_ms(),
             tokens=placed.tokens,
-            memory_share=placed.memory_part,
+            memory_share=placed.memory_share,
             has_permit=placed.has_permit,
         )
         engines = [self._registry.get(name) for name in placed.readers]
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -152,7 +152,7 @@
         engine: Name of the decode engine.
         reservation_id: Id of the reservation at the engine.
         tokens: Reserved memory, in tokens.
-        memory_part: Reserved share of the engine's memory.
+        memory_share: Reserved share of the engine's memory.
         readers: Prefill engines for the prompt, in order of preference.
         has_permit: Whether the engine's rate limit admits the request.
     """
@@ -160,7 +160,7 @@
     engine: str
     reservation_id: str
     tokens: int
-    memory_part: float
+    memory_share: float
     readers: tuple[str, ...] = ()
     has_permit: bool = False
 
