--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -394,7 +394,7 @@
             memory_share=placed.memory_share,
             has_permit=placed.has_permit,
         )
-        engines = [self._registry.get(name) for name in placed.readers]
+        engines = [self._registry.get(name) for name in placed.prefill_engines]
         reservation.prefill_engines = [
             prefill_engine
             for prefill_engine in engines
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -153,7 +153,7 @@
         reservation_id: Id of the reservation at the engine.
         tokens: Reserved memory, in tokens.
         memory_share: Reserved share of the engine's memory.
-        readers: Prefill engines for the prompt, in order of preference.
+        prefill_engines: Prefill engines for the prompt, in order of preference.
         has_permit: Whether the engine's rate limit admits the request.
     """
 
@@ -161,7 +161,7 @@
     reservation_id: str
     tokens: int
     memory_share: float
-    readers: tuple[str, ...] = ()
+    prefill_engines: tuple[str, ...] = ()
     has_permit: bool = False
 
 
