--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -231,11 +231,11 @@
 
     Attributes:
         will_take_ms: Projected duration, in ms.
-        memory_part: Share of the engine's memory that it holds.
+        memory_share: Share of the engine's memory that it holds.
     """
 
     will_take_ms: float
-    memory_part: float
+    memory_share: float
 
 
 @messages.message(79)
