--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -178,7 +178,7 @@
                 self._observations.record_first_event(took_ms)
             case leader_messages.ResponseProjected():
                 self._observations.record_projection(
-                    message.will_take_ms, memory_share=message.memory_share
+                    message.projected_ms, memory_share=message.memory_share
                 )
             case leader_messages.ResponseLengthMeasured():
                 self._observations.record_length(
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -230,11 +230,11 @@
     """Reports how long a running response is projected to hold memory.
 
     Attributes:
-        will_take_ms: Projected duration, in ms.
+        projected_ms: Projected duration, in ms.
         memory_share: Share of the engine's memory that it holds.
     """
 
-    will_take_ms: float
+    projected_ms: float
     memory_share: float
 
 
