--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -224,7 +224,7 @@
                     self._quotas.follower_admitted(self._usage, run)
                 _resolve(answer, _grant_message(reservation))
                 ending = await held.ending
-                if ending.is_hold_used:
+                if ending.is_reservation_used:
                     reservation.take_id()
                 if not ending.is_whole:
                     raise _IncompleteAnswerError
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -188,12 +188,12 @@
     Attributes:
         number: Number of the placement.
         is_whole: Whether the response was completed.
-        is_hold_used: Whether the reservation was used at the engine.
+        is_reservation_used: Whether the reservation was used at the engine.
     """
 
     number: int
     is_whole: bool
-    is_hold_used: bool
+    is_reservation_used: bool
 
 
 @messages.message(76)
