--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -226,7 +226,7 @@
                 ending = await held.ending
                 if ending.is_reservation_used:
                     reservation.take_id()
-                if not ending.is_whole:
+                if not ending.is_complete:
                     raise _IncompleteAnswerError
         except errors.WharfError as error:
             retry_after_ms = error.retry_after_ms
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -187,12 +187,12 @@
 
     Attributes:
         number: Number of the placement.
-        is_whole: Whether the response was completed.
+        is_complete: Whether the response was completed.
         is_reservation_used: Whether the reservation was used at the engine.
     """
 
     number: int
-    is_whole: bool
+    is_complete: bool
     is_reservation_used: bool
 
 
