--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -347,7 +347,7 @@
 
 def _cost_report(message: leader_messages.CostsObserved) -> costs.CostReport:
     return costs.CostReport(
-        max(0, message.readings),
+        max(0, message.prefills),
         message.prefill_ms,
         max(0, message.answers),
         message.decode_ms,
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -296,14 +296,14 @@
     """Costs that a follower observed before it followed this leader.
 
     Attributes:
-        readings: Number of prefills observed.
+        prefills: Number of prefills observed.
         prefill_ms: Time that one prompt keeps a prefill engine busy, in ms.
         answers: Number of responses observed.
         decode_ms: Time that one response would hold the whole memory of a
             decode engine, in ms.
     """
 
-    readings: int
+    prefills: int
     prefill_ms: float
     answers: int
     decode_ms: float
