--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -349,7 +349,7 @@
     return costs.CostReport(
         max(0, message.prefills),
         message.prefill_ms,
-        max(0, message.answers),
+        max(0, message.responses),
         message.decode_ms,
     )
 
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -298,14 +298,14 @@
     Attributes:
         prefills: Number of prefills observed.
         prefill_ms: Time that one prompt keeps a prefill engine busy, in ms.
-        answers: Number of responses observed.
+        responses: Number of responses observed.
         decode_ms: Time that one response would hold the whole memory of a
             decode engine, in ms.
     """
 
     prefills: int
     prefill_ms: float
-    answers: int
+    responses: int
     decode_ms: float
 
 
