--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -159,12 +159,12 @@
 
     Attributes:
         marks: Eight bytes for each attempt.
-        is_owners_word: Whether the owner itself replied; false if it could
+        is_from_owner: Whether the owner itself replied; false if it could
             not be reached.
     """
 
     marks: bytes
-    is_owners_word: bool = True
+    is_from_owner: bool = True
 
 
 @messages.message(29)
--- a/src/jujubewharf/requests/sweep.py
+++ b/src/jujubewharf/requests/sweep.py
@@ -168,7 +168,7 @@
         message = key_messages.NeededAttemptsRequest(owner, marks)
         for peer in [owner, *self._intermediaries(owner)]:
             answer = await self._ask(peer, message)
-            if answer is not None and answer.is_owners_word:
+            if answer is not None and answer.is_from_owner:
                 return frozenset(releases.marks_in(answer.marks))
         return None
 
@@ -239,5 +239,5 @@
         # Forwards the question for an instance that can't reach the owner.
         answer = await self._ask(message.owner, message)
         if answer is None:
-            return key_messages.UnneededAttempts(b"", is_owners_word=False)
+            return key_messages.UnneededAttempts(b"", is_from_owner=False)
         return answer
