--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -155,9 +155,9 @@
     Attributes:
         engine: Name of the prefill engine.
         number: Number of the request at the sender.
-        is_read: Whether the prefill is done, so that the transfer begins.
+        is_prefilled: Whether the prefill is done, so that the transfer begins.
     """
 
     engine: str
     number: int
-    is_read: bool = False
+    is_prefilled: bool = False
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -184,7 +184,9 @@
         prefills = self._prefill_ledgers.get(end.engine)
         if prefills is not None:
             holder = slot_ledger.Holder(peer, end.number)
-            prefills.end(holder, self._clock.now_ms(), is_prefilled=end.is_read)
+            prefills.end(
+                holder, self._clock.now_ms(), is_prefilled=end.is_prefilled
+            )
 
     def _transfer_ms(self, engine: str, tokens: int) -> float:
         """Returns the time to transfer a prompt's KV cache over the link."""
