--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -74,7 +74,7 @@
     Attributes:
         is_granted: Whether the slot is granted.
         from_in_ms: Time until the slot is expected to be free, in ms.
-        until_in_ms: Time until an unused grant expires, in ms.
+        expires_in_ms: Time until an unused grant expires, in ms.
         wait_ms: Without a grant, time after which to ask again, in ms.
         is_hopeless: Whether the engine can't grant a slot in time.
         digest: Load of the engines that the sender coordinates.
@@ -82,7 +82,7 @@
 
     is_granted: bool
     from_in_ms: int = 0
-    until_in_ms: int = 0
+    expires_in_ms: int = 0
     wait_ms: int = 0
     is_hopeless: bool = False
     digest: tuple[EngineLoad, ...] = ()
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -136,7 +136,7 @@
         return slot_messages.SlotReply(
             True,
             from_in_ms=0 if ask.is_ready else ask.ready_in_ms,
-            until_in_ms=ask.ready_in_ms + slot_ledger.PROMISE_LASTS_MS,
+            expires_in_ms=ask.ready_in_ms + slot_ledger.PROMISE_LASTS_MS,
             digest=self._answer_digests(ask.engine),
         )
 
