--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -73,7 +73,7 @@
 
     Attributes:
         is_granted: Whether the slot is granted.
-        from_in_ms: Time until the slot is expected to be free, in ms.
+        free_in_ms: Time until the slot is expected to be free, in ms.
         expires_in_ms: Time until an unused grant expires, in ms.
         wait_ms: Without a grant, time after which to ask again, in ms.
         is_hopeless: Whether the engine can't grant a slot in time.
@@ -81,7 +81,7 @@
     """
 
     is_granted: bool
-    from_in_ms: int = 0
+    free_in_ms: int = 0
     expires_in_ms: int = 0
     wait_ms: int = 0
     is_hopeless: bool = False
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -135,7 +135,7 @@
             return self._refusal(ask.engine, wait_ms, is_hopeless=is_hopeless)
         return slot_messages.SlotReply(
             True,
-            from_in_ms=0 if ask.is_ready else ask.ready_in_ms,
+            free_in_ms=0 if ask.is_ready else ask.ready_in_ms,
             expires_in_ms=ask.ready_in_ms + slot_ledger.PROMISE_LASTS_MS,
             digest=self._answer_digests(ask.engine),
         )
