--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -384,7 +384,7 @@
         )
         for use in self._followers:
             shares = use.usage.shares_of(self._total_usage, now_ms)
-            use.send(quota_messages.UsageShares.from_parts(shares))
+            use.send(quota_messages.UsageShares.from_shares(shares))
 
     def set_usage_shares(self, shares: dict[str, float]) -> None:
         """Sets this instance's share of each account's use."""
--- a/src/jujubewharf/peers/quota_messages.py
+++ b/src/jujubewharf/peers/quota_messages.py
@@ -76,9 +76,9 @@
     parts: tuple[UsageShare, ...]
 
     @classmethod
-    def from_parts(cls, parts: dict[str, float]) -> UsageShares:
+    def from_shares(cls, shares: dict[str, float]) -> UsageShares:
         """Creates the message from shares by account."""
-        return cls(tuple(UsageShare(*item) for item in parts.items()))
+        return cls(tuple(UsageShare(*item) for item in shares.items()))
 
     @property
     def by_account(self) -> dict[str, float]:
