--- a/src/jujubewharf/peers/quota_messages.py
+++ b/src/jujubewharf/peers/quota_messages.py
@@ -73,7 +73,7 @@
     Accounts that are not listed were not used there recently.
     """
 
-    parts: tuple[UsageShare, ...]
+    shares: tuple[UsageShare, ...]
 
     @classmethod
     def from_shares(cls, shares: dict[str, float]) -> UsageShares:
@@ -83,4 +83,4 @@
     @property
     def by_account(self) -> dict[str, float]:
         """Shares by account."""
-        return {told.account: told.part for told in self.parts}
+        return {share.account: share.part for share in self.shares}
