--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -12,9 +12,9 @@
 import structlog
 
 from jujubewharf.membership import facts as all_facts
+from jujubewharf.membership import failure_detector
 from jujubewharf.membership import member_facts
 from jujubewharf.membership import neighbours
-from jujubewharf.membership import suspicion
 from jujubewharf.membership import view
 from jujubewharf.platform import live_list
 
@@ -69,7 +69,7 @@
         self._clock = clock
         self._timing = timing
         self._poll_ms = poll_ms
-        self._suspicion = suspicion.FailureDetector(
+        self._suspicion = failure_detector.FailureDetector(
             mesh, facts, domain, clock, timing=timing
         )
         self._listed: dict[str, live_list.LiveMember] = {}
