--- a/src/jujubewharf/entry.py
+++ b/src/jujubewharf/entry.py
@@ -18,8 +18,8 @@
 from jujubewharf.leaving import shutdown
 from jujubewharf.operators import server as operator_server
 from jujubewharf.operators import service as operator_service
-from jujubewharf.peers import keys as peer_keys
 from jujubewharf.peers import streams
+from jujubewharf.peers import tls_keys as peer_keys
 from jujubewharf.platform import http_log
 from jujubewharf.platform import live_list
 from jujubewharf.platform import weights
--- a/tests/peers/test_keys.py
+++ b/tests/peers/test_tls_keys.py
@@ -11,11 +11,11 @@
 import trustme
 
 from jujubewharf import clock as clocks
-from jujubewharf.peers import keys
 from jujubewharf.peers import mesh as meshes
 from jujubewharf.peers import messages
 from jujubewharf.peers import network
 from jujubewharf.peers import peer
+from jujubewharf.peers import tls_keys
 from jujubewharf.settings import models
 
 
@@ -55,15 +55,15 @@
 
     def __init__(self, name: str, settings: models.PeerSettings) -> None:
         clock = clocks.Clock()
-        self.transport = keys.make_transport(settings)
+        self.transport = tls_keys.make_transport(settings)
         self.mesh = meshes.PeerMesh(
             name, "a", clock, self.transport, timing=peer.Timing(100, 350)
         )
         self.mesh.handle(Ping, self._answer)
-        files = keys.configured_files(settings)
+        files = tls_keys.configured_files(settings)
         self.reloader = None
         if files is not None:
-            self.reloader = keys.KeyReloader(
+            self.reloader = tls_keys.KeyReloader(
                 files, self.transport, self.mesh, clock, poll_ms=50
             )
 
@@ -134,7 +134,7 @@
 
 
 async def test_new_keys_come_into_force_without_a_restart(make_keys):
-    """Rotating the authority keeps links working and shuts out old keys."""
+    """Rotating the authority keeps links working and shuts out old tls_keys."""
     old, new = trustme.CA(), trustme.CA()
     async with contextlib.AsyncExitStack() as stack:
         first, second = make_keys("e1", old), make_keys("e2", old)
