--- a/src/jujubewharf/configuration/__init__.py
+++ b/src/jujubewharf/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""What operators declared, folded from the platform's log."""
+"""Configuration that operators declare, replicated through the log."""
--- a/src/jujubewharf/configuration/border.py
+++ b/src/jujubewharf/configuration/border.py
@@ -1,9 +1,9 @@
-"""Checks resources that come from outside and turns them into data classes.
+"""Conversion between resources and JSON data, with validation.
 
-The checked shapes are derived from the data classes of ``resources`` by
-pydantic, so that a field is declared once. An operator's field that nobody
-knows is an error (``parse``); on the log it is a newer version's field and
-is carried along unread (``read``).
+The pydantic validators are derived from the data classes of ``resources``, so
+each field is declared only once. Unknown fields are an error in input from
+operators (``parse``). In a stored body they belong to a newer version of the
+schema and are preserved unread (``read``).
 """
 
 from __future__ import annotations
@@ -44,10 +44,10 @@
 def parse(
     kind: resources.Kind, data: object
 ) -> result.Result[resources.Resource, list[str]]:
-    """Checks one resource given as JSON data.
+    """Validates a resource given as JSON data.
 
     Returns:
-        The resource, or one line an error, each opening with a field path.
+        The resource, or one line for each error, starting with a field path.
     """
     try:
         text = json.dumps(data)
@@ -66,11 +66,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reading:
-    """A body as far as this version understands it.
+    """A decoded body from the log.
 
     Attributes:
-        resource: What it understands.
-        extra: Fields of newer versions.
+        resource: Resource made of the fields that this version knows.
+        extra: Unknown fields, written by newer versions.
     """
 
     resource: resources.Resource
@@ -80,7 +80,7 @@
 def read(
     kind: resources.Kind, body: dict[str, Any]
 ) -> result.Result[Reading, list[str]]:
-    """Reads a body from the log, setting aside fields it doesn't know."""
+    """Decodes a body from the log and keeps unknown fields separate."""
     known, extra = _split(body, _FIELDS[kind])
     inner = known.get(_CAPABILITIES)
     if isinstance(inner, dict):
@@ -91,7 +91,7 @@
 
 
 def dump(resource: resources.Resource) -> dict[str, Any]:
-    """A resource as JSON data; ``parse`` takes it back."""
+    """Converts a resource to JSON data that ``parse`` accepts."""
     kind = resources.KIND_OF[type(resource)]
     return _ADAPTERS[kind].dump_python(resource, mode="json")
 
@@ -99,7 +99,7 @@
 def dump_whole(
     resource: resources.Resource, extra: dict[str, Any]
 ) -> dict[str, Any]:
-    """A resource with the fields that were set aside; ``read`` takes it."""
+    """Converts a resource and its unknown fields to data for ``read``."""
     body = dump(resource)
     for name, value in extra.items():
         is_nested = name == _CAPABILITIES and name in body
--- a/src/jujubewharf/configuration/changes.py
+++ b/src/jujubewharf/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes: to the log, and answered once they were read back."""
+"""Submits operators' changes to the log and waits for their verdicts."""
 
 from __future__ import annotations
 
@@ -30,13 +30,14 @@
 
 
 class Changes:
-    """Takes operators' changes and answers questions about them.
+    """Submits operators' changes and answers queries about them.
 
     Args:
-        follower: Holds the configuration in force here.
+        follower: Follower that holds the local configuration.
         platform_log: The platform's log.
-        clock: Time.
-        answer_timeout_ms: Longest wait for a change to be read back.
+        clock: Time source.
+        answer_timeout_ms: Maximum time in milliseconds to wait until a
+            submitted change has been read back from the log.
     """
 
     def __init__(
@@ -57,23 +58,25 @@
     async def submit(
         self, changes: Sequence[records.Change], *, force: bool = False
     ) -> list[states.Verdict]:
-        """Puts changes on the log and waits until they are judged.
+        """Appends changes to the log and waits for their verdicts.
 
-        Each change has a verdict of its own; a run of changes is appended
-        together but is not a transaction. An operation that was judged
-        already is not appended again.
+        The changes are appended as one batch, but they are not a transaction:
+        each has its own verdict. Operations that already have a verdict are
+        not appended again.
 
         Args:
-            changes: What to change, in order.
-            force: Sets the sanity bounds aside for all of them.
+            changes: Changes, in order.
+            force: Whether to skip the safety checks for all changes.
 
         Returns:
             The verdicts, in the order of the changes.
 
         Raises:
-            WharfError: ``CONFIG_INVALID`` names every error; nothing ran.
-                ``LOG_UNAVAILABLE``: nothing ran. ``OPERATION_UNKNOWN``: it
-                may have run; ``operation`` tells later.
+            WharfError: ``CONFIG_INVALID``: the detail lists all errors and
+                nothing was appended. ``CONFIG_CONFLICT``: an operation ID was
+                already used for another change. ``LOG_UNAVAILABLE``: nothing
+                was appended. ``OPERATION_UNKNOWN``: the changes may have been
+                appended; ``operation`` returns their verdicts later.
         """
         if force:
             changes = [dataclasses.replace(one, force=True) for one in changes]
@@ -92,11 +95,11 @@
         return [verdicts[change.operation_id] for change in changes]
 
     def operation(self, operation_id: str) -> states.Verdict | None:
-        """What became of an operation.
+        """Returns the verdict on an operation.
 
         Returns:
-            Its verdict; ``None`` when it was not judged yet, or so long ago
-            that it is no longer kept.
+            The verdict; ``None`` if the operation has not been applied yet or
+            is no longer in the history.
         """
         item = self._state.history.find(operation_id)
         return item.verdict if item is not None else None
@@ -104,7 +107,7 @@
     def history(
         self, kind: resources.Kind | None = None, name: str = ""
     ) -> list[histories.HistoryItem]:
-        """Judged changes, oldest first: of all, or of one resource."""
+        """Returns applied changes, oldest first, of one resource or all."""
         if kind is None:
             return list(self._state.history)
         return self._state.history.of(kind.value, name)
@@ -112,7 +115,10 @@
     def diff(
         self, wanted: Sequence[resources.Resource], *, prune: bool = False
     ) -> list[differences.Difference]:
-        """What would have to change; see ``differences.find``."""
+        """Compares wanted resources with those in force.
+
+        See ``differences.find``.
+        """
         return differences.find(self._state, wanted, prune=prune)
 
     async def rollback(
@@ -125,19 +131,22 @@
         actor: str,
         force: bool = False,
     ) -> states.Verdict:
-        """Makes a new change that brings an earlier body back.
+        """Submits a new change that restores an earlier body.
 
         Args:
             kind: Resource kind.
             name: Resource name.
-            to_generation: Generation whose body is wanted.
-            operation_id: Names the new change.
-            actor: Operator who asks.
-            force: Sets the sanity bounds aside.
+            to_generation: Generation whose body is restored.
+            operation_id: ID of the new change.
+            actor: Operator who requests the rollback.
+            force: Whether to skip the safety checks.
+
+        Returns:
+            The verdict on the new change.
 
         Raises:
-            WharfError: ``UNKNOWN_RESOURCE`` when that generation is not in
-                the history; otherwise as ``submit``.
+            WharfError: ``UNKNOWN_RESOURCE`` if that generation is not in the
+                history; otherwise as for ``submit``.
         """
         body = self._body_of(kind, name, to_generation)
         held = self._state.get(kind, name)
@@ -156,14 +165,15 @@
     async def watch(
         self, from_offset: int
     ) -> AsyncIterator[histories.HistoryItem]:
-        """Yields judged changes as they come, from an offset on.
+        """Yields applied changes from an offset on, as they arrive.
 
-        A slow reader costs nothing here: it reads from the bounded history
-        at its own pace.
+        Items come from the bounded history, so slow consumers don't need a
+        buffer.
 
         Raises:
-            WharfError: ``UNKNOWN_RESOURCE`` when changes from that offset on
-                are no longer kept; read the state anew and watch from there.
+            WharfError: ``UNKNOWN_RESOURCE`` if the history no longer reaches
+                back to the offset. The caller then has to read the whole
+                state and watch from its offset.
         """
         cursor = from_offset - 1
         while True:
@@ -182,10 +192,10 @@
                 await folded.wait()
 
     def _check_can_fold(self) -> None:
-        """Refuses a change that this instance could not follow.
+        """Checks that this instance would apply a change once appended.
 
         Raises:
-            WharfError: ``LOG_UNAVAILABLE``; nothing ran.
+            WharfError: ``LOG_UNAVAILABLE``; nothing was appended.
         """
         follower = self._follower
         reason = ""
@@ -209,10 +219,11 @@
     def _judged(
         self, changes: Sequence[records.Change]
     ) -> dict[str, states.Verdict]:
-        """Verdicts of those changes that were judged already.
+        """Returns the verdicts of changes that have already been applied.
 
         Raises:
-            WharfError: An operation id was used for another change.
+            WharfError: ``CONFIG_CONFLICT``: an operation ID was already used
+                for another change.
         """
         verdicts: dict[str, states.Verdict] = {}
         for change in changes:
@@ -243,8 +254,8 @@
                 errors.ErrorKind.LOG_UNAVAILABLE, str(error)
             ) from error
         except log.AppendUnknownError:
-            # The changes may be on the log. Appending them again could set
-            # back a change that came between; reading on tells.
+            # The changes may be in the log. Appending them again could revert
+            # a change made in between; reading the log shows the outcome.
             return
 
     async def _read_back(
--- a/src/jujubewharf/configuration/checkpointer.py
+++ b/src/jujubewharf/configuration/checkpointer.py
@@ -1,4 +1,4 @@
-"""Sees to it that a young enough checkpoint always stands on the log."""
+"""Writes checkpoints before the records they replace expire."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     from jujubewharf.configuration import holding as holdings
     from jujubewharf.membership import view
 
-# A checkpoint must be replaced while the records after it are still kept. A
-# quarter of the retention leaves room for outages of half of it; a state that
-# nobody changed only has to be rewritten before its own chunks expire.
+# Shares of the log's retention. A checkpoint is replaced while the records
+# after it are still in the log, with a margin for outages. If the state has
+# not changed, it only has to be rewritten before its chunks expire.
 _CHANGED_SHARE = 1 / 4
 _UNCHANGED_SHARE = 1 / 2
 _RANK_SHARE = 1 / 32
@@ -36,19 +36,23 @@
 
 
 class Checkpointer(mode.Service):
-    """Writes a checkpoint when one is due and nobody else did.
+    """Writes a checkpoint when one is due and no other instance wrote it.
 
-    The instances present are ranked anew for each checkpoint, and each waits
-    by its rank: the first usually writes, the next one steps in when it is
-    gone or cut off, and two that write at once do no harm.
+    The present instances are ranked for each checkpoint, and each delays its
+    write in proportion to its rank. The first usually writes; the next one
+    takes over if the first is down or cut off. Concurrent writes are harmless.
 
     Args:
-        holding: The configuration held here.
-        store: Checkpoints on the log.
-        clock: Time.
+        holding: Configuration of this instance.
+        store: Checkpoints in the log.
+        clock: Time source.
         instance: Name of this instance.
-        membership: Who else could write; ``None`` for nobody.
-        retention_ms: How long the log keeps records.
+        membership: Instances that write checkpoints; ``None`` if this is the
+            only one.
+        retention_ms: Time in milliseconds for which the log keeps records.
+
+    Attributes:
+        log_first_offset: Offset of the oldest record in the log.
     """
 
     def __init__(
@@ -82,7 +86,7 @@
             except log.LogUnavailableError:
                 _writes.add(1, {"outcome": "unavailable"})
             except log.AppendUnknownError:
-                # It is there or not; the next look at the manifests tells.
+                # The next refresh shows whether the manifest was appended.
                 _writes.add(1, {"outcome": "unknown"})
 
     async def _check(self) -> None:
@@ -115,10 +119,11 @@
     def _is_urgent_long_enough(
         self, newest: checkpoints.Manifest | None
     ) -> bool:
-        """Whether it is this instance's turn while there is none of use.
+        """Returns whether to write while there is no usable checkpoint.
 
-        A fresh instance could not start from the log now, so the wait is
-        only as long as it takes to see that someone else wrote.
+        New instances can't start from the log in the meantime. The delay per
+        rank is therefore short: just enough to see another instance's
+        checkpoint.
         """
         now_ms = self._clock.now_ms()
         if self._urgent_since_ms is None:
@@ -127,11 +132,11 @@
         return waited_ms >= self._rank(newest) * _URGENT_RANK_MS
 
     def _age_ms(self, manifest: checkpoints.Manifest) -> float:
-        """How old a manifest is at least.
+        """Returns the age of a manifest in milliseconds.
 
-        Another instance's clock may be off in both directions: a reading
-        that makes it too old costs a write too many, and one that makes it
-        too young is overruled by the time since it was seen here.
+        The writer's clock may be wrong. If it is behind, an extra checkpoint
+        is written; if it is ahead, the time since this instance first read
+        the manifest is a lower bound of its age.
         """
         seen_for_ms = self._clock.now_ms() - self._store.seen_ms
         return max(self._clock.wall_ms() - manifest.wall_ms, seen_for_ms)
--- a/src/jujubewharf/configuration/checkpoints.py
+++ b/src/jujubewharf/configuration/checkpoints.py
@@ -1,9 +1,9 @@
-"""Checkpoints on the log: states that outlive the records they came from.
+"""Checkpoints: snapshots of the configuration that are stored in the log.
 
-A checkpoint is a run of chunks on one stream and a manifest on another. The
-manifest is appended last, so whoever sees it can read the whole; and the
-manifests' stream is so short that a fresh instance finds the newest one in a
-read or two.
+A checkpoint consists of chunks in one stream and a manifest in another. The
+manifest is appended last, so all chunks of a visible manifest are in the log.
+The separate stream keeps manifests few, and a new instance finds the newest
+one with one or two reads.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Manifest:
-    """What a checkpoint is made of.
+    """Description of one checkpoint.
 
     Attributes:
-        next_offset: Offset of the next record to fold on it.
+        next_offset: Offset of the next record to apply to the state.
         digest: Digest of the state.
-        chunk_offsets: Where the chunks stand on their stream, in order.
-        wall_ms: When it was written, by the writer's clock.
-        writer: Instance that wrote it.
-        lost_from: Offset from which on records were lost before any
-            instance had read them; ``None`` when none were.
-        format: Version of the snapshot's format.
+        chunk_offsets: Offsets of the chunks in their stream, in order.
+        wall_ms: Wall clock time of the writer in milliseconds.
+        writer: Instance that wrote the checkpoint.
+        lost_from: Offset of the first record that was lost before any
+            instance had read it; ``None`` if no records were lost.
+        format: Version of the snapshot format.
     """
 
     next_offset: int
@@ -55,11 +55,12 @@
 
     Args:
         platform_log: The platform's log.
-        clock: Time.
+        clock: Time source.
 
     Attributes:
-        manifests: Manifests seen, oldest first; the newest few.
-        seen_ms: When the newest one was first seen here.
+        manifests: The newest manifests that were read, oldest first.
+        seen_ms: Local clock time in milliseconds at which the newest manifest
+            was read.
     """
 
     _KEPT_MANIFESTS = 8
@@ -73,16 +74,16 @@
         self._logger = structlog.get_logger()
 
     async def refresh(self) -> None:
-        """Reads the manifests that came since the last time.
+        """Reads the manifests added since the last call.
 
         Raises:
-            LogUnavailableError: The log was not reached.
+            LogUnavailableError: The log is unavailable.
         """
         while True:
             try:
                 page = await self._log.read(MANIFEST_STREAM, self._cursor)
             except log.LogTruncatedError as error:
-                # Truncated manifests name truncated chunks: no loss.
+                # The chunks of truncated manifests are truncated as well.
                 self._cursor = error.first_offset
                 continue
             if not page.records:
@@ -92,12 +93,13 @@
             self._cursor = page.records[-1].offset + 1
 
     def usable(self, from_offset: int, first_offset: int) -> list[Manifest]:
-        """Manifests that lead on, the best first.
+        """Returns manifests to recover from, in order of preference.
 
         Args:
-            from_offset: Offset held; only further states are of use.
-            first_offset: Oldest record still on the log; a state that ends
-                before it leaves a gap.
+            from_offset: Next offset of the local state; older checkpoints
+                are omitted.
+            first_offset: Offset of the oldest record in the log. Checkpoints
+                that end before it would leave a gap and are omitted.
         """
         found = [
             manifest
@@ -105,8 +107,8 @@
             if manifest.next_offset > from_offset
             and manifest.next_offset >= first_offset
         ]
-        # Of two that close the same gap the first on the stream counts, or
-        # instances would start from different states.
+        # All instances have to use the same checkpoint to skip lost records,
+        # or their states would diverge; the first one in the stream counts.
         closing = [one for one in found if one.lost_from is not None]
         others = [one for one in found if one.lost_from is None]
         return closing[:1] + others[::-1]
@@ -118,17 +120,21 @@
         *,
         continue_at: int | None = None,
     ) -> Manifest:
-        """Appends a checkpoint of a state as it is now.
+        """Appends a checkpoint of the current state.
 
         Args:
-            state: The state.
-            writer: Instance that writes it.
-            continue_at: Offset to continue from when the records from the
-                state's own offset up to there are lost.
+            state: State to write.
+            writer: Name of this instance.
+            continue_at: Offset to continue from if the records between the
+                state's offset and this one are lost.
+
+        Returns:
+            The manifest of the new checkpoint.
 
         Raises:
-            LogUnavailableError: It is not on the log.
-            AppendUnknownError: It may be on the log; a duplicate is harmless.
+            LogUnavailableError: The checkpoint was not appended.
+            AppendUnknownError: The checkpoint may have been appended;
+                duplicates are harmless.
         """
         lost_from = None if continue_at is None else state.next_offset
         encoder = snapshots.Encoder(state, next_offset=continue_at)
@@ -156,11 +162,12 @@
     async def load(
         self, manifest: Manifest, *, newest_rules: int
     ) -> states.State:
-        """Reads a checkpoint's state.
+        """Reads the state of a checkpoint.
 
         Raises:
-            BrokenSnapshotError: It is damaged, truncated or too new.
-            LogUnavailableError: The log was not reached.
+            BrokenSnapshotError: The snapshot is damaged, truncated or from a
+                newer version.
+            LogUnavailableError: The log is unavailable.
         """
         decoder = snapshots.Decoder(newest_rules=newest_rules)
         wanted = list(manifest.chunk_offsets)
@@ -170,12 +177,17 @@
         return decoder.finish(manifest.digest)
 
     async def _feed(self, decoder: snapshots.Decoder, wanted: list[int]) -> int:
-        """Feeds the chunks of one read; other writers' lie between them."""
+        """Feeds the wanted chunks of one read and returns their number.
+
+        Chunks of other writers may lie between them and are skipped.
+        """
         limit = min(_CHUNKS_PER_APPEND, wanted[-1] - wanted[0] + 1)
         try:
             page = await self._log.read(CHUNK_STREAM, wanted[0], limit=limit)
         except log.LogTruncatedError as error:
-            raise snapshots.BrokenSnapshotError("chunks are gone") from error
+            raise snapshots.BrokenSnapshotError(
+                "chunks were truncated from the log"
+            ) from error
         found = {record.offset: record.payload for record in page.records}
         fed = 0
         for offset in wanted:
@@ -185,7 +197,9 @@
             fed += 1
             await asyncio.sleep(0)
         if not fed:
-            raise snapshots.BrokenSnapshotError("a chunk is missing")
+            raise snapshots.BrokenSnapshotError(
+                "a chunk is missing from the log"
+            )
         return fed
 
     def _take_in(self, record: log.LogRecord) -> None:
@@ -208,7 +222,7 @@
 
 
 def _decode(payload: bytes) -> Manifest | None:
-    """A manifest; ``None`` for one that this version can't read."""
+    """Decodes a manifest; ``None`` if this version can't read it."""
     try:
         data: dict[str, Any] = msgpack.unpackb(payload)
         known = {
--- a/src/jujubewharf/configuration/differences.py
+++ b/src/jujubewharf/configuration/differences.py
@@ -1,4 +1,4 @@
-"""What would have to change for a wanted set of resources to be in force."""
+"""Differences between wanted resources and those in force."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Action(enum.Enum):
-    """What a difference asks for."""
+    """Change that resolves a difference."""
 
     CREATE = "create"
     UPDATE = "update"
@@ -23,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FieldDifference:
-    """One field of a resource.
+    """Difference in one field of a resource.
 
     Attributes:
-        path: Field, with dots between levels.
-        before: Value in force; ``None`` for none.
-        after: Value wanted; ``None`` for none.
+        path: Dotted path of the field.
+        before: Value in force; ``None`` if there is none.
+        after: Wanted value; ``None`` if there is none.
     """
 
     path: str
@@ -38,14 +38,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Difference:
-    """One resource that is not as wanted.
+    """Difference of one resource.
 
     Attributes:
         kind: Resource kind.
         name: Resource name.
-        action: What would make it so.
-        generation: Generation in force, to be expected by the change; 0 for
-            none.
+        action: Change that resolves the difference.
+        generation: Generation in force, which that change should expect; 0 if
+            the resource does not exist.
         fields: Fields that differ.
     """
 
@@ -65,9 +65,9 @@
     """Compares wanted resources with those in force.
 
     Args:
-        state: What is in force.
-        wanted: What should be.
-        prune: Whether resources that nobody wants are differences, too, of
+        state: Configuration in force.
+        wanted: Wanted resources.
+        prune: Whether to report resources that are not wanted as well, for
             the kinds that occur in ``wanted``.
     """
     found = [
--- a/src/jujubewharf/configuration/entries.py
+++ b/src/jujubewharf/configuration/entries.py
@@ -1,4 +1,4 @@
-"""The resources in force, with the indexes that routing and edges ask."""
+"""The resources in force, with indexes by service and token."""
 
 from __future__ import annotations
 
@@ -23,9 +23,11 @@
     """A resource in force.
 
     Attributes:
-        generation: Offset of its change plus one; grows with each change.
+        generation: Log offset of the last change plus one; increases with
+            each change.
         resource: The resource.
-        extra_packed: Fields of newer versions, in msgpack; mostly empty.
+        extra_packed: Unknown fields of newer versions, in msgpack; empty if
+            there are none.
     """
 
     generation: int
@@ -34,25 +36,25 @@
 
     @classmethod
     def from_reading(cls, generation: int, reading: border.Reading) -> Entry:
-        """The entry that a body on the log gives."""
+        """Creates an entry from a decoded body."""
         packed = records.pack_body(reading.extra) if reading.extra else b""
         return cls(generation, reading.resource, packed)
 
     def body(self) -> dict[str, Any]:
-        """The whole body, fields of newer versions included."""
+        """Returns the body, including fields of newer versions."""
         extra = msgpack.unpackb(self.extra_packed) if self.extra_packed else {}
         return border.dump_whole(self.resource, extra)
 
     def packed_body(self) -> bytes:
-        """The whole body in its canonical bytes."""
+        """Returns the body in its canonical encoding."""
         return records.pack_body(self.body())
 
 
 class Entries:
     """All entries, by kind and name.
 
-    The indexes keep a request from scanning thousands of endpoints or
-    accounts: they are made with each change, not with each request.
+    The indexes are updated with each change, so that requests don't scan all
+    endpoints or accounts.
     """
 
     def __init__(self) -> None:
@@ -68,22 +70,22 @@
         return sum(len(entries) for entries in self._by_kind.values())
 
     def __iter__(self) -> Iterator[tuple[Key, Entry]]:
-        """All entries by kind and name."""
+        """Iterates over all entries, sorted by kind and name."""
         for kind in resources.Kind:
             for entry in self.of_kind(kind):
                 yield (kind, entry.resource.name), entry
 
     def get(self, key: Key) -> Entry | None:
-        """One entry."""
+        """Returns an entry; ``None`` if it does not exist."""
         return self._by_kind[key[0]].get(key[1])
 
     def of_kind(self, kind: resources.Kind) -> list[Entry]:
-        """All entries of a kind, by name."""
+        """Returns all entries of a kind, sorted by name."""
         held = self._by_kind[kind]
         return [held[name] for name in sorted(held)]
 
     def endpoints_of(self, service: str) -> tuple[resources.Endpoint, ...]:
-        """A service's endpoints, by name."""
+        """Returns the endpoints of a service, sorted by name."""
         endpoints = self._sorted.get(service)
         if endpoints is None:
             held = self._by_service.get(service, {})
@@ -99,11 +101,11 @@
     def name_of_token(
         self, kind: resources.Kind, token_sha256: str
     ) -> str | None:
-        """The account or operator that owns a token."""
+        """Returns the name of the account or operator that owns a token."""
         return self._by_token.get((kind, token_sha256))
 
     def put(self, key: Key, entry: Entry) -> None:
-        """Sets an entry."""
+        """Adds or replaces an entry."""
         self.remove(key)
         self._share_strings(entry.resource)
         kind = key[0]
@@ -119,7 +121,7 @@
                 self._by_token[kind, token] = name
 
     def remove(self, key: Key) -> None:
-        """Takes an entry out, if it is there."""
+        """Removes an entry if it exists."""
         kind, name = key
         entry = self._by_kind[kind].pop(name, None)
         if entry is None:
@@ -140,8 +142,8 @@
         self._sorted.pop(service, None)
 
     def _share_strings(self, resource: resources.Resource) -> None:
-        # Thousands of endpoints name the same few services, domains and
-        # models; one copy of each keeps an instance within its memory.
+        # Endpoints share few distinct services, domains and models; keeping
+        # one copy of each saves memory.
         if not isinstance(resource, resources.Endpoint):
             return
         for field in _INTERNED_FIELDS:
--- a/src/jujubewharf/configuration/follower.py
+++ b/src/jujubewharf/configuration/follower.py
@@ -1,4 +1,4 @@
-"""Follows the configuration stream and holds the state in force."""
+"""Follows the configuration stream and maintains the state in force."""
 
 from __future__ import annotations
 
@@ -45,21 +45,22 @@
 
 
 class ConfigurationFollower(mode.Service):
-    """Reads the log on and on and folds what it reads.
+    """Reads the configuration stream and applies its records.
 
-    While the log is silent it asks peers for what they have read; when the
-    log no longer has what comes next, a checkpoint or a peer's state leads
-    on. Together with the others like it, it keeps a checkpoint on the log.
+    While the log does not answer, records are requested from peers. If the
+    log no longer has the next record, the state of a checkpoint or a peer is
+    adopted. The instances jointly keep a recent checkpoint in the log.
 
     Args:
         platform_log: The platform's log.
-        clock: Time.
-        wait_ms: How long one read waits for news.
+        clock: Time source.
+        wait_ms: Maximum time in milliseconds that a read waits for new
+            records.
         instance: Name of this instance.
-        network: Messages to and from peers; ``None`` for an instance alone.
-        membership: Who the peers are; goes with ``network``.
-        retention_ms: How long the log keeps records.
-        state: State to begin with; tests give one of another version.
+        network: Messages to and from peers; ``None`` for a single instance.
+        membership: Instances of the fleet; required with ``network``.
+        retention_ms: Time in milliseconds for which the log keeps records.
+        state: Initial state; empty by default.
     """
 
     def __init__(
@@ -103,50 +104,50 @@
 
     @property
     def current(self) -> states.State:
-        """Configuration in force here; always the same object."""
+        """Configuration in force at this instance; always the same object."""
         return self._holding.current
 
     @property
     def caught_up(self) -> asyncio.Event:
-        """Set once the end of the log was seen, or a peer's state taken."""
+        """Set once the end of the log was reached, directly or via a peer."""
         return self._holding.caught_up
 
     @property
     def is_frozen(self) -> bool:
-        """Whether the next record needs rules that this version lacks."""
+        """Whether the next record requires rules unknown to this version."""
         return self._holding.is_frozen
 
     @property
     def is_log_behind(self) -> bool:
-        """Whether the log ends before what is in force here.
+        """Whether the log ends before the offset of the local state.
 
-        It was restored from an old copy, or begun anew. What is in force
-        stays so, but nothing appended there would ever be folded.
+        This happens if the log was restored from a backup or recreated. The
+        configuration stays in force, but records that are appended to such a
+        log are never applied.
         """
         return self._is_log_behind
 
     @property
     def log_silence_ms(self) -> float | None:
-        """Time since the log last answered; ``None`` before it first did."""
+        """Milliseconds since the log last answered; ``None`` if never."""
         if self._heard_ms is None:
             return None
         return self._clock.now_ms() - self._heard_ms
 
     def listen(self, listener: Listener) -> None:
-        """Calls back after every run of records and every takeover."""
+        """Adds a callback for each applied batch and each adopted state."""
         self._holding.listen(listener)
 
     def accept_loss(self) -> None:
-        """Goes on without records that only silent members may know.
+        """Accepts the loss of records that only silent members may have.
 
-        For operators, when the log lost records and some members on the list
-        are known to be gone; see the operators' page on log outages. Without
-        a gap it does nothing.
+        Operators call this if the log lost records and members that do not
+        answer are known to be gone. Without a gap in the log it has no effect.
         """
         self._recovery.is_loss_accepted = True
 
     async def on_start(self) -> None:
-        """Starts the parts."""
+        """Starts the peer synchronization and the checkpointer."""
         if self._spread is not None:
             await self.add_runtime_dependency(self._spread)
         await self.add_runtime_dependency(self._checkpointer)
@@ -178,7 +179,7 @@
             await self._clock.sleep_ms(_RETRY_MS)
 
     def _note_reached(self, is_reached: bool, detail: str = "") -> None:
-        """Notes whether the log answered, and logs only what is new."""
+        """Records whether the log answered, and logs changes of this."""
         if is_reached:
             self._heard_ms = self._clock.now_ms()
         if is_reached == self._is_reached:
@@ -212,10 +213,10 @@
 
     @mode.Service.task
     async def _ask_peers(self) -> None:
-        """Asks peers often while the log is silent, and rarely otherwise.
+        """Requests records from peers, more often while the log is silent.
 
-        Rarely is for a log that answers but lies behind: begun anew, it
-        would look whole to a fresh instance, and only peers know better.
+        A log that answers may have been recreated and lack records. A new
+        instance can only detect this by comparing with its peers.
         """
         if self._spread is None:
             return
--- a/src/jujubewharf/configuration/history.py
+++ b/src/jujubewharf/configuration/history.py
@@ -1,9 +1,9 @@
-"""The latest changes and their verdicts, bounded and part of the state.
+"""Bounded history of the latest changes and their verdicts.
 
-It answers an operator who asks what became of an operation, gives rollback
-the earlier bodies, and makes a change that stands on the log twice count
-once. It is folded and checkpointed like everything else, because the second
-copy must get the same verdict from every instance.
+The history serves queries for the verdict on an operation, provides earlier
+bodies for rollbacks, and deduplicates changes that are in the log twice. It is
+part of the replicated state and of checkpoints, so that all instances give the
+same verdict on a duplicate.
 """
 
 from __future__ import annotations
@@ -23,19 +23,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryItem:
-    """One change that was judged.
+    """One change and its verdict.
 
     Attributes:
-        verdict: What became of it.
-        actor: Operator who asked for it.
-        wall_ms: When the operator's instance took it, by that clock.
+        verdict: Verdict on the change.
+        actor: Operator who requested the change.
+        wall_ms: Wall clock time in milliseconds at the instance that accepted
+            the request.
         verb: Put, delete or rules.
-        kind: Resource kind, by its value.
+        kind: Value of the resource kind.
         name: Resource name.
-        generation_before: Generation it found; 0 for none.
-        before_packed: Body it found, in msgpack; empty for none.
-        after_packed: Body it left, in msgpack; empty for none.
-        change_digest: Digest of what was asked for.
+        generation_before: Generation before the change; 0 if the resource did
+            not exist.
+        before_packed: Body before the change, in msgpack; empty if none.
+        after_packed: Body after the change, in msgpack; empty if none.
+        change_digest: Digest of the requested change.
     """
 
     verdict: verdicts.Verdict
@@ -51,17 +53,17 @@
 
     @property
     def offset(self) -> int:
-        """Where the change stands on the log."""
+        """Log offset of the change."""
         return self.verdict.offset
 
     @property
     def before(self) -> dict[str, Any] | None:
-        """Body that the change found."""
+        """Body before the change."""
         return _unpacked(self.before_packed)
 
     @property
     def after(self) -> dict[str, Any] | None:
-        """Body that the change left."""
+        """Body after the change."""
         return _unpacked(self.after_packed)
 
 
@@ -73,7 +75,7 @@
     """The latest items in log order.
 
     Args:
-        kept_items: Bound; the oldest item makes room for a new one.
+        kept_items: Maximum number of items; the oldest are evicted first.
     """
 
     def __init__(self, *, kept_items: int = KEPT_ITEMS) -> None:
@@ -87,17 +89,17 @@
         return iter(self._items.values())
 
     def add(self, item: HistoryItem) -> None:
-        """Adds the newest item."""
+        """Appends an item, and evicts the oldest one if necessary."""
         self._items[item.verdict.operation_id] = item
         if len(self._items) > self._kept_items:
             del self._items[next(iter(self._items))]
 
     def find(self, operation_id: str) -> HistoryItem | None:
-        """The item of an operation, while it is kept."""
+        """Returns the item of an operation; ``None`` if not in the history."""
         return self._items.get(operation_id)
 
     def of(self, kind: str, name: str) -> list[HistoryItem]:
-        """Items of one resource, oldest first."""
+        """Returns the items of one resource, oldest first."""
         return [
             item
             for item in self._items.values()
@@ -105,7 +107,7 @@
         ]
 
     def newer_than(self, offset: int) -> list[HistoryItem]:
-        """Items past an offset, oldest first."""
+        """Returns the items with a higher offset, oldest first."""
         newest_first = itertools.takewhile(
             lambda item: item.offset > offset, reversed(self._items.values())
         )
@@ -113,7 +115,7 @@
 
     @property
     def dropped_below(self) -> int:
-        """Lowest offset from which on every judged change is kept here."""
+        """Lowest offset from which on the history is complete."""
         if len(self._items) < self._kept_items:
             return 0
         return next(iter(self._items.values())).offset
--- a/src/jujubewharf/configuration/holding.py
+++ b/src/jujubewharf/configuration/holding.py
@@ -1,4 +1,4 @@
-"""The configuration held by one instance, whichever way news comes in."""
+"""The configuration state of one instance and its updates."""
 
 from __future__ import annotations
 
@@ -33,18 +33,21 @@
 
 
 class Holding:
-    """Folds records and takes over states, and never goes back.
+    """Applies records and adopts states; its offset never decreases.
 
-    Records come from the log and from peers, at the same time and in any
-    order; only the very next one is ever folded, so it does not matter who
-    brings it.
+    Records arrive from the log and from peers concurrently and in any order.
+    Only the record at the next offset is applied, so its source is
+    irrelevant.
+
+    Args:
+        state: Initial state; empty by default.
 
     Attributes:
-        current: Configuration in force here; always the same object.
-        caught_up: Set once the end of the log was seen, or a peer's state
-            taken over.
-        is_frozen: Whether the next record needs rules that this version
-            lacks.
+        current: Configuration in force; always the same object.
+        caught_up: Set once the end of the log was reached, directly or via a
+            peer.
+        is_frozen: Whether the next record requires rules unknown to this
+            version.
     """
 
     def __init__(self, state: states.State | None = None) -> None:
@@ -59,18 +62,18 @@
 
     @property
     def next_offset(self) -> int:
-        """Offset of the next record to fold."""
+        """Offset of the next record to apply."""
         return self.current.next_offset
 
     def listen(self, listener: Listener) -> None:
-        """Calls back after every run of records and every takeover."""
+        """Adds a callback for each applied batch and each adopted state."""
         self._listeners.append(listener)
 
     def fold(self, found: Iterable[log.LogRecord]) -> int:
-        """Folds those records that come next, and leaves the others.
+        """Applies the records that come next, and ignores all others.
 
         Returns:
-            How many were folded.
+            Number of applied records.
         """
         count = sum(1 for record in found if self._fold_one(record))
         if count:
@@ -78,10 +81,10 @@
         return count
 
     def adopt(self, state: states.State, *, source: str) -> bool:
-        """Takes over a state if it is further than the one held.
+        """Replaces the state by another one with a higher offset.
 
         Returns:
-            Whether it was.
+            Whether the state was replaced.
         """
         if state.next_offset <= self.next_offset:
             return False
@@ -98,10 +101,11 @@
         return True
 
     def recent(self, from_offset: int, limit: int) -> list[log.LogRecord]:
-        """Records folded lately, from an offset on.
+        """Returns recently applied records from an offset on.
 
         Returns:
-            Nothing unless the record at that offset is still held.
+            At most ``limit`` records; none if the record at ``from_offset``
+            has already been evicted.
         """
         if not self._recent or from_offset < self._recent[0].offset:
             return []
@@ -114,8 +118,8 @@
         try:
             verdict = self.current.apply(record)
         except states.RulesTooNewError as error:
-            # Folding on would judge by other rules than the fleet does. What
-            # is in force stays so, until this instance is upgraded.
+            # Applying further records by other rules than the fleet would let
+            # the states diverge. The state is frozen until an upgrade.
             self.is_frozen = True
             self._logger.error("configuration_frozen", detail=str(error))
             return False
@@ -128,7 +132,7 @@
             try:
                 listener(self.current)
             except Exception:
-                # One part that can't take a change in must not keep the
-                # instance, and every other part, from the changes after it.
+                # A failing listener must not keep the instance, or the other
+                # listeners, from receiving later changes.
                 _failures.add(1)
                 self._logger.exception("configuration_listener_failed")
--- a/src/jujubewharf/configuration/records.py
+++ b/src/jujubewharf/configuration/records.py
@@ -1,8 +1,8 @@
-"""Configuration records as they stand on the log.
+"""Encoding of configuration records in the log.
 
-A record is a msgpack map with at least an integer ``schema_version``. An
-older instance that meets a record it does not understand keeps its bytes
-whole; nothing is ever re-encoded from a partial reading.
+A record is a msgpack map with at least an integer ``schema_version``. Records
+of a newer schema are kept as bytes and never re-encoded, so that no unknown
+fields are lost.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class Verb(enum.Enum):
-    """What a change does.
+    """Type of a change.
 
-    ``RULES`` raises the version of the fold's rules to ``body["version"]``,
-    for every instance from that offset on.
+    ``RULES`` raises the version of the rules to ``body["version"]`` for all
+    instances, from the offset of the record on.
     """
 
     PUT = "put"
@@ -38,21 +38,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """One operator's change of one resource.
+    """One change of one resource by an operator.
 
     Attributes:
-        operation_id: Names the change for all time; it resolves an append
-            whose answer was lost.
-        actor: Operator who asked for it.
-        verb: What the change does.
-        kind: Resource kind, by its value.
+        operation_id: Unique ID of the change, by which its verdict is found
+            if the reply to the append was lost.
+        actor: Operator who requested the change.
+        verb: Type of the change.
+        kind: Value of the resource kind.
         name: Resource name.
-        expected_generation: Generation the operator saw; 0 expects that the
-            resource does not exist, ``None`` takes any.
+        expected_generation: Generation that must be in force; 0 if the
+            resource must not exist, ``None`` for any.
         body: The resource as JSON data; empty for a delete.
-        wall_ms: When the change was asked for, for history only.
-        schema_version: Rules that must be in force to judge the record.
-        force: Whether sanity bounds are set aside.
+        wall_ms: Wall clock time of the request in milliseconds; used in the
+            history only.
+        schema_version: Version of the rules required to evaluate the record.
+        force: Whether to skip the safety checks.
     """
 
     operation_id: str
@@ -67,7 +68,7 @@
     force: bool = False
 
     def digest(self) -> str:
-        """Digest of what is asked for, whoever asks and whenever."""
+        """Returns a digest of the change without its actor and time."""
         asked = [
             self.verb.value,
             self.kind,
@@ -80,15 +81,15 @@
 
 
 class UnknownRecordError(Exception):
-    """The record is for rules that are not in force yet."""
+    """The record requires rules that are not in force yet."""
 
 
 class MalformedRecordError(Exception):
-    """The bytes are no record of any version."""
+    """The bytes are not a valid record in any version."""
 
 
 def encode(change: Change) -> bytes:
-    """A change as bytes for the log."""
+    """Encodes a change for the log."""
     data = {
         field.name: getattr(change, field.name)
         for field in dataclasses.fields(Change)
@@ -97,15 +98,18 @@
 
 
 def decode(payload: bytes, *, rules_version: int = SCHEMA_VERSION) -> Change:
-    """A change from the log's bytes; unknown fields are left aside.
+    """Decodes a change from the log; unknown fields are ignored.
 
     Args:
-        payload: The record.
+        payload: Encoded record.
         rules_version: Version of the rules in force.
 
+    Returns:
+        The change.
+
     Raises:
-        UnknownRecordError: The record waits for newer rules.
-        MalformedRecordError: No version can have written this.
+        UnknownRecordError: The record requires newer rules.
+        MalformedRecordError: The record is invalid in all versions.
     """
     data = _map(payload)
     version = data.get("schema_version")
@@ -133,7 +137,7 @@
 
 
 def pack_body(body: dict[str, Any]) -> bytes:
-    """A body in one canonical form, so that equal bodies have equal bytes."""
+    """Encodes a body canonically: equal bodies have equal bytes."""
     return msgpack.packb(_sorted(body))
 
 
@@ -141,7 +145,7 @@
     try:
         data = msgpack.unpackb(payload)
     except Exception as error:
-        # msgpack raises several unrelated types on hostile bytes.
+        # msgpack raises unrelated exception types for invalid input.
         raise MalformedRecordError(str(error)) from error
     if not isinstance(data, dict):
         raise MalformedRecordError("not a map")
--- a/src/jujubewharf/configuration/recovery.py
+++ b/src/jujubewharf/configuration/recovery.py
@@ -1,4 +1,4 @@
-"""What to do when the log no longer has the records that come next."""
+"""Recovery when the next records have been truncated from the log."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 
 
 class Recovery:
-    """Finds a state to continue from, or agrees that records are lost.
+    """Finds a state to continue from, or declares records as lost.
 
     Args:
-        holding: The configuration held here.
-        store: Checkpoints on the log.
-        spread: Peers; ``None`` for an instance alone.
+        holding: Configuration of this instance.
+        store: Checkpoints in the log.
+        spread: Synchronization with peers; ``None`` for a single instance.
         instance: Name of this instance.
 
     Attributes:
-        is_loss_accepted: An operator's word that members which don't answer
-            know nothing more, and that a fleet which lost everything is to
-            begin anew. It holds for the present gap only.
+        is_loss_accepted: Whether an operator confirmed that members which do
+            not answer have no further records, and that a fleet without any
+            state may start with an empty one. Reset by the next successful
+            read of the log.
     """
 
     def __init__(
@@ -48,20 +49,20 @@
         self._logger = structlog.get_logger()
 
     async def recover(self, first_offset: int) -> bool:
-        """Looks for a state that the log's records lead on from.
+        """Adopts a state from which the log's records can be applied.
 
-        Peers come first: when a rack restarts, its instances would otherwise
-        all read the whole checkpoint from the log at once.
+        Peers are asked first, so that the instances of a restarted rack don't
+        all read the checkpoint from the log at once.
 
         Args:
-            first_offset: Oldest record that the log still has.
+            first_offset: Offset of the oldest record in the log.
 
         Returns:
-            Whether one was found; otherwise try again a little later.
+            Whether such a state was adopted; if not, the caller retries.
 
         Raises:
-            LogUnavailableError: The log was not reached.
-            AppendUnknownError: The log did not answer.
+            LogUnavailableError: The log is unavailable.
+            AppendUnknownError: The log did not confirm an append.
         """
         if self._spread is not None:
             await self._spread.adopt_any()
@@ -97,14 +98,14 @@
         return self._holding.adopt(state, source="checkpoint")
 
     async def _close_gap(self, first_offset: int) -> None:
-        """Agrees that the records up to what the log still has are lost.
-
-        The log was out for longer than it keeps records, and some were
-        appended that nobody had read yet; no operator was told that they are
-        in force. Without this the fleet would wait for them for ever. The
-        furthest state continues where the log does, as a checkpoint. It is
-        written only when every member has answered that it knows no more:
-        one that is silent may have read, and answered for, what seems lost.
+        """Declares the records up to the first one in the log as lost.
+
+        If the log was down for longer than its retention, appended records may
+        expire before any instance has read them. No operator received a
+        verdict on these, but the fleet would wait for them forever. Instead,
+        the most recent state is written as a checkpoint that continues at the
+        first record in the log. This requires a reply from every member: a
+        silent one may have applied and acknowledged the missing records.
         """
         if not await self._may_close_gap():
             self._rounds = 0
@@ -134,8 +135,8 @@
         if self.is_loss_accepted:
             return True
         if not held or len(heard) < len(offsets):
-            # An empty state is never put in force by itself: it would say
-            # that there is no configuration, not that it was lost.
+            # An empty state would delete the whole configuration; it is only
+            # used if an operator accepts the loss.
             return False
         equals = [name for name, offset in heard.items() if offset == held]
         return self._instance <= min(equals, default=self._instance)
--- a/src/jujubewharf/configuration/resources.py
+++ b/src/jujubewharf/configuration/resources.py
@@ -1,7 +1,6 @@
-"""The resources that operators declare, as data classes.
+"""Data classes of the resources that operators declare.
 
-The border models in ``configuration.border`` check what comes in; past the
-border only these are used.
+``configuration.border`` validates input and converts it to these classes.
 """
 
 from __future__ import annotations
@@ -11,7 +10,7 @@
 
 
 class Kind(enum.Enum):
-    """The kinds of resource."""
+    """Kind of a resource."""
 
     SERVICE = "service"
     ENDPOINT = "endpoint"
@@ -21,14 +20,14 @@
 
 
 class ServiceKind(enum.Enum):
-    """What stands behind a service."""
+    """Type of the endpoints of a service."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class Role(enum.Enum):
-    """What an engine does for its service."""
+    """Work that an endpoint does for its service."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -37,7 +36,7 @@
 
 
 class OperatorRole(enum.Enum):
-    """What an operator may do."""
+    """Permission level of an operator."""
 
     VIEWER = "viewer"
     OPERATOR = "operator"
@@ -49,19 +48,22 @@
     """A model or plain service.
 
     Attributes:
-        name: Unique name; plain services are reached under it as a prefix.
+        name: Unique name; also the path prefix of a plain service.
         kind: Model or plain.
-        model: Name of the model served; empty for plain services.
-        model_version: Version wanted; empty takes what an engine has.
-        repeatable: Whether requests may be sent twice when not marked.
-        first_answer_target_ms: Target from arrival to the first token or
-            byte.
-        completion_target_ms: Target from arrival to the last.
-        deadline_ms: Time after which a request is given up on.
-        waste_weight: 0 weighs only goodput, 1 only wasted prefill.
-        max_in_flight: Bound of requests running at one instance.
-        max_queued: Bound of requests waiting at one instance.
-        retry_ratio: Retries allowed for each request, on average.
+        model: Name of the served model; empty for plain services.
+        model_version: Wanted version; empty for whichever an engine has.
+        repeatable: Whether a request without an explicit mark is idempotent
+            and may be sent twice.
+        first_answer_target_ms: Target time in milliseconds from arrival to the
+            first token or byte.
+        completion_target_ms: Target time in milliseconds from arrival to the
+            last token or byte.
+        deadline_ms: Time in milliseconds after which a request is aborted.
+        waste_weight: Weight from 0 (only goodput counts) to 1 (only wasted
+            prefill counts).
+        max_in_flight: Maximum number of running requests per instance.
+        max_queued: Maximum number of waiting requests per instance.
+        retry_ratio: Average number of retries allowed per request.
     """
 
     name: str
@@ -80,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Capabilities:
-    """What an engine can do; the weakest engine has none of it."""
+    """Optional features of an engine."""
 
     kv_export: bool = True
     kv_import: bool = True
@@ -97,17 +99,17 @@
 
     Attributes:
         name: Unique name.
-        service: Service it stands behind.
+        service: Service of the endpoint.
         address: ``IP:PORT``.
-        domain: Failure domain it stands in.
-        role: What it does.
-        model: Model that operators want loaded.
-        model_version: Version that operators want loaded.
-        adapters: Adapters that operators want loaded.
-        slots: Requests its decode memory holds.
-        link_bytes_per_s: Rate of its link to other engines.
-        drained: No new work when true.
-        capabilities: What it can do.
+        domain: Failure domain of the endpoint.
+        role: Work that the endpoint does.
+        model: Model that should be loaded.
+        model_version: Version that should be loaded.
+        adapters: Adapters that should be loaded.
+        slots: Number of requests that fit into its decode memory.
+        link_bytes_per_s: Bandwidth to other engines in bytes per second.
+        drained: Whether the endpoint receives no new requests.
+        capabilities: Optional features of the engine.
     """
 
     name: str
@@ -125,12 +127,12 @@
 
     @property
     def can_prefill(self) -> bool:
-        """Whether it may be given a prompt to read."""
+        """Whether the endpoint accepts prefill work."""
         return self.role in (Role.PREFILL, Role.BOTH)
 
     @property
     def can_decode(self) -> bool:
-        """Whether it may be given an answer to write."""
+        """Whether the endpoint accepts decode work."""
         return self.role in (Role.DECODE, Role.BOTH)
 
 
@@ -139,10 +141,10 @@
     """A model and its versions.
 
     Attributes:
-        name: Unique name; callers name it in their requests.
+        name: Unique name, as used in requests.
         versions: Known versions, oldest first.
-        kv_bytes_per_token: KV cache a prompt token takes.
-        weight_bytes: Size of its weights in the weight store.
+        kv_bytes_per_token: KV cache size of a prompt token in bytes.
+        weight_bytes: Size of the weights in the weight store in bytes.
     """
 
     name: str
@@ -158,10 +160,10 @@
     Attributes:
         name: Unique name.
         token_sha256: Hex SHA-256 of its bearer token.
-        services: Services it may call; empty allows all.
-        rate_per_s: Requests a second at one instance.
-        max_in_flight: Requests in flight at one instance.
-        priority: Highest priority it may ask for; 0 is the lowest.
+        services: Services that it may call; empty allows all.
+        rate_per_s: Maximum requests per second and instance.
+        max_in_flight: Maximum number of running requests per instance.
+        priority: Highest priority that it may request; 0 is the lowest.
     """
 
     name: str
@@ -177,10 +179,10 @@
     """An operator identity.
 
     Attributes:
-        name: Unique name; it goes into history with each change.
+        name: Unique name, recorded in the history with each change.
         token_sha256: Hex SHA-256 of its bearer token.
-        role: What it may do.
-        services: Services it may change; empty allows all.
+        role: Permission level.
+        services: Services that it may change; empty allows all.
     """
 
     name: str
--- a/src/jujubewharf/configuration/rules.py
+++ b/src/jujubewharf/configuration/rules.py
@@ -1,11 +1,11 @@
-"""The fold's rules: which change is accepted, given what is in force.
-
-Rules have a version, and the version in force is part of the state: a record
-on the log raises it, so that a new rule takes effect for all instances at
-one offset. Under rules N every instance, old or new, judges a body by what
-schema N knows; fields past that are carried along unjudged. Otherwise two
-versions would judge one record differently and a later compare-and-set
-would split them for good.
+"""Rules that decide whether a change is accepted in a given state.
+
+The rules are versioned, and the version in force is part of the state. A
+record in the log raises it, so that new rules take effect for all instances at
+the same offset. With rules version N, all instances evaluate a body by the
+fields of schema N and preserve other fields unread. Otherwise instances of
+different versions could reach different verdicts and their states would
+diverge.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a change is not taken."""
+    """Reason why a change is rejected."""
 
     outcome: verdicts.Outcome
     detail: str
@@ -41,10 +41,11 @@
     kind: resources.Kind,
     change: records.Change,
 ) -> Judgement:
-    """Judges a change by log order, form and sanity bounds, in that order.
+    """Checks the generation, the body and the safety of a change, in order.
 
     Returns:
-        What to put, ``None`` for a delete, or why not.
+        The decoded body to store, ``None`` for a delete, or the reason why
+        the change is rejected.
     """
     held = entries.get((kind, change.name))
     generation = held.generation if held else 0
@@ -112,11 +113,11 @@
     before: resources.Resource,
     after: resources.Resource | None,
 ) -> str:
-    """Names the harm that a change would do, or nothing.
+    """Returns why a change is unsafe, or an empty string.
 
-    It is judged in the fold, not only when the change is asked for: of two
-    operators who each drain one of the last two engines, both saw a safe
-    change, and only log order tells which of them would empty the pool.
+    The check runs when the record is applied. Checked only on submission, two
+    concurrent changes that each drain one of the last two engines would both
+    pass and leave none.
     """
     match before:
         case resources.Endpoint():
@@ -146,8 +147,7 @@
     stays = after is not None and after.service == service.name
     kept = _jobs(service, [after]) if stays and after is not None else set()
     at_risk = _jobs(service, [before]) - kept
-    # Most changes take no job away; only those that do look at the others,
-    # and only until these are seen to do it.
+    # Most changes remove no job, and need no scan of the other endpoints.
     for endpoint in entries.endpoints_of(service.name) if at_risk else ():
         if endpoint.name != before.name:
             at_risk -= _jobs(service, [endpoint])
@@ -215,7 +215,7 @@
 def _jobs(
     service: resources.Service, endpoints: Iterable[resources.Endpoint]
 ) -> set[str]:
-    """Jobs for which a service has at least one fitting endpoint."""
+    """Returns the jobs for which a service has a suitable endpoint."""
     jobs: set[str] = set()
     for endpoint in endpoints:
         if endpoint.drained or not _fits(service, endpoint):
--- a/src/jujubewharf/configuration/snapshot.py
+++ b/src/jujubewharf/configuration/snapshot.py
@@ -1,9 +1,9 @@
-"""A whole state as bytes, for checkpoints on the log and for peers.
+"""Snapshots: serialized states, for checkpoints and for peers.
 
-The bytes are a run of msgpack items in one canonical order, so that two
-states are the same if and only if their digests are. They are cut into
-chunks and compressed one by one: neither writing nor reading ever holds a
-second copy of the state, and the loop gets its turn between chunks.
+A snapshot is a sequence of msgpack items in canonical order, so that states
+are equal if and only if their digests are. It is split into chunks that are
+compressed separately. Neither encoding nor decoding needs a second copy of the
+whole state, and the event loop can run between chunks.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 FORMAT = 1
 CHUNK_BYTES = 65_536
 
-# One item may be as large as a record, and a chunk ends after the item that
-# fills it. Anything past that is no chunk of ours but a decompression bomb.
+# Upper bound of a chunk, which ends after the item that fills it; an item can
+# be as large as a record. Protects against decompression bombs.
 _MAX_CHUNK_BYTES = 2 * CHUNK_BYTES + 3 * records.MAX_RECORD_BYTES
 
 _HEADER = 0
@@ -39,17 +39,17 @@
 
 
 class BrokenSnapshotError(Exception):
-    """The bytes are not a whole snapshot that this version can read."""
+    """The snapshot is incomplete, damaged or from a newer version."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A state's bytes.
+    """An encoded state.
 
     Attributes:
-        next_offset: Offset of the next record to fold on it.
+        next_offset: Offset of the next record to apply to the state.
         digest: Digest of the uncompressed bytes.
-        chunks: The bytes, each chunk compressed on its own.
+        chunks: Compressed chunks.
     """
 
     next_offset: int
@@ -58,14 +58,17 @@
 
 
 class Encoder:
-    """Encodes a state as it is at this moment, chunk by chunk.
+    """Encodes the current state chunk by chunk.
 
-    The state may fold on between chunks: entries and items never change, so
-    references to them are enough of a copy.
+    Further records may be applied to the state between chunks. Entries and
+    history items are immutable, so a shallow copy is sufficient.
 
     Args:
-        state: The state.
-        next_offset: Offset to continue from, if not the state's own.
+        state: State to encode.
+        next_offset: Offset to continue from; by default that of the state.
+
+    Attributes:
+        next_offset: Offset of the next record to apply to the snapshot.
     """
 
     def __init__(
@@ -82,11 +85,11 @@
 
     @property
     def digest(self) -> str:
-        """Digest of the bytes, once all chunks were made."""
+        """Digest of the snapshot; complete once all chunks are encoded."""
         return self._hash.hexdigest()
 
     def raw_chunks(self) -> Iterator[bytes]:
-        """The bytes, uncompressed, in chunks."""
+        """Yields the uncompressed chunks."""
         gathered = bytearray()
         for item in self._items():
             gathered += msgpack.packb(item)
@@ -98,7 +101,7 @@
         yield bytes(gathered)
 
     def chunks(self) -> Iterator[bytes]:
-        """The bytes in compressed chunks."""
+        """Yields the compressed chunks."""
         for raw in self.raw_chunks():
             yield zlib.compress(raw)
 
@@ -114,7 +117,7 @@
 
 
 def digest(state: states.State) -> str:
-    """Digest of a state; equal for equal states only."""
+    """Returns the digest of a state; equal only for equal states."""
     encoder = Encoder(state)
     for _ in encoder.raw_chunks():
         pass
@@ -122,17 +125,17 @@
 
 
 def encode(state: states.State) -> Snapshot:
-    """Encodes a state at once."""
+    """Encodes a whole state."""
     encoder = Encoder(state)
     chunks = tuple(encoder.chunks())
     return Snapshot(encoder.next_offset, encoder.digest, chunks)
 
 
 class Decoder:
-    """Reads a snapshot chunk by chunk.
+    """Decodes a snapshot chunk by chunk.
 
     Args:
-        newest_rules: Newest version of the rules that this program has.
+        newest_rules: Newest rules version that this program supports.
     """
 
     def __init__(self, *, newest_rules: int) -> None:
@@ -141,10 +144,10 @@
         self._hash = xxhash.xxh3_128()
 
     def feed(self, chunk: bytes) -> None:
-        """Takes in the next chunk.
+        """Decodes the next chunk.
 
         Raises:
-            BrokenSnapshotError: It can't be read.
+            BrokenSnapshotError: The chunk can't be decoded.
         """
         raw = _decompress(chunk)
         self._hash.update(raw)
@@ -157,13 +160,15 @@
             raise BrokenSnapshotError(str(error)) from error
 
     def finish(self, expected_digest: str) -> states.State:
-        """The state, once all chunks were fed.
+        """Returns the state after all chunks have been fed.
 
         Raises:
             BrokenSnapshotError: Chunks are missing or damaged.
         """
         if self._state is None or self._hash.hexdigest() != expected_digest:
-            raise BrokenSnapshotError("the digest does not match")
+            raise BrokenSnapshotError(
+                "snapshot digest does not match its content"
+            )
         return self._state
 
     def _take_in(self, item: list[Any]) -> None:
@@ -171,7 +176,7 @@
             self._state = self._begin(item)
             return
         if self._state is None:
-            raise BrokenSnapshotError("the header is missing")
+            raise BrokenSnapshotError("snapshot header is missing")
         match item:
             case [_, kind, name, generation, body] if item[0] == _ENTRY:
                 _put(self._state, kind, name, generation, body)
@@ -180,14 +185,16 @@
             case [_, *fields] if item[0] == _HISTORY:
                 self._state.history.add(_to_history(fields))
             case _:
-                raise BrokenSnapshotError(f"item {item[0]}")
+                raise BrokenSnapshotError(f"unknown snapshot item {item[0]}")
 
     def _begin(self, item: list[Any]) -> states.State:
         _, version, next_offset, rules_version = item
         if version != FORMAT:
-            raise BrokenSnapshotError(f"format {version}")
+            raise BrokenSnapshotError(f"unknown snapshot format {version}")
         if rules_version > self._newest_rules:
-            raise BrokenSnapshotError(f"rules {rules_version}")
+            raise BrokenSnapshotError(
+                f"snapshot requires rules version {rules_version}"
+            )
         state = states.State(newest_rules=self._newest_rules)
         state.next_offset = next_offset
         state.rules_version = rules_version
@@ -195,10 +202,10 @@
 
 
 def decode(snapshot: Snapshot, *, newest_rules: int) -> states.State:
-    """Reads a whole snapshot at once.
+    """Decodes a whole snapshot.
 
     Raises:
-        BrokenSnapshotError: It is damaged or from a newer version.
+        BrokenSnapshotError: The snapshot is damaged or from a newer version.
     """
     decoder = Decoder(newest_rules=newest_rules)
     for chunk in snapshot.chunks:
@@ -213,7 +220,7 @@
     except zlib.error as error:
         raise BrokenSnapshotError(str(error)) from error
     if not inflater.eof:
-        raise BrokenSnapshotError("the chunk is cut short or too large")
+        raise BrokenSnapshotError("snapshot chunk is truncated or too large")
     return raw
 
 
--- a/src/jujubewharf/configuration/spread.py
+++ b/src/jujubewharf/configuration/spread.py
@@ -1,8 +1,8 @@
-"""Records and whole states from and to other instances.
+"""Synchronization of records and states between instances.
 
-The log is where changes are ordered; this only carries on what some instance
-has read there, to those that can't read it themselves: while the log is
-down, or a domain is cut off from it, or its records are gone already.
+The log alone defines the order of changes. Peers pass on what they have read
+from it to instances that can't read it themselves: while the log is down, a
+domain is cut off from it, or the records have been truncated.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class _Kept:
-    """The snapshot that peers are reading just now."""
+    """A cached snapshot and the time at which it was encoded."""
 
     def __init__(self, snapshot: snapshots.Snapshot, made_ms: float) -> None:
         self.snapshot = snapshot
@@ -46,13 +46,13 @@
 
 
 class PeerSpread(mode.Service):
-    """Asks peers for what is missing here, and answers theirs.
+    """Fetches missing records and states from peers, and serves theirs.
 
     Args:
-        holding: The configuration held here.
+        holding: Configuration of this instance.
         network: Messages to and from peers.
-        membership: Who the peers are.
-        clock: Time.
+        membership: Instances of the fleet.
+        clock: Time source.
     """
 
     def __init__(
@@ -78,10 +78,11 @@
         network.handle(configuration_messages.ChunkRequest, self._on_chunk)
 
     async def catch_up(self, *, peer_count: int = PEERS_A_ROUND) -> None:
-        """Asks peers for records past what is held here.
+        """Fetches newer records, or a newer state, from a peer.
 
         Args:
-            peer_count: Most peers to ask; the first that has some ends it.
+            peer_count: Maximum number of peers to ask; the first one that is
+                ahead of this instance is the last one asked.
         """
         for peer in itertools.islice(self._peers(), peer_count):
             given = await self._ask_records(peer)
@@ -97,19 +98,19 @@
             return
 
     def _note_caught_up(self, end_offset: int) -> None:
-        """Takes traffic once everything that a caught-up peer had is here.
+        """Marks the state as caught up once it reached a caught-up peer's.
 
-        Less would serve a request by half a configuration: with its service
-        but without the account that may not call it.
+        Otherwise requests could be served with a partial configuration, such
+        as a service without the restrictions of its accounts.
         """
         if self._holding.next_offset >= end_offset:
             self._holding.caught_up.set()
 
     async def adopt_any(self) -> bool:
-        """Takes over the state of the first peer that is further on.
+        """Adopts the state of the first peer that is ahead.
 
         Returns:
-            Whether there was one.
+            Whether a state was adopted.
         """
         for peer in itertools.islice(self._peers(), PEERS_A_ROUND):
             if await self.adopt_from(peer):
@@ -117,7 +118,7 @@
         return False
 
     async def adopt_from(self, peer: str) -> bool:
-        """Takes over a peer's state, if it is further than the one here."""
+        """Adopts a peer's state if it is ahead; returns whether it was."""
         try:
             state = await self._fetch(peer)
         except (networks.PeerError, snapshots.BrokenSnapshotError) as error:
@@ -129,7 +130,7 @@
         return True
 
     async def offsets(self) -> dict[str, int | None]:
-        """Offset of every other member; ``None`` for one that is silent."""
+        """Returns the next offset of every other member; ``None`` if silent."""
         names = [
             member.instance
             for member in self._membership.members()
@@ -142,7 +143,7 @@
         return found
 
     def _peers(self) -> Iterator[str]:
-        """Peers, in another order each time, so that load and luck spread."""
+        """Yields the peers, in a different order on each call."""
         key = f"{self._network.instance}/{next(self._rounds)}"
         names = [
             member.instance
@@ -173,11 +174,11 @@
         return given
 
     async def _fetch(self, peer: str) -> states.State | None:
-        """A peer's state.
+        """Fetches the state of a peer; ``None`` if it is not ahead.
 
         Raises:
-            PeerError: The peer gave no answer.
-            BrokenSnapshotError: What it gave is no whole state.
+            PeerError: The peer did not reply.
+            BrokenSnapshotError: The snapshot is incomplete or damaged.
         """
         current = self._holding.current
         wanted = configuration_messages.SnapshotRequest(current.next_offset)
@@ -191,7 +192,9 @@
             chunk = configuration_messages.ChunkRequest(offered.digest, index)
             given = await self._ask(peer, chunk)
             if not isinstance(given, configuration_messages.ChunkReply):
-                raise snapshots.BrokenSnapshotError("no chunk was given")
+                raise snapshots.BrokenSnapshotError(
+                    "peer did not reply with a chunk"
+                )
             decoder.feed(given.data)
         return decoder.finish(offered.digest)
 
@@ -232,11 +235,11 @@
         )
 
     async def _snapshot(self, above_offset: int) -> snapshots.Snapshot:
-        """A snapshot, shared by peers that ask at about the same time.
+        """Returns a snapshot, shared by peers that ask at a similar time.
 
-        After a rack's restart many peers ask at once. Making one for each
-        would cost the processor and, worse, replace the one that an earlier
-        peer is still reading.
+        After the restart of a rack many peers ask at once. A snapshot for each
+        would be expensive, and would replace the one that another peer is
+        still fetching.
         """
         async with self._making:
             kept = self._kept
@@ -273,7 +276,7 @@
 def _within_page(
     found: list[log.LogRecord],
 ) -> Iterator[configuration_messages.WireRecord]:
-    """As many records as one message may carry, and at least one."""
+    """Yields as many records as fit into one message, at least one."""
     size_bytes = 0
     for record in found:
         size_bytes += len(record.payload)
--- a/src/jujubewharf/configuration/state.py
+++ b/src/jujubewharf/configuration/state.py
@@ -1,8 +1,8 @@
-"""The fold: configuration as a function of the log's records, in order.
+"""The configuration state, built by applying the log's records in order.
 
-Every instance folds the same records in the same order and so reaches the
-same state and the same verdict on each change; racing operators get one
-winner without any instance asking another.
+All instances apply the same records in the same order. They reach the same
+state and the same verdict on each change, also on concurrent ones, without
+coordination.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 
 class RulesTooNewError(Exception):
-    """The next record puts rules in force that this version lacks.
+    """The next record activates rules unknown to this version.
 
-    Folding on by the old rules could judge a change differently from the
-    rest of the fleet, so the state stays where it is.
+    With the old rules, verdicts could differ from those of the rest of the
+    fleet, so no further records are applied.
     """
 
 
@@ -35,13 +35,13 @@
     """Configuration at one offset of the log.
 
     Args:
-        newest_rules: Newest version of the rules that this program has.
+        newest_rules: Newest rules version that this program supports.
 
     Attributes:
-        next_offset: Offset of the next record to fold; it never goes down.
+        next_offset: Offset of the next record to apply; never decreases.
         rules_version: Version of the rules in force.
         history: The latest changes and their verdicts.
-        unknown: Records kept whole until newer rules are in force.
+        unknown: Unknown records, kept until newer rules are in force.
     """
 
     def __init__(self, *, newest_rules: int = rules.NEWEST_VERSION) -> None:
@@ -64,19 +64,19 @@
         return self._entries
 
     def get(self, kind: resources.Kind, name: str) -> Entry | None:
-        """One resource in force."""
+        """Returns the entry of a resource; ``None`` if it does not exist."""
         return self._entries.get((kind, name))
 
     def of_kind(self, kind: resources.Kind) -> list[Entry]:
-        """All resources of a kind, by name."""
+        """Returns all resources of a kind, sorted by name."""
         return self._entries.of_kind(kind)
 
     def endpoints_of(self, service: str) -> tuple[resources.Endpoint, ...]:
-        """A service's endpoints, by name, without a scan."""
+        """Returns the endpoints of a service, sorted by name."""
         return self._entries.endpoints_of(service)
 
     def account_of_token(self, token_sha256: str) -> resources.Account | None:
-        """The account with this token."""
+        """Returns the account with this token."""
         kind = resources.Kind.ACCOUNT
         name = self._entries.name_of_token(kind, token_sha256)
         entry = self.get(kind, name) if name is not None else None
@@ -85,7 +85,7 @@
         return entry.resource
 
     def operator_of_token(self, token_sha256: str) -> resources.Operator | None:
-        """The operator with this token."""
+        """Returns the operator with this token."""
         kind = resources.Kind.OPERATOR
         name = self._entries.name_of_token(kind, token_sha256)
         entry = self.get(kind, name) if name is not None else None
@@ -94,29 +94,33 @@
         return entry.resource
 
     def apply(self, record: log.LogRecord) -> Verdict:
-        """Folds one record, which must be the next.
+        """Applies the next record.
+
+        Returns:
+            The verdict on the record.
 
         Raises:
             ValueError: The record is not the next one.
-            RulesTooNewError: The record can't be folded by this version; the
-                state is as before.
+            RulesTooNewError: The record requires rules unknown to this
+                version; the state is unchanged.
         """
         if record.offset != self.next_offset:
             raise ValueError(
-                f"record {record.offset} is not {self.next_offset}"
+                f"record has offset {record.offset},"
+                f" expected {self.next_offset}"
             )
         verdict = self._judge(record)
         self.next_offset = record.offset + 1
         return verdict
 
     def take_over(self, other: State) -> None:
-        """Becomes what another state is.
+        """Replaces this state by the content of another one.
 
         Raises:
-            ValueError: The other one lies behind.
+            ValueError: The other state has a lower offset.
         """
         if other.next_offset < self.next_offset:
-            raise ValueError(f"{other} lies behind {self}")
+            raise ValueError(f"{other} is older than {self}")
         self.next_offset = other.next_offset
         self.rules_version = other.rules_version
         self.history = other.history
@@ -125,7 +129,7 @@
 
     @property
     def newest_rules(self) -> int:
-        """Newest version of the rules that this program has."""
+        """Newest rules version that this program supports."""
         return self._newest_rules
 
     def _judge(self, record: log.LogRecord) -> Verdict:
@@ -159,7 +163,9 @@
                 _item(offset, change, Outcome.CONFLICT, detail=detail)
             )
         if wanted > self._newest_rules:
-            raise RulesTooNewError(f"rules {wanted} at offset {offset}")
+            raise RulesTooNewError(
+                f"rules version {wanted} required by record at offset {offset}"
+            )
         self.rules_version = wanted
         verdict = self._note(_item(offset, change, Outcome.ACCEPTED))
         self._fold_kept()
@@ -200,8 +206,8 @@
 def _repeated(
     offset: int, change: records.Change, earlier: histories.HistoryItem
 ) -> Verdict:
-    # An operator's tool that got no answer may send the operation again; the
-    # second copy on the log must not undo a change that came between.
+    # A client that got no reply may submit the operation again. The duplicate
+    # must not revert a change made in between.
     if earlier.change_digest == change.digest():
         return earlier.verdict
     detail = "the operation id was used for another change"
--- a/src/jujubewharf/configuration/validation.py
+++ b/src/jujubewharf/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Checks changes before they go to the log, and names every error."""
+"""Validation of changes before they are appended to the log."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 def check(state: states.State, changes: Sequence[records.Change]) -> list[str]:
-    """Finds all errors of a run of changes that go to the log together.
+    """Finds all errors in a batch of changes.
 
     Returns:
-        One line an error, each opening with the change's place and the
-        field's path; empty when all is well.
+        One line for each error, starting with the index of the change and the
+        path of the field; empty if all changes are valid.
     """
     if len(changes) > MAX_CHANGES:
         return [f"changes: at most {MAX_CHANGES} at once"]
@@ -35,16 +35,16 @@
 def find(
     state: states.State, changes: Sequence[records.Change]
 ) -> Iterator[list[str]]:
-    """As ``check``, for any number of changes that go to the log in runs.
+    """Finds all errors in any number of changes.
 
     Yields:
-        The errors of each change, so that long work can be paced.
+        The errors of each change, so that callers can pause in between.
     """
     return _Checker(state).check(changes)
 
 
 class _Checker:
-    """Checks changes in order; earlier ones may add what later ones need."""
+    """Checks changes in order; later ones may refer to earlier ones."""
 
     def __init__(self, state: states.State) -> None:
         self._state = state
@@ -94,10 +94,10 @@
     def _without_held(
         self, kind: resources.Kind, change: records.Change
     ) -> dict[str, Any]:
-        """The body less the fields of a newer version that are in force.
+        """Returns the body without unknown fields that are in force already.
 
-        A change made here carries them on as they are; only a field that
-        nobody has put in force yet is a fault.
+        Fields of a newer version may be preserved in a change, but not added
+        or modified.
         """
         held = self._state.get(kind, change.name)
         read = border.read(kind, change.body)
@@ -160,7 +160,7 @@
     def _check_token(
         self, owner: resources.Account | resources.Operator
     ) -> Iterator[str]:
-        # The value is not repeated: someone may have given the token itself.
+        # The value is omitted, as it may be the secret token itself.
         if not _TOKEN.fullmatch(owner.token_sha256):
             yield "token_sha256: not 64 lower-case hex digits"
 
--- a/src/jujubewharf/configuration/verdicts.py
+++ b/src/jujubewharf/configuration/verdicts.py
@@ -1,4 +1,4 @@
-"""What the fold says of a record."""
+"""Verdicts on records of the configuration log."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Outcome(enum.Enum):
-    """The fold's verdict on one record; the value is the counter's reason.
+    """Outcome of one record; the value is a metric label.
 
-    ``UNKNOWN_RECORD`` is kept whole until rules that know it are in force.
-    ``MALFORMED`` is no record of any version and is dropped.
+    An ``UNKNOWN_RECORD`` is kept until rules that support it are in force. A
+    ``MALFORMED`` record is invalid in all versions and is dropped.
     """
 
     ACCEPTED = "accepted"
@@ -34,13 +34,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of one change.
+    """Verdict on one change.
 
     Attributes:
-        operation_id: Names the change; empty when it can't be read.
-        offset: Where the change stands on the log.
-        outcome: The verdict.
-        detail: Why, for a person.
+        operation_id: ID of the change; empty if it can't be decoded.
+        offset: Log offset of the change.
+        outcome: Whether the change was accepted, or why not.
+        detail: Human-readable reason.
     """
 
     operation_id: str
@@ -50,16 +50,16 @@
 
     @property
     def is_accepted(self) -> bool:
-        """Whether the change is in force."""
+        """Whether the change was accepted."""
         return self.outcome is Outcome.ACCEPTED
 
     @property
     def generation(self) -> int:
-        """Generation the resource got, if the change was accepted."""
+        """New generation of the resource, if the change was accepted."""
         return self.offset + 1
 
     def error(self) -> errors.WharfError | None:
-        """The error to answer with; ``None`` for an accepted change."""
+        """Returns the error for the caller; ``None`` if accepted."""
         kind = _ERROR_OF.get(self.outcome)
         if kind is None:
             return None
