--- a/tests/configuration/making.py
+++ b/tests/configuration/making.py
@@ -1,4 +1,4 @@
-"""Short ways to make changes, records and followers in these tests."""
+"""Builders for changes, records and followers."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
 
 @contextlib.asynccontextmanager
 async def following(log: logs.Log, clock: clocks.Clock):
-    """A follower that has caught up, with its ``Changes``."""
+    """Runs a follower that has caught up, with its ``Changes``."""
     follower = followers.ConfigurationFollower(log, clock)
     changes = changes_lib.Changes(follower, log, clock)
     await follower.start()
--- a/tests/configuration/test_changes.py
+++ b/tests/configuration/test_changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes through one instance or several, on virtual time."""
+"""Submission of changes by one or two instances, in virtual time."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     virtual_time.run(main())
 
 
-def test_an_answer_means_that_the_change_is_in_force_here():
+def test_verdict_is_returned_after_the_change_is_applied():
     async def scenario(log, here, there):
         del log
         verdicts = await here.submit([making.put(making.SERVICE)])
@@ -44,7 +44,7 @@
     _run(scenario)
 
 
-def test_two_racing_operators_get_one_winner():
+def test_only_one_of_two_concurrent_changes_is_accepted():
     async def scenario(log, here, there):
         del log
         one, two = await asyncio.gather(
@@ -57,13 +57,8 @@
     _run(scenario)
 
 
-def test_a_lost_acknowledgement_is_resolved_by_reading():
-    """The log takes the change and its answer is lost on the way.
-
-    The operator must learn that the change ran. Appending it again would
-    put a second copy on the log; instead the instance reads on until it
-    meets the operation.
-    """
+def test_lost_append_reply_is_resolved_by_reading_the_log():
+    """The change is found in the log and not appended a second time."""
 
     async def scenario(log, here, there):
         del there
@@ -75,7 +70,7 @@
     _run(scenario)
 
 
-def test_no_log_means_that_nothing_ran():
+def test_unavailable_log_rejects_changes_without_appending():
     async def scenario(log, here, there):
         del there
         log.is_down = True
@@ -88,13 +83,8 @@
     _run(scenario)
 
 
-def test_an_outage_after_the_append_is_answered_as_unknown():
-    """The append takes effect, its answer is lost, and the log goes down.
-
-    Nobody can tell now whether the change ran. The operator is told so with
-    the operation's id, asks for it once the log is back, and sending the
-    very same operation again adds nothing.
-    """
+def test_outage_after_append_is_reported_as_unknown_operation():
+    """The error names the operation ID, and a retry appends no duplicate."""
 
     async def scenario(log, here, there):
         del there
@@ -114,7 +104,7 @@
     _run(scenario)
 
 
-def test_every_error_is_named_and_nothing_is_appended():
+def test_all_validation_errors_are_reported_and_nothing_is_appended():
     async def scenario(log, here, there):
         del there
         bad = making.engine("e 1", address="nowhere", slots=0)
@@ -138,7 +128,7 @@
     _run(scenario)
 
 
-def test_force_sets_the_bounds_aside():
+def test_force_skips_the_safety_checks():
     async def scenario(log, here, there):
         del log, there
         made = [making.put(making.SERVICE), making.put(making.engine("e1"))]
@@ -153,7 +143,7 @@
     _run(scenario)
 
 
-def test_rollback_is_a_new_change_with_the_earlier_body():
+def test_rollback_submits_a_new_change_with_the_earlier_body():
     async def scenario(log, here, there):
         del log, there
         before = making.engine("e1", slots=10)
@@ -180,7 +170,7 @@
     _run(scenario)
 
 
-def test_diff_names_what_is_not_as_wanted():
+def test_diff_reports_created_updated_and_deleted_resources():
     async def scenario(log, here, there):
         del log, there
         made = [making.SERVICE, making.engine("e1"), making.engine("e2")]
@@ -198,7 +188,7 @@
     _run(scenario)
 
 
-def test_watch_gives_old_and_coming_changes():
+def test_watch_yields_past_and_future_changes():
     async def scenario(log, here, there):
         del log
         await here.submit([making.put(making.SERVICE)])
--- a/tests/configuration/test_model.py
+++ b/tests/configuration/test_model.py
@@ -1,10 +1,9 @@
-"""Every instance at one offset holds one state, however it got there.
+"""Model test: instances at the same offset have the same state.
 
-Hypothesis drives three holdings and a log through reads, restarts,
-checkpoints, truncation, peers' records and snapshots, repeated appends,
-records of newer versions and newer rules. A reference that reads every
-record in order tells what each offset's state must be. The last test
-switches safeguards off one by one and expects the check to notice.
+Hypothesis drives three instances through reads, restarts, checkpoints,
+truncation, synchronization with peers, duplicates and records of newer
+versions, and compares their states with a reference. Further tests disable
+single safeguards, which the model has to detect.
 """
 
 from __future__ import annotations
@@ -46,7 +45,7 @@
 
 
 class Fleet(stateful.RuleBasedStateMachine):
-    """Three instances, a log that forgets, and checkpoints on it."""
+    """Three instances and a log that is truncated up to checkpoints."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -175,7 +174,7 @@
     )
 
 
-def test_every_instance_at_one_offset_holds_one_state():
+def test_instances_at_the_same_offset_have_the_same_state():
     stateful.run_state_machine_as_test(Fleet, settings=_settings(150))
 
 
@@ -213,8 +212,8 @@
     [_SkipsAGap, _GoesBack, _FoldsByOldRules, "history"],
     ids=["gap", "lower offset", "old rules", "history"],
 )
-def test_the_check_notices_a_missing_safeguard(monkeypatch, weakened):
-    """Each safeguard is switched off in turn, and the check must fail."""
+def test_model_detects_a_missing_safeguard(monkeypatch, weakened):
+    """The model test fails if any single safeguard is disabled."""
     if weakened == "history":
         monkeypatch.setattr(snapshots, "_history_item", _without_history)
     else:
@@ -227,7 +226,7 @@
 
 
 def _race(seen: int) -> list[list[records.Change]]:
-    """Three operators, each with two changes by what each saw at first."""
+    """Two changes of each of three operators, based on the same state."""
     kind = {"expected_generation": seen}
     return [
         [
@@ -252,12 +251,11 @@
         yield [next(queues[index]) for index in chosen]
 
 
-def test_every_interleaving_of_a_race_has_one_winner_and_one_state():
-    """Three operators race for one generation and for the last engine.
+def test_every_interleaving_has_at_most_one_winner_and_one_state():
+    """All 90 orders are applied, with a snapshot restored at each position.
 
-    All 90 orders are folded, each straight through and with a restart from
-    a snapshot at every place. At most one change by the generation that all
-    three saw may win, and the pool is never empty.
+    At most one change with the same expected generation is accepted, and the
+    last engine is never drained or deleted.
     """
     operators = _race(2)
     by_generation = {
--- a/tests/configuration/test_snapshot.py
+++ b/tests/configuration/test_snapshot.py
@@ -1,4 +1,4 @@
-"""States as bytes: nothing is lost, and damage is noticed."""
+"""Snapshots preserve the whole state, and damaged ones are rejected."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return snapshots.decode(snapshot, newest_rules=1)
 
 
-def test_nothing_is_lost_on_the_way():
+def test_decoded_snapshot_equals_the_state():
     state = _state()
     copy = _read(snapshots.encode(state))
     assert snapshots.digest(copy) == snapshots.digest(state)
@@ -44,8 +44,8 @@
     assert copy.endpoints_of("verdict-llm") == state.endpoints_of("verdict-llm")
 
 
-def test_the_order_of_arrival_leaves_no_trace_in_the_digest():
-    """A copy held its entries sorted; the original in order of arrival."""
+def test_digest_is_independent_of_insertion_order():
+    """A decoded state has sorted entries, unlike the original."""
     state = states.State()
     for name in ("e2", "e1"):
         making.fold(state, making.put(making.engine(name)))
@@ -59,7 +59,7 @@
     assert snapshots.digest(copy) != snapshots.digest(state)
 
 
-def test_a_large_state_comes_in_many_chunks():
+def test_large_state_is_split_into_chunks():
     state = states.State()
     making.fold(
         state,
@@ -88,7 +88,7 @@
     ],
     ids=["empty", "raw", "none", "bytes", "item", "format", "rules", "bomb"],
 )
-def test_damage_and_newer_versions_are_refused(chunk):
+def test_damaged_and_newer_snapshots_are_rejected(chunk):
     snapshot = dataclasses.replace(snapshots.encode(_state()), chunks=(chunk,))
     with pytest.raises(snapshots.BrokenSnapshotError):
         _read(snapshot)
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -1,4 +1,4 @@
-"""The fold: one verdict for each record, the same for everyone."""
+"""Verdicts of the state on applied records."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @pytest.fixture
 def pool() -> states.State:
-    """Two engines that do both jobs."""
+    """State with two engines for both prefill and decode."""
     state = states.State()
     made = [making.SERVICE, making.engine("e1"), making.engine("e2")]
     making.fold(state, *[making.put(one) for one in made])
     return state
 
 
-def test_racing_changes_get_one_winner_and_a_conflict_that_names_it():
+def test_second_of_two_concurrent_changes_conflicts():
     state = states.State()
     first, second = making.fold(
         state,
@@ -40,12 +40,10 @@
     assert "generation is 1" in second.detail
 
 
-def test_operators_can_not_jointly_empty_a_pool(pool):
-    """Each of two operators drains one of the last two engines at once.
+def test_concurrent_drains_can_not_empty_a_pool(pool):
+    """Two operators drain one of the last two engines each.
 
-    Both saw a pool of two, so both changes looked safe where they were
-    asked for. Log order decides: the second would empty the pool and is
-    refused by everyone.
+    Both changes were safe when submitted; the second one must be rejected.
     """
     drains = [
         making.put(making.engine(name, drained=True), expected_generation=seen)
@@ -64,7 +62,7 @@
     ],
     ids=["role", "model", "service", "delete"],
 )
-def test_the_last_fitting_endpoint_stays_unless_forced(pool, change):
+def test_last_suitable_endpoint_is_only_removed_by_force(pool, change):
     making.fold(pool, making.delete(making.engine("e1")))
     assert _outcomes(pool, change) == [UNSAFE]
     forced = {"operation_id": "forced", "force": True}
@@ -74,14 +72,14 @@
     assert _outcomes(pool, again) == [ACCEPTED]
 
 
-def test_what_is_referenced_is_not_deleted(pool):
+def test_referenced_resources_can_not_be_deleted(pool):
     model = resources.Model("judge")
     making.fold(pool, making.put(model))
     deletes = [making.delete(model), making.delete(making.SERVICE)]
     assert _outcomes(pool, *deletes) == [UNSAFE, UNSAFE]
 
 
-def test_the_last_admin_stays():
+def test_last_admin_can_not_be_deleted():
     admin = resources.Operator("a", "0" * 64, resources.OperatorRole.ADMIN)
     other = resources.Operator("b", "1" * 64, resources.OperatorRole.ADMIN)
     state = states.State()
@@ -90,7 +88,7 @@
     assert _outcomes(state, *deletes) == [ACCEPTED, UNSAFE]
 
 
-def test_a_token_belongs_to_one_account():
+def test_token_is_unique_among_accounts():
     state = states.State()
     one, two = (resources.Account(name, "0" * 64) for name in ("a", "b"))
     assert _outcomes(state, making.put(one), making.put(two)) == [
@@ -102,11 +100,10 @@
     assert state.account_of_token("0" * 64) is None
 
 
-def test_an_operation_that_stands_twice_on_the_log_counts_once(pool):
-    """A lost answer makes a tool send its operation through two instances.
+def test_duplicate_operation_is_applied_once(pool):
+    """A duplicate must not revert a change of another operator in between.
 
-    Between the two copies another operator changed the engine. The second
-    copy must not set that change back, and it gets the first one's verdict.
+    It receives the verdict on the first copy.
     """
     drain = making.put(making.engine("e1", drained=True), operation_id="x")
     undo = making.put(making.engine("e1"))
@@ -117,7 +114,7 @@
     assert _outcomes(pool, other) == [CONFLICT]
 
 
-def test_a_field_of_a_newer_version_is_carried_along(pool):
+def test_fields_of_newer_versions_are_preserved(pool):
     extra = {"zone_weight": 3, "capabilities": {"kv_export": False, "fp4": 1}}
     change = making.put(making.engine("e1"), extra=extra)
     assert _outcomes(pool, change) == [ACCEPTED]
@@ -129,7 +126,7 @@
     assert body["capabilities"]["kv_import"] is True
 
 
-def test_unknown_records_are_kept_whole_and_garbage_is_dropped(pool):
+def test_unknown_records_are_kept_and_malformed_ones_dropped(pool):
     kind = msgpack.packb(
         {
             "schema_version": 1,
@@ -153,7 +150,7 @@
     assert len(pool.unknown) == 2
 
 
-def test_a_version_without_the_rules_stays_before_them(pool):
+def test_record_with_unsupported_rules_is_not_applied(pool):
     offset = pool.next_offset
     with pytest.raises(states.RulesTooNewError):
         making.fold(pool, making.rules(2))
@@ -161,7 +158,7 @@
     assert pool.rules_version == 1
 
 
-def test_endpoints_of_a_service_follow_moves():
+def test_endpoints_of_service_are_updated_when_one_moves():
     state = states.State()
     making.fold(state, making.put(making.engine("e1")))
     assert [e.name for e in state.endpoints_of("verdict-llm")] == ["e1"]
@@ -170,12 +167,8 @@
     assert [e.name for e in state.endpoints_of("other")] == ["e1"]
 
 
-def test_a_switch_of_rules_that_stands_twice_on_the_log_counts_once():
-    """The switch's answer was lost and a tool sent it again.
-
-    The second copy finds the rules in force already. It must get the first
-    copy's verdict: the operation was accepted, and stays so for who asks.
-    """
+def test_duplicate_rules_change_gets_the_first_verdict():
+    """A duplicate must not be rejected because its rules are in force."""
     state = states.State(newest_rules=2)
     change = making.rules(2)
     first, again = making.fold(state, change, change)
