--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -40,7 +40,7 @@
     """Peers and membership of an instance that keeps all engines itself."""
 
     instance = "e1"
-    myself = membership.Member("e1", "127.0.0.1:1", "a")
+    local_member = membership.Member("e1", "127.0.0.1:1", "a")
 
     def __init__(self) -> None:
         self._handlers: dict[type, Any] = {}
@@ -59,7 +59,7 @@
         return
 
     def present(self) -> tuple[membership.Member, ...]:
-        return (self.myself,)
+        return (self.local_member,)
 
 
 def _fleet(count: int, clock: clocks.Clock) -> fleets.Fleet:
--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -94,7 +94,7 @@
             facts.listen(topic, self._on_fact)
 
     @property
-    def myself(self) -> view.Member:
+    def local_member(self) -> view.Member:
         """This instance."""
         return view.Member(
             self._mesh.instance,
@@ -105,7 +105,7 @@
 
     def members(self) -> tuple[view.Member, ...]:
         """Returns all members; see ``view.MembershipView``."""
-        all_members = self._members | {self._mesh.instance: self.myself}
+        all_members = self._members | {self._mesh.instance: self.local_member}
         return tuple(all_members[name] for name in sorted(all_members))
 
     def is_suspected(self, instance: str) -> bool:
@@ -268,7 +268,7 @@
             {name: member.address for name, member in members.items()}
         )
         self._mesh.set_standing_peers(
-            neighbours.select_peers(self.myself, members.values())
+            neighbours.select_peers(self.local_member, members.values())
         )
         return True
 
--- a/src/jujubewharf/membership/neighbours.py
+++ b/src/jujubewharf/membership/neighbours.py
@@ -21,18 +21,22 @@
 
 
 def select_peers(
-    myself: view.Member, others: Iterable[view.Member]
+    local_member: view.Member, others: Iterable[view.Member]
 ) -> tuple[str, ...]:
     """Returns the names of the chosen peers, sorted."""
     by_domain: dict[str, list[str]] = {}
     for member in others:
         by_domain.setdefault(member.domain, []).append(member.instance)
-    same_domain = by_domain.pop(myself.domain, [])
+    same_domain = by_domain.pop(local_member.domain, [])
     if len(same_domain) > MAX_FULLY_LINKED_PEERS:
-        same_domain = hashing.rank(myself.instance, same_domain)[:DOMAIN_LINKS]
-    domains = hashing.rank(myself.instance, by_domain)[:CROSS_DOMAIN_LINKS]
+        same_domain = hashing.rank(local_member.instance, same_domain)[
+            :DOMAIN_LINKS
+        ]
+    domains = hashing.rank(local_member.instance, by_domain)[
+        :CROSS_DOMAIN_LINKS
+    ]
     other_domains = [
-        hashing.rank(myself.instance, by_domain[domain])[0]
+        hashing.rank(local_member.instance, by_domain[domain])[0]
         for domain in domains
     ]
     return tuple(sorted([*same_domain, *other_domains]))
--- a/src/jujubewharf/membership/view.py
+++ b/src/jujubewharf/membership/view.py
@@ -33,7 +33,7 @@
     """
 
     @property
-    def myself(self) -> Member:
+    def local_member(self) -> Member:
         """This instance."""
         ...
 
--- a/src/jujubewharf/orders/ownership.py
+++ b/src/jujubewharf/orders/ownership.py
@@ -29,4 +29,4 @@
         if not candidates:
             return True
         owner = hashing.rank(endpoint.name, candidates)[0]
-        return owner == self._membership.myself.instance
+        return owner == self._membership.local_member.instance
