--- a/tests/peers/test_hostile.py
+++ b/tests/peers/test_hostile.py
@@ -120,6 +120,8 @@
         assert self.mesh._opener.handshakes == 0
 
 
+# Garbage on the peer port must not leak tasks, links or handshakes. The
+# derandomized seed is a digest of the function's source, docstring included.
 @settings(
     max_examples=EXAMPLES,
     deadline=None,
@@ -128,7 +130,11 @@
 )
 @given(st.booleans(), st.lists(streams, min_size=1, max_size=5))
 def test_whatever_comes_nothing_is_held(is_greeted, parts):
-    """Garbage on the peer port must not leak tasks, links or handshakes."""
+    """Somebody writes garbage to the peer port, before or after a hello.
+
+    The stream ends sooner or later; then no task, link, peer or handshake is
+    left of it, and the instance answers its peers as before.
+    """
 
     async def run() -> None:
         target = Target()
