--- a/tests/callers/test_bodies.py
+++ b/tests/callers/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies are bounded in time and size, on the virtual clock."""
+"""Time and size limits of request bodies, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class _Trickle:
-    """Gives one byte after each pause, without end."""
+    """An endless body that yields one byte after each pause."""
 
     def __init__(self, clock: clocks.Clock, pause_ms: float) -> None:
         self._clock = clock
@@ -23,7 +23,7 @@
 
 
 def test_a_trickled_body_is_bounded_as_a_whole():
-    """A byte comes every 900 ms, so no single wait is ever long."""
+    """A slow body times out although each single read is fast enough."""
 
     async def main() -> float:
         clock = clocks.Clock()
--- a/tests/callers/test_edge.py
+++ b/tests/callers/test_edge.py
@@ -1,4 +1,4 @@
-"""What the edge refuses, and what it lets go of when a caller leaves."""
+"""Refusals of the caller edge, and clean-up after a caller disconnects."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 async def _raw(deployment: loopback.Loopback, data: bytes) -> tuple[int, dict]:
-    """Sends bytes as they are and reads one JSON answer."""
+    """Sends raw bytes and reads one JSON response."""
     host, port = deployment.base.removeprefix("http://").split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(data)
@@ -128,7 +128,7 @@
 
 
 async def test_a_body_that_trickles_is_given_up_on():
-    """The caller announces 50 bytes, sends one and then nothing more."""
+    """A caller that stops in the middle of its body gets a 408."""
     async with loopback.deployed(body_timeout_ms=50) as deployment:
         status, body = await _raw(deployment, _post("Content-Length: 50", b"{"))
         assert status == 408
@@ -200,7 +200,7 @@
 
 
 async def test_a_stream_goes_on_after_the_last_event_seen():
-    """The caller has seen two tokens and comes back with the same key."""
+    """A caller resumes a stream by idempotency key and last event id."""
     prompt = BODY["prompt"]
     async with loopback.deployed() as deployment:
         headers = {"Idempotency-Key": "k2"}
@@ -228,10 +228,9 @@
 async def test_a_caller_that_leaves_frees_the_engines_memory(
     is_streamed, words
 ):
-    """The caller closes its connection while the engines work for it.
+    """Engines release their memory if a caller disconnects.
 
-    With 400 words that is while the prompt is read, with 3 while the answer
-    is written. The handler is cancelled and every engine is told to release.
+    With 400 words this happens during prefill, with 3 words during decode.
     """
     prompt = "answer_tokens=500 " + "w " * words
     body = _body(prompt=prompt, max_tokens=500, stream=is_streamed)
@@ -247,10 +246,9 @@
 
 
 async def test_a_stream_that_fails_ends_with_an_error_and_a_cut():
-    """All engines die after the first tokens were sent.
+    """A failed stream ends with an error event and a truncated body.
 
-    An error event follows. The body then breaks off instead of ending, so a
-    client that knows nothing of error events sees an error as well.
+    Clients that ignore error events thus see an error as well.
     """
     slow = dataclasses.replace(loopback.FAST, step_base_ms=30.0)
     body = _body(prompt="answer_tokens=90 x", max_tokens=90, stream=True)
--- a/tests/callers/test_openai_client.py
+++ b/tests/callers/test_openai_client.py
@@ -1,4 +1,4 @@
-"""The official OpenAI client works against the edge unchanged."""
+"""Compatibility of the caller edge with the official OpenAI client."""
 
 from __future__ import annotations
 
@@ -67,10 +67,7 @@
 async def test_a_refused_request_is_sent_again_when_the_answer_says_so(
     kind, monkeypatch
 ):
-    """The first try is refused with 429 or 503 and a time to come back.
-
-    The client waits that long, sends the request again and gets its answer.
-    """
+    """The client retries a 429 or 503 response after its Retry-After time."""
     refusals = [errors.WharfError(kind, retry_after_ms=40)]
 
     def check(account: str) -> None:
@@ -105,9 +102,9 @@
 
 
 async def test_an_unknown_outcome_is_not_sent_again(monkeypatch):
-    """The answer to a request that may not be repeated was lost.
+    """The client must not retry a 5xx whose outcome is unknown.
 
-    The client would send any 5xx again by itself; told not to, it raises.
+    By default it retries every 5xx.
     """
     asked = []
 
@@ -143,11 +140,7 @@
 
 
 async def test_an_answer_that_breaks_off_is_an_error_and_never_whole():
-    """Every engine dies while the answer is streamed.
-
-    The client has read some tokens; an error event and a connection cut
-    before the body's end follow, so the iteration raises.
-    """
+    """The client raises if all engines die while it reads a stream."""
     slow = dataclasses.replace(loopback.FAST, step_base_ms=30.0)
     async with loopback.deployed(spec=slow) as deployment:
         async with _client(deployment, max_retries=0) as client:
--- a/tests/callers/test_plain.py
+++ b/tests/callers/test_plain.py
@@ -1,4 +1,4 @@
-"""Plain services on loopback: what goes through, and what breaks."""
+"""Forwarding of plain requests over loopback, and its failures."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class _Shop:
-    """An endpoint under a test's control."""
+    """A plain endpoint whose behavior depends on the path."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -128,10 +128,9 @@
 
 
 async def test_a_broken_connection_is_never_sent_twice():
-    """The endpoint takes the call and hangs up without an answer.
+    """A request whose connection breaks is sent once; its outcome is unknown.
 
-    aiohttp's client would send a PUT or DELETE again by itself; the caller
-    must be told that the outcome is unknown after one sending.
+    By default, aiohttp's client retries PUT and DELETE requests.
     """
     async with loopback.deployed() as deployment:
         shop = await _deploy(deployment)
@@ -158,9 +157,9 @@
 
 
 async def test_a_caller_that_stops_sending_is_told_and_the_endpoint_freed():
-    """The caller sends half of its body and then nothing more.
+    """A caller that stops in the middle of its body gets a 408.
 
-    The endpoint has begun to read it, so it may have run.
+    The endpoint has received a part, so the request may have run.
     """
     async with loopback.deployed(body_timeout_ms=100) as deployment:
         shop = await _deploy(deployment)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What all tests share: those that are known to fail."""
+"""Marks the tests listed in KNOWN-RED.txt as expected failures."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def _known_red() -> dict[str, str]:
-    """Tests that are known to fail, with what is known of each."""
+    """Returns the details of each known failure by test id."""
     if not _KNOWN_RED.exists():
         return {}
     lines = _KNOWN_RED.read_text().splitlines()
@@ -19,14 +19,14 @@
 
 
 def pytest_report_header() -> list[str]:
-    """Prints what the run passes over."""
+    """Lists the known failures in the header of the report."""
     return [
         f"known red: {test} | {rest}" for test, rest in _known_red().items()
     ]
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Runs known red tests, and doesn't fail the run for them."""
+    """Marks known failures as xfail, so that they run but don't fail CI."""
     known = _known_red()
     for item in items:
         rest = known.get(item.nodeid)
@@ -35,6 +35,6 @@
 
 
 def pytest_terminal_summary(terminalreporter) -> None:
-    """Prints them once more beside the verdict."""
+    """Lists the known failures in the summary as well."""
     for line in pytest_report_header():
         terminalreporter.write_line(line)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""A small deployment on loopback: stand-ins, one entry instance, a caller."""
+"""A small deployment on loopback: stand-ins, an entry instance, a caller."""
 
 from __future__ import annotations
 
@@ -41,22 +41,22 @@
 
 
 def account(name: str, token: str, **limits: object) -> resources.Account:
-    """An account with a token."""
+    """Creates an account with a token."""
     digest = hashlib.sha256(token.encode()).hexdigest()
     return resources.Account(name, digest, **limits)
 
 
 def answer_of(prompt: str, count: int) -> str:
-    """The whole answer that any stand-in engine writes."""
+    """Returns the whole answer that any stand-in engine generates."""
     return "".join(engines.answer_token(prompt, i) for i in range(count))
 
 
 class Loopback:
-    """The deployment; ``deployed`` makes one.
+    """The deployment; create it with ``deployed``.
 
     Attributes:
         base: URL of the entry instance.
-        session: The caller's HTTP session.
+        session: HTTP session of the caller.
         engines: Stand-in engines by name.
         tills: Stand-in endpoints by name.
     """
@@ -72,7 +72,7 @@
         self._stack = stack
 
     async def listen(self, app: web.Application, **options: object) -> str:
-        """Serves an application for as long as the deployment stands."""
+        """Serves an application until the deployment is stopped."""
         runner = web.AppRunner(
             app, shutdown_timeout=0.1, access_log=None, **options
         )
@@ -83,7 +83,7 @@
         return f"{HOST}:{runner.addresses[0][1]}"
 
     async def declare(self, *declared: resources.Resource) -> None:
-        """Puts resources on the configuration stream."""
+        """Appends resources to the configuration stream."""
         payloads = [
             declarations.put(resource, f"op-{resource.name}")
             for resource in declared
@@ -96,7 +96,7 @@
         spec: engines.EngineSpec = FAST,
         callers: models.CallerSettings,
     ) -> None:
-        """Starts the stand-ins, declares them, starts the entry instance."""
+        """Starts and declares the stand-ins, then starts the instance."""
         self.session = await self._stack.enter_async_context(
             aiohttp.ClientSession()
         )
@@ -130,7 +130,7 @@
         await self._until_ready()
 
     async def nothing_held(self) -> None:
-        """Waits until no engine holds memory; fails after a while."""
+        """Waits until no engine holds memory; fails after 4 s."""
         for _ in range(200):
             held = [await e.held() for e in self.engines.values()]
             if not any(held):
@@ -139,7 +139,7 @@
         raise AssertionError(f"engines hold memory: {held}")
 
     async def something_held(self) -> None:
-        """Waits until some engine holds memory."""
+        """Waits until an engine holds memory; fails after 2 s."""
         for _ in range(200):
             if any([await e.held() for e in self.engines.values()]):
                 return
@@ -147,13 +147,13 @@
         raise AssertionError("no engine ever held memory")
 
     async def no_engine_takes_work(self) -> None:
-        """Waits until the entry instance knows that all engines are gone."""
+        """Waits until the instance has noticed that all engines are gone."""
         for _ in range(400):
             views = self.entry.core.fleet.views_of(MODEL.name)
             if not any(view.takes_work for view in views):
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError("the entry never noticed")
+        raise AssertionError("the entry still sends work to dead engines")
 
     async def _url(self, app: web.Application) -> str:
         return f"http://{await self.listen(app)}"
@@ -199,7 +199,7 @@
     spec: engines.EngineSpec = FAST,
     **callers: object,
 ) -> AsyncIterator[Loopback]:
-    """A running deployment with more resources and caller settings."""
+    """Runs a deployment with further resources and caller settings."""
     async with contextlib.AsyncExitStack() as stack:
         loopback = Loopback(stack)
         settings = models.CallerSettings.model_validate(callers)
--- a/tests/platform/test_http_log.py
+++ b/tests/platform/test_http_log.py
@@ -1,4 +1,4 @@
-"""The log's client: what may be said of an append that was not acknowledged."""
+"""Errors of the log client for appends that were not acknowledged."""
 
 from __future__ import annotations
 
@@ -22,10 +22,9 @@
     ],
 )
 async def test_only_a_refusal_means_that_nothing_was_appended(status, error):
-    """A gateway answers 502 or 504 after the log has taken the records.
+    """Only a refusal is reported as not appended.
 
-    Were that told as not reached, an operator would be told that a change
-    did not run which is in force a moment later.
+    After a 5xx of a gateway the records may still have been appended.
     """
 
     async def refuse(_: web.Request) -> web.Response:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,10 +1,11 @@
-"""Random failures against real entry cores, with checks after each run.
-
-``python -m tests.soak --seeds 200`` runs more of what the test suite runs a
-little of. Everything happens on virtual time and follows from the seed: four
-instances in three domains, engines that die, stall, lose answers and take
-calls late, a log that is down or loses answers, pauses, kills, restarts and
-cuts, while callers hang up and send their requests again elsewhere.
+"""Randomized fault injection against entry cores.
+
+``python -m tests.soak --seeds 200`` runs more seeds than the test suite does.
+Each run takes place on virtual time and is determined by its seed. Faults are
+killed, paused and restarted instances, network partitions between domains,
+engines that crash, stall, lose responses or handle calls late, and a log that
+is unavailable or loses responses. Callers disconnect and retry at other
+instances.
 """
 
 from __future__ import annotations
@@ -36,10 +37,10 @@
 
 
 class Storm:
-    """One run.
+    """One randomized run.
 
     Args:
-        seed: Everything follows from it.
+        seed: Seed that determines the run.
     """
 
     def __init__(self, seed: int) -> None:
@@ -85,7 +86,7 @@
         await clock.sleep_ms(rng.random() * _STORM_MS * 0.8)
         for _ in range(_MAX_TRIES):
             if rng.random() < 0.25 and is_keyed:
-                # A doubled sending: the same key at two instances at once.
+                # The same key is sent to two instances at once.
                 await asyncio.gather(
                     self._send(intent, rng), self._send(intent, rng)
                 )
@@ -140,7 +141,7 @@
     def _check_refusal(
         self, intent: soak_records.Intent, sent: soak_records.Submission
     ) -> None:
-        """A refused claim says "did not run" only if no sending did."""
+        """Checks that a refused claim says "did not run" only if true."""
         match sent.end:
             case model_request.Failed(
                 errors.ErrorKind.CLAIM_UNAVAILABLE, errors.Ran.NO
@@ -151,7 +152,7 @@
                     self._wrong(f"{intent.key} had run, against a refusal")
 
     def _is_settled(self, intent: soak_records.Intent) -> bool:
-        """Whether the caller knows all that it ever will."""
+        """Whether no retry could tell the caller more."""
         for sent in intent.submissions:
             match sent.end:
                 case model_request.Finished():
@@ -159,7 +160,7 @@
                 case model_request.Failed(ran=ran):
                     if not intent.is_repeatable and ran is not errors.Ran.NO:
                         return True
-        # Without a key a second sending is a second request.
+        # Without a key, a retry would be a new request.
         return intent.key is None and not intent.is_repeatable
 
     async def _storm(self) -> None:
@@ -182,7 +183,7 @@
             )
             self.report.faults[fault.__name__.strip("_")] += 1
             asyncio.ensure_future(fault())
-        # The last fault begins before the calm, not after it.
+        # Lets the last fault start before recovery begins.
         await self.d.clock.sleep_ms(1)
 
     async def _calm(self) -> None:
@@ -280,7 +281,7 @@
                 self._wrong(f"{name} still runs {core.answers.running}")
 
     def _dispatches(self) -> collections.Counter:
-        """Times an engine began to write, by request id."""
+        """Counts how often engines started to decode, by request id."""
         counts: collections.Counter = collections.Counter()
         for engine in self.d.bench.engines.values():
             for attempt_id, count in engine.counts.dispatches.items():
@@ -335,12 +336,12 @@
 
 
 def run_seed(seed: int) -> soak_records.Report:
-    """One run."""
+    """Runs one seed."""
     return virtual_time.run(Storm(seed).run())
 
 
 def _quiet() -> None:
-    """Switches logs off in a worker; the failures are its report."""
+    """Disables logging in a worker process."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
@@ -348,7 +349,11 @@
 
 
 def main() -> int:
-    """Runs many seeds; the exit code says whether any check failed."""
+    """Runs many seeds.
+
+    Returns:
+        The exit code: 1 if any check failed, else 0.
+    """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=200)
     parser.add_argument("--first", type=int, default=1)
--- a/tests/soak_records.py
+++ b/tests/soak_records.py
@@ -1,4 +1,4 @@
-"""What a random failure run writes down of its callers and of itself."""
+"""Records of a randomized run, for its checks and its report."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclasses.dataclass
 class Intent:
-    """What one caller wants, whatever it takes.
+    """A request that a caller sends until it has a final answer.
 
     Attributes:
-        key: Its idempotency key; ``None`` lets the instance mint one.
-        tokens: Length of the answer.
-        words: Length of the prompt.
-        is_repeatable: Whether it may run more than once.
-        submissions: Each time it was sent.
+        key: Idempotency key; ``None`` lets the instance generate one.
+        tokens: Length of the answer in tokens.
+        words: Length of the prompt in words.
+        is_repeatable: Whether the request may run more than once.
+        submissions: All attempts of the caller to send it.
     """
 
     key: str | None
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass
 class Submission:
-    """One sending of a request and all that came back."""
+    """One submission of a request, and the events received for it."""
 
     request: model_request.ModelRequest
     instance: str
@@ -38,14 +38,14 @@
 
     @property
     def end(self):
-        """The last event, if it is an end."""
+        """The last event, if it ends the answer."""
         last = self.events[-1] if self.events else None
         return None if isinstance(last, model_request.Tokens) else last
 
 
 @dataclasses.dataclass
 class Report:
-    """What one run did and what was wrong."""
+    """Outcome of one run: violations, and counts of faults and results."""
 
     seed: int
     violations: list[str] = dataclasses.field(default_factory=list)
--- a/tests/telemetry/test_explanation.py
+++ b/tests/telemetry/test_explanation.py
@@ -1,4 +1,4 @@
-"""From a request's id to the line that decided its end."""
+"""Reconstruction of a request's history from log files."""
 
 from __future__ import annotations
 
--- a/tests/telemetry/test_line_writer.py
+++ b/tests/telemetry/test_line_writer.py
@@ -1,4 +1,4 @@
-"""A reader of the logs that stalls costs lines, not requests."""
+"""The log writer drops lines rather than block when its reader stalls."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Stalled(io.StringIO):
-    """Stops every write until it is let go."""
+    """A stream that blocks each write until ``go_on`` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -30,10 +30,9 @@
 
 
 def test_a_stalled_reader_stops_nobody_and_the_loss_is_counted():
-    """Lines are lost while nobody reads, and their number is told later.
+    """A stalled reader neither blocks writers nor lets the queue grow.
 
-    Without the bound memory would grow; without the thread the event loop
-    would stand still in the first write.
+    The number of dropped lines is logged once the reader continues.
     """
     stream = Stalled()
     writer = line_writer.LineWriter(stream, max_waiting=10)
--- a/tests/telemetry/test_logs.py
+++ b/tests/telemetry/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines are JSON, name their request, and never quote it."""
+"""Log lines are JSON, carry the request id, and never quote its content."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def _session(deployment: loopback.Loopback, monkeypatch) -> None:
-    """Requests of every kind, those that fail and one that crashes."""
+    """Sends requests that succeed, that fail, and one that crashes."""
     base, session = deployment.base, deployment.session
     headers = {"Authorization": f"Bearer {TOKEN}"}
     body = {"model": "verdict-llm", "prompt": PROMPT, "max_tokens": 30}
@@ -104,8 +104,7 @@
 
 def test_lines_of_other_libraries_are_json_too(stream):
     logging.getLogger("mode.services").warning("Stopping %s\nmore", "it")
-    # pytest-asyncio makes an event loop for the first test of a process, and
-    # asyncio logs that as well.
+    # asyncio may log the creation of pytest-asyncio's event loop as well.
     (line,) = [x for x in _lines(stream) if x["logger"] != "asyncio"]
     assert line["event"] == "Stopping it"
     assert line["logger"] == "mode.services"
--- a/tests/telemetry/test_metrics.py
+++ b/tests/telemetry/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: the documented list, and the Prometheus endpoint."""
+"""The documented list of metrics, and the Prometheus endpoint."""
 
 from __future__ import annotations
 
@@ -35,9 +35,8 @@
 
 
 def test_the_page_lists_every_instrument_and_no_other():
-    # Earlier tests leave dead event loops behind. Collected in the middle of
-    # a parse, their tasks' clean-up made it fail with a SystemError
-    # ("recursion depth mismatch"), now and then.
+    # Garbage collection of event loops of earlier tests while parsing can
+    # raise a SystemError ("recursion depth mismatch").
     gc.collect()
     gc.disable()
     try:
--- a/tests/telemetry/test_rate_bound.py
+++ b/tests/telemetry/test_rate_bound.py
@@ -1,4 +1,4 @@
-"""A storm of one kind of line is cut, counted, and hides no other kind."""
+"""The log rate limit drops and counts frequent events, and only these."""
 
 from __future__ import annotations
 
--- a/tests/telemetry/test_tallies.py
+++ b/tests/telemetry/test_tallies.py
@@ -1,4 +1,4 @@
-"""What operators are told is what the instruments count."""
+"""Totals for operators are read from the metrics' counters."""
 
 from __future__ import annotations
 
--- a/tests/telemetry/test_walks.py
+++ b/tests/telemetry/test_walks.py
@@ -1,4 +1,4 @@
-"""The three walks of docs/OPERATIONS.md, from the logs of their plays."""
+"""The three examples in docs/OPERATIONS.md, from their recorded logs."""
 
 from __future__ import annotations
 
--- a/tests/test_bearer.py
+++ b/tests/test_bearer.py
@@ -1,4 +1,4 @@
-"""Bearer tokens: what is taken for one, and how one is found."""
+"""Parsing and lookup of bearer tokens."""
 
 from __future__ import annotations
 
@@ -36,10 +36,7 @@
     ["k" * 100_000, "ключ", "a\x01b", "\udcff\udcfe", "a b", "key, other"],
 )
 def test_odd_tokens_are_just_unknown(token):
-    """A caller that sends bytes that are no text is told 401 and not 500.
-
-    Such bytes arrive as lone surrogates, which can't be encoded as they are.
-    """
+    """A token that is not UTF-8 leads to a 401 rather than a 500."""
     table = bearer.DigestTable([(bearer.digest_of("known"), 1)])
     assert table.find(token) is None
     assert table.find("known") == 1
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""The error table is whole, and its page is current."""
+"""The error table is complete, and its documentation is up to date."""
 
 from __future__ import annotations
 
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -1,9 +1,8 @@
-"""One whole session, held against a golden file.
+"""Compares the messages of a whole session with a golden file.
 
-Caller, entry instance, engines, endpoint and log speak on loopback; what each
-party was asked and what it answered is written down step by step. Ids are
-numbered by their first appearance, and tokens that happened to come together
-or apart are shown as one event, so that the file is the same on every run.
+The transcript has the requests and responses of caller, instance, engines,
+endpoint and log. Ids are replaced by numbers and consecutive token events are
+merged, so that it is the same on every run.
 """
 
 from __future__ import annotations
@@ -32,7 +31,7 @@
 
 
 class _Transcript:
-    """What was said, in order."""
+    """Messages of the session, in order."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -55,11 +54,10 @@
 
 
 class _Recorder:
-    """Writes down what the stand-ins are asked between two steps.
+    """Records the calls to the stand-ins during a step.
 
-    Releases go out together and arrive in any order, so they stand at the
-    end of their step, sorted. A reservation and the reading of the prompt run
-    side by side too; the reservation is shown first.
+    Releases run concurrently, so they are sorted and listed last.
+    Reservation and prefill run concurrently, too; reservations come first.
     """
 
     def __init__(
@@ -111,7 +109,7 @@
 def _reservations_first(
     calls: list[tuple[str, str]],
 ) -> list[tuple[str, str]]:
-    """Swaps each prefill with a reservation that came right after it."""
+    """Moves each reservation before the prefill it directly follows."""
     settled = list(calls)
     for place in range(1, len(settled)):
         before, after = settled[place - 1], settled[place]
@@ -159,7 +157,7 @@
 
 
 def _body_lines(text: str) -> list[str]:
-    """The body; events of tokens that follow one another are one line."""
+    """Formats a body; consecutive token events are merged into one line."""
     if not text.startswith(("id:", "data:", "event:")):
         return [text]
     lines: list[str] = []
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -1,4 +1,4 @@
-"""Numbers in headers: what counts, and what is no number."""
+"""Parsing of numbers in headers."""
 
 from __future__ import annotations
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What the daemon may not load: each instance has 64 MB for all."""
+"""Modules that an instance must not import, to save memory and start time."""
 
 from __future__ import annotations
 
@@ -15,12 +15,7 @@
 
 
 def test_the_daemon_loads_no_library_of_the_tools():
-    """Each instance holds its imports, needed or not.
-
-    Numpy alone took 12 MB, for breaking ties. A fresh interpreter imports
-    the daemon's module, since this one has loaded the libraries for other
-    tests.
-    """
+    """Libraries of the tools would add to the memory of each instance."""
     done = subprocess.run(
         [sys.executable, "-c", _SCRIPT],
         capture_output=True,
@@ -54,10 +49,7 @@
 
 
 def test_an_instance_that_forwards_loads_nothing_that_it_doesnt_serve():
-    """Each restart pays for what is imported, all instances at once.
-
-    Operator RPC, peers, claims and keys have no part in forwarding.
-    """
+    """Unused modules would slow down each start of a forwarding instance."""
     platform = pathlib.Path(__file__).parents[1] / "platform"
     done = subprocess.run(
         [sys.executable, "-c", _FORWARDING_SCRIPT, str(platform)],
@@ -78,11 +70,7 @@
 
 
 def test_the_core_loads_nothing_of_the_operator_interface():
-    """The operator interface is built on the core, not the other way round.
-
-    Each would need the other to be imported first, and whoever takes the core
-    without operators would load their interface all the same.
-    """
+    """The core must not depend on the operator interface, which uses it."""
     done = subprocess.run(
         [sys.executable, "-c", _CORE_SCRIPT],
         capture_output=True,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A little of the random failure run; ``make soak`` runs more."""
+"""A few seeds of the randomized fault injection; ``make soak`` runs more."""
 
 from __future__ import annotations
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,8 +1,4 @@
-"""The whole path on loopback: caller, entry, engines, log, endpoint.
-
-The caller sends a streamed, a whole and a plain request; each answer comes
-whole, and afterwards no engine holds memory.
-"""
+"""End-to-end requests on loopback: streamed, not streamed, and plain."""
 
 from __future__ import annotations
 
--- a/tests/users_platform/engine_calls.py
+++ b/tests/users_platform/engine_calls.py
@@ -1,4 +1,4 @@
-"""An adapter to engines and a request, for tests of what is said."""
+"""Fixtures for tests of the engine client: requests and responses."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 def good(**more) -> bytes:
-    """An engine's whole answer, with these headers."""
+    """Returns a successful response of an engine, with further headers."""
     given = {"Request_Id": "r1", "Server_Seal": "s"} | more
     return raw_server.answer(**given)
 
 
 def endpoint(address: str) -> resources.Endpoint:
-    """The engine at an address."""
+    """Returns an engine at an address."""
     role = resources.Role.DECODE
     return resources.Endpoint("i-1", "svc", address, "a", role)
 
 
 def call(**more) -> calls.Call:
-    """A request, with these fields."""
+    """Returns a request, with the given fields replaced."""
     given = {
         "request_id": "r1",
         "method": "POST",
@@ -40,15 +40,13 @@
     return calls.Call(**(given | more))
 
 
-# A process that gets no processor for a quarter of a second in the middle of a
-# connect would take the engine for unreachable, which is right in the daemon.
-# Here the time must not depend on what else the machine does.
+# Longer than in production, so that a busy machine does not make tests fail.
 _CONNECT_S = 30.0
 
 
 @contextlib.asynccontextmanager
 async def connected():
-    """The adapter, on sessions that end with the block."""
+    """Yields an engine client whose sessions are closed at the end."""
     with mock.patch.object(sessions, "_CONNECT_TIMEOUT_S", _CONNECT_S):
         kept = sessions.new_session(keep_alive=True)
         session = sessions.new_session()
--- a/tests/users_platform/raw_server.py
+++ b/tests/users_platform/raw_server.py
@@ -1,4 +1,4 @@
-"""A TCP server that answers each request with bytes that a test gives."""
+"""A TCP server that responds to each request with scripted bytes."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Received:
-    """A request as it arrived.
+    """A received request.
 
     Attributes:
-        line: Its first line.
-        headers: Its headers, names in lower case.
-        body: Its body.
+        line: Request line.
+        headers: Headers by lower-case name.
+        body: Request body.
         connection: Number of the connection.
     """
 
@@ -35,7 +35,10 @@
 
 
 class RawServer:
-    """Answers by a script: bytes, ``RESET`` or ``SILENCE``; then it closes."""
+    """Serves one scripted response per connection.
+
+    A script returns the steps: bytes to send, ``RESET`` or ``SILENCE``.
+    """
 
     def __init__(self, script: Script) -> None:
         self.received: list[Received] = []
@@ -93,7 +96,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(script: Script):
-    """A running server and its address."""
+    """Yields a running server and its address."""
     server = RawServer(script)
     listener = await asyncio.start_server(server.serve, HOST, 0)
     port = listener.sockets[0].getsockname()[1]
@@ -106,7 +109,7 @@
 def answer(
     status: str = "200 OK", body: bytes = b"ok", *, length: bool = True, **more
 ) -> bytes:
-    """An HTTP answer; keywords are headers with _ for -."""
+    """Builds an HTTP response; keywords are headers, with _ for -."""
     lines = [f"HTTP/1.1 {status}"]
     lines += [f"{n.replace('_', '-')}: {v}" for n, v in more.items()]
     if length:
--- a/tests/users_platform/test_boundary.py
+++ b/tests/users_platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's words stay in its folder, which stays small."""
+"""The platform's wire format is confined to its small adapter folder."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 ADAPTER = ROOT / "platform"
 MAX_LINES = 1_500
 
-# Headers, calls and fields of the wire that no other system would name so.
+# Headers, calls and fields that are specific to the platform.
 WORDS = re.compile(
     r"Server-(Seal|Limit|Leaving)|Not-Executed|Kv-[A-Z]|Expect-Instance|Expect-Version"
     r"|Engine-Load|Instance-Id|Token-Counts|Prompt-Prefix|Length-Hint"
@@ -41,11 +41,7 @@
 
 
 def test_the_folder_doesnt_decide():
-    """Routing, retries and budgets are the product's.
-
-    The adapter may not import the parts that decide, but for the entry that
-    puts them together.
-    """
+    """The adapter must not import modules that implement policies."""
     decides = ("placement", "pool", "budget", "role_plan", "plain", "stream")
     imported = [
         name
--- a/tests/users_platform/test_edge.py
+++ b/tests/users_platform/test_edge.py
@@ -1,4 +1,4 @@
-"""The caller edge: what is taken, passed on, refused and cut."""
+"""The platform's caller edge: parsing, forwarding, refusals and aborts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Forwarding:
-    """Stands in for the instance: answers by a script."""
+    """Stand-in for the forwarding entry, with scripted replies."""
 
     def __init__(self, script) -> None:
         self.calls: list[calls.Call] = []
@@ -61,7 +61,7 @@
 
 
 class Caller:
-    """A raw connection to the edge."""
+    """A raw client connection to the edge."""
 
     def __init__(self, reader, writer, forwarding) -> None:
         self.reader = reader
@@ -73,7 +73,7 @@
         await self.writer.drain()
 
     async def read(self) -> tuple[int, dict[str, str], bytes]:
-        """One answer with a length or in chunks."""
+        """Reads a response with a content length or in chunks."""
         head = await self.reader.readuntil(b"\r\n\r\n")
         line, *fields = head.decode().strip().split("\r\n")
         pairs = (field.partition(": ") for field in fields)
@@ -207,7 +207,7 @@
 
 @pytest.mark.parametrize("key", ["k" * 100_000, "\x01", "ключ"])
 async def test_an_odd_key_ends_in_an_answer(key):
-    """The connection is answered, and the instance goes on with the next."""
+    """Unusual keys must not break the connection or the instance."""
     fail = _fail(errors.ErrorKind.UNAUTHENTICATED)
     async with _connected(fail) as caller:
         await caller.send(_request(f"Authorization: Bearer {key}"))
@@ -245,17 +245,13 @@
 async def test_a_request_with_two_ends_is_refused_and_the_connection_closed(
     smuggled,
 ):
-    """Nothing of it reaches an engine.
-
-    Whoever reads the other length finds a second request in the body, which
-    no caller has sent.
-    """
+    """Guards against request smuggling by ambiguous body lengths."""
     inner = b"GET /a/2 HTTP/1.1\r\nHost: a\r\nRequest-Id: r2\r\n\r\n"
     async with _connected(_reply(b"ok", length=2)) as caller:
         await caller.send(_request(*smuggled) + b"0\r\n\r\n" + inner)
         head = await caller.reader.readuntil(b"\r\n\r\n")
         assert b" 400 " in head.split(b"\r\n")[0]
-        # A refusal's text, and then the end: no second answer.
+        # Only the body of the refusal follows, no second response.
         assert b"HTTP/1.1" not in await caller.reader.read()
         assert caller.forwarding.calls == []
 
@@ -319,7 +315,7 @@
 
 
 async def test_what_may_have_run_is_not_called_refused():
-    """A caller sends again what was answered 503, also a sale."""
+    """Callers retry every 503, so one must not be sent if it may have run."""
     script = _fail(
         errors.ErrorKind.QUEUE_FULL,
         retry_after_ms=500.0,
@@ -341,7 +337,7 @@
 
 
 async def test_a_broken_stream_doesnt_look_whole():
-    """The caller sees its connection break, not the end of an answer."""
+    """The connection of a failed stream is reset, not closed in order."""
     broken = errors.WharfError(errors.ErrorKind.ANSWER_BROKEN)
     async with _connected(_reply(b"id: 1\n\n", broken)) as caller:
         await caller.send(_request())
@@ -394,7 +390,7 @@
 
 
 async def test_a_sender_that_stops_inside_a_head_is_let_go():
-    """Slow senders can't hold all descriptors; others are served on."""
+    """Slow clients must not use up all file descriptors."""
     async with _connected(_reply(b"ok", length=2)) as caller:
         await caller.send(b"GET /a/1 HTTP/1.1\r\nHost: a\r\nX-Slow: ")
         assert await asyncio.wait_for(caller.is_closed(), 5)
@@ -408,7 +404,7 @@
         await asyncio.sleep(0.02)
         await caller.send(sent[30:])
         assert (await caller.read())[0] == 200
-        # The bound of the head doesn't go on after it.
+        # The timeout of the head must be cancelled once it is complete.
         await asyncio.sleep(0.2)
         await caller.send(_request())
         assert (await caller.read())[0] == 200
--- a/tests/users_platform/test_endpoint_notices.py
+++ b/tests/users_platform/test_endpoint_notices.py
@@ -1,4 +1,4 @@
-"""What is told of an engine by the headers of its answers."""
+"""Notices that are read from the headers of engines' responses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def _noticed(answer: bytes) -> list[notices.Notice]:
-    """What is told of an engine after one answer to a request."""
+    """Returns the notices after one response of an engine."""
     told: list[notices.Notice] = []
     async with raw_server.serving(lambda _: [answer]) as (_, address):
         async with engine_calls.connected() as backends:
@@ -44,10 +44,9 @@
 async def test_a_limit_is_told_as_the_engine_names_it(
     answer, limit, ends_limit
 ):
-    """A limit ends only by an engine's own whole answer without one.
+    """A rate limit ends only with a response that proves to be the engine's.
 
-    One that can't be read, or an answer that may not be the engine's, would
-    else let all instances loose on an engine that is still in need.
+    Malformed limits or responses of a proxy must not lift the limit.
     """
     (notice,) = await _noticed(answer)
     assert (notice.rate_limit_per_s, notice.ends_limit) == (limit, ends_limit)
@@ -89,10 +88,9 @@
     "more", [{"Request_Id": "r2"}, {"Instance_Id": "i-2"}, {}]
 )
 async def test_nothing_is_told_of_an_engine_by_another(more):
-    """An engine that is well would lose its work by another's word.
+    """Responses of another engine or to another request give no notice.
 
-    Another engine has the address and answers 421, or an answer belongs to
-    another request. What it says of itself is nothing of the one asked.
+    Otherwise a healthy engine would be taken for one that is leaving.
     """
     is_foreign = "Request_Id" in more
     status = "200 OK" if is_foreign else "421 Other"
--- a/tests/users_platform/test_engines.py
+++ b/tests/users_platform/test_engines.py
@@ -1,4 +1,4 @@
-"""Calls to engines: what is sent, and what each answer means."""
+"""Requests to engines, and the interpretation of their responses."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def _send(script, sending=None, *, count: int = 1):
-    """Sends a request; returns the server, and answers or faults."""
+    """Sends requests; returns the server, and the responses or faults."""
     sending = sending or calls.OutboundRequest(engine_calls.call(), 1_234.9)
     found = []
     async with raw_server.serving(script) as (server, address):
@@ -99,7 +99,7 @@
         ("421 Other", {"Instance_Id": "i-2"}, FAULT.REFUSED_IDENTITY),
         ("421 Other", {}, FAULT.REFUSED_IDENTITY),
         ("421 Role", {"Instance_Id": "i-1"}, FAULT.REFUSED_ROLE),
-        # None of these is an engine's own answer to this request.
+        # Responses that are not the engine's response to this request.
         ("200 OK", {"Request_Id": "r0", "Server_Seal": "s"}, FAULT.LOST),
         ("200 OK", {"Server_Seal": "s"}, FAULT.LOST),
         ("200 OK", {"Request_Id": "r1"}, FAULT.LOST),
@@ -108,7 +108,7 @@
             {"Request_Id": "r1", "Server_Seal": "s", "Content_Encoding": "br"},
             FAULT.LOST,
         ),
-        # Without the engine's proof this promise is nobody's.
+        # A status that says "did not run" needs the engine's proof.
         ("503 Busy", {"Request_Id": "r1"}, FAULT.LOST),
     ],
 )
@@ -136,17 +136,14 @@
 
 
 async def test_an_answer_without_length_that_is_reset_is_lost():
-    """The caller must not get a part that looks whole.
-
-    Only the way in which the connection ended tells the two apart.
-    """
+    """A truncated response without a length must not look complete."""
     part = engine_calls.good(length=False, body=b"part of it")
     _, found = await _send(lambda r: [part, raw_server.RESET])
     assert found == [FAULT.LOST]
 
 
 async def test_a_second_answer_is_not_taken_for_the_next_ones():
-    """Each caller gets its own answer although an engine sends one twice."""
+    """A duplicate response is not taken for that to the next request."""
     twice = engine_calls.good() + engine_calls.good(body=b"second")
     server, found = await _send(lambda r: [twice], count=3)
     assert [body for _, body, _ in found] == [b"ok"] * 3
@@ -252,7 +249,7 @@
 
 
 async def test_a_report_of_another_start_tells_nothing_of_this_one():
-    """An engine that began anew under its id isn't busy with an old order."""
+    """A restarted engine is not busy with an order to its predecessor."""
     answer = raw_server.answer(body=b'{"busy":true,"born":2000}')
 
     async def ask(backends, endpoint):
@@ -286,11 +283,7 @@
 
 @pytest.mark.parametrize("sent_bytes", range(0, len(_STREAM), 5))
 async def test_a_stream_that_is_reset_never_looks_whole(sent_bytes):
-    """A caller never takes a part of an answer for all of it.
-
-    The engine's connection is reset before the head, in it, between two
-    events, in one, or before the last byte that says that nothing follows.
-    """
+    """A stream whose connection is reset at any byte must not look complete."""
 
     def script(received):
         return [_STREAM[:sent_bytes], raw_server.RESET]
@@ -310,11 +303,7 @@
 
 
 async def test_a_kept_connection_that_was_reset_says_nothing_of_the_engine():
-    """Memory is reserved although the engine had dropped an idle connection.
-
-    It answers the first call, and resets the connection when the second one
-    arrives on it. A new connection is made; no failure is told.
-    """
+    """A call is retried if the engine had closed the idle connection."""
     connections = 0
 
     async def serve(reader, writer):
@@ -349,10 +338,7 @@
 
 
 async def test_a_late_answer_on_a_kept_connection_is_not_this_calls():
-    """A reservation is never taken for another one's.
-
-    What arrives names another call; whether this one was done isn't known.
-    """
+    """A response with the id of another call is an unknown outcome."""
 
     def script(received):
         body = b'{"hold": "old"}'
@@ -368,11 +354,7 @@
 
 
 async def test_a_pause_of_this_process_in_a_connect_changes_no_answer():
-    """What these tests see doesn't depend on what else the machine does.
-
-    One of them failed beside a full machine: with the daemon's bound on a
-    connect, a pause of 0.3 s in it looks like an engine that isn't there.
-    """
+    """These tests must not fail if the process is paused during a connect."""
     sending = calls.OutboundRequest(engine_calls.call(), 1_234.9)
     async with raw_server.serving(lambda r: [engine_calls.good()]) as (
         _,
--- a/tests/users_platform/test_program.py
+++ b/tests/users_platform/test_program.py
@@ -1,4 +1,4 @@
-"""The whole program against a store and an engine that speak the wire."""
+"""The whole program with a scripted store and engine."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Platform:
-    """The store's and the engine's answers."""
+    """Scripted responses of the store and of the engine."""
 
     def __init__(self) -> None:
         self.engine_address = ""
--- a/tests/users_platform/test_records.py
+++ b/tests/users_platform/test_records.py
@@ -1,4 +1,4 @@
-"""What operators and endpoints write, decoded once."""
+"""Decoding of configuration and endpoint records."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
         ("non_idempotent", False, routes.Repeat.NEVER),
         ("stream", False, routes.Repeat.NEVER),
         ("stream", True, routes.Repeat.CONTINUE),
-        # A kind that isn't known is the one that may do least.
+        # Unknown kinds are not retried.
         ("keyed", True, routes.Repeat.NEVER),
     ],
 )
@@ -157,10 +157,7 @@
 
 
 def test_callers_need_a_key_where_accounts_are_declared_if_only_none():
-    """An operator that takes the last account away lets nobody in.
-
-    Without the list no key was ever asked for, and none is.
-    """
+    """An empty list of accounts admits nobody; no list admits everybody."""
     assert _configuration().accounts is None
     assert _accounts() == ()
 
@@ -268,11 +265,7 @@
     ],
 )
 def test_an_entry_of_another_writer_names_no_endpoint(more):
-    """Callers' requests never go to whoever such an entry names.
-
-    An unknown role was taken for an engine of both roles, and an unknown state
-    for one that leaves.
-    """
+    """Requests must not be sent to the address of an invalid entry."""
     with pytest.raises(ValueError):
         _endpoint(**more)
 
@@ -284,7 +277,7 @@
         records.endpoint("i-1", json.dumps(entry).encode())
 
 
-# One verdict for one commit, however busy the machine is.
+# Deterministic, whatever the load of the machine.
 _BOUNDS = hypothesis.settings(
     derandomize=True,
     deadline=None,
--- a/tests/users_platform/test_start.py
+++ b/tests/users_platform/test_start.py
@@ -1,4 +1,4 @@
-"""What may come while the program is still being loaded."""
+"""Signals that arrive while the program is being imported."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import sys
 
 _START = pathlib.Path(__file__).parents[2] / "platform" / "start.py"
-# Sends the signal at the first import of the program's own modules.
+# Sends SIGHUP when the first module of the program is imported.
 _SCRIPT = """
 import os, runpy, signal, sys
 
@@ -25,11 +25,7 @@
 
 
 def test_a_settings_signal_during_the_start_ends_nothing():
-    """An operator sends SIGHUP to all instances while one of them restarts.
-
-    Loading the modules takes half a second. Python ends a process on that
-    signal until a handler is set, so the instance would die and begin anew.
-    """
+    """SIGHUP must not end the process before its handler is installed."""
     done = subprocess.run(
         [sys.executable, "-c", _SCRIPT, str(_START)],
         capture_output=True,
--- a/tests/users_platform/test_store.py
+++ b/tests/users_platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's tables and groups, as they stand on the wire."""
+"""The HTTP client for the store's tables and groups."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
         tables.TableRecord("a", 3, "1"),
         tables.TableRecord("b", 9, "2"),
     )
-    # What came between the pages is read as a change.
+    # Records that were written between the pages are read as changes.
     assert page.end == 7
 
 
@@ -90,7 +90,7 @@
 
 
 async def test_a_record_that_isnt_understood_has_no_value():
-    """A bad entry over a good one must not leave the good one in force."""
+    """An invalid record replaces the earlier valid one of its key."""
     sent = _changes(9, 2, b"\x01abad", b"", b"\x01b2")
     async with _table(lambda r: [sent]) as (table, _):
         page = await table.changes(5, wait_ms=0.0)
@@ -173,7 +173,7 @@
 
 
 async def test_a_store_that_knows_no_such_table_is_no_empty_one():
-    """All endpoints would be taken for gone."""
+    """A missing table must not look like one without endpoints."""
     absent = raw_server.answer("404 Not Found", b"{}")
     async with _table(lambda r: [absent]) as (table, _):
         with pytest.raises(log.LogUnavailableError):
