--- a/tests/users_platform/test_store.py
+++ b/tests/users_platform/test_store.py
@@ -129,7 +129,7 @@
 
 
 async def test_a_silent_store_is_unavailable(monkeypatch):
-    monkeypatch.setattr(store, "_CALL_MS", 50.0)
+    monkeypatch.setattr(store, "_TIMEOUT_MS", 50.0)
     async with _table(lambda r: [raw_server.SILENCE]) as (table, _):
         with pytest.raises(log.LogUnavailableError):
             await table.changes(0, wait_ms=0.0)
