--- a/tests/membership/test_facts.py
+++ b/tests/membership/test_facts.py
@@ -17,29 +17,29 @@
     return bench
 
 
-def _knowing(bench: benches.Bench, subject: str) -> int:
+def _count_knowing(bench: benches.Bench, subject: str) -> int:
     return sum(
         core.facts.get(facts.Topic.ENDPOINT_LEAVING, subject) is not None
         for core in (i.core for i in bench.instances.values())
     )
 
 
-def test_a_fact_reaches_all_in_seconds_and_ends_with_its_life():
+def test_facts_spread_in_seconds_and_expire():
     async def run() -> None:
         bench = await _fleet(24, 3)
         bench.instances["e05"].core.facts.publish(
             facts.Topic.ENDPOINT_LEAVING, "p1", version=1, ttl_ms=20_000
         )
         await bench.clock.sleep_ms(3_000)
-        assert _knowing(bench, "p1") == 24
+        assert _count_knowing(bench, "p1") == 24
         await bench.clock.sleep_ms(21_000)
-        assert _knowing(bench, "p1") == 0
+        assert _count_knowing(bench, "p1") == 0
         await bench.stop()
 
     virtual_time.run(run())
 
 
-def test_a_cut_domain_learns_what_it_missed_when_healed():
+def test_partitioned_domain_syncs_after_healing():
     """A domain that misses all pushes of a fact receives it by digest sync."""
 
     async def run() -> None:
@@ -49,16 +49,16 @@
             facts.Topic.ENDPOINT_LEAVING, "p1", version=1, ttl_ms=300_000
         )
         await bench.clock.sleep_ms(20_000)
-        assert _knowing(bench, "p1") == 3
+        assert _count_knowing(bench, "p1") == 3
         bench.network.heal()
         await bench.clock.sleep_ms(12_000)
-        assert _knowing(bench, "p1") == 6
+        assert _count_knowing(bench, "p1") == 6
         await bench.stop()
 
     virtual_time.run(run())
 
 
-def test_the_higher_version_wins_in_any_order():
+def test_higher_version_wins_in_any_order():
     async def run() -> None:
         store = fact_store.FactStore(clocks.Clock())
         newer = fact_store.Fact("t", "s", 2, "b", 1e9)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -9,7 +9,7 @@
 FORGOTTEN_AFTER_MS = 150_000.0
 
 
-def test_instances_that_are_gone_leave_nothing_behind():
+def test_removed_instances_leave_no_state():
     """State of replaced instances must not accumulate (memory leak)."""
 
     async def run() -> None:
@@ -39,7 +39,7 @@
     virtual_time.run(run())
 
 
-def test_a_listener_hears_of_each_change():
+def test_listeners_are_notified_of_changes():
     async def run() -> None:
         bench = benches.Bench()
         await bench.start_instance("e1", "a")
--- a/tests/membership/test_neighbours.py
+++ b/tests/membership/test_neighbours.py
@@ -29,34 +29,34 @@
     return linked
 
 
-def _reached(linked: dict[str, set[str]], start: str) -> int:
-    reached, edge = {start}, {start}
-    while edge:
-        edge = {n for name in edge for n in linked[name]} - reached
-        reached |= edge
+def _count_reachable(linked: dict[str, set[str]], start: str) -> int:
+    reached, frontier = {start}, {start}
+    while frontier:
+        frontier = {n for name in frontier for n in linked[name]} - reached
+        reached |= frontier
     return len(reached)
 
 
-def test_links_stay_few_and_join_the_whole_fleet():
+def test_links_are_few_and_connect_the_fleet():
     linked = _links(_fleet(SIZE, DOMAINS))
     degrees = [len(names) for names in linked.values()]
     assert statistics.mean(degrees) <= 12
     assert max(degrees) <= 24
-    assert _reached(linked, "e000") == SIZE
+    assert _count_reachable(linked, "e000") == SIZE
 
 
-def test_the_fleet_stays_joined_when_a_domain_and_a_tenth_are_gone():
+def test_fleet_stays_connected_without_a_domain_and_a_tenth():
     """The graph stays connected without one domain and a tenth of the rest."""
-    left = [
+    remaining = [
         member
         for number, member in enumerate(_fleet(SIZE, DOMAINS))
         if member.domain != "d07" and number % 10
     ]
-    linked = _links(left)
-    assert _reached(linked, left[0].instance) == len(left)
+    linked = _links(remaining)
+    assert _count_reachable(linked, remaining[0].instance) == len(remaining)
 
 
-def test_a_newcomer_changes_few_links():
+def test_new_member_changes_few_links():
     members = _fleet(SIZE, DOMAINS)
     before = _links(members)
     after = _links([*members, view.Member("new", "127.0.0.1:9", "d03")])
@@ -68,7 +68,7 @@
     assert len(moved) <= 24
 
 
-def test_a_small_domain_is_linked_whole():
+def test_small_domains_are_fully_linked():
     linked = _links(_fleet(9, 3))
     for member in _fleet(9, 3):
         near = {
--- a/tests/peers/test_hostile.py
+++ b/tests/peers/test_hostile.py
@@ -174,7 +174,7 @@
         (_frame(msgpack.packb([2, 5, 2, []])), counters.DropReason.LATE_ANSWER),
     ],
 )
-def test_each_fault_is_counted_by_its_reason(data, reason):
+def test_drops_are_counted_by_reason(data, reason):
     async def run() -> None:
         target = Target()
         await target.mesh.start()
@@ -187,7 +187,7 @@
     virtual_time.run(run())
 
 
-def test_a_newer_peer_is_understood():
+def test_newer_protocol_version_is_accepted():
     """Fields and messages of a newer version must not break the link.
 
     Known fields are used and unknown requests are refused at once.
@@ -229,7 +229,7 @@
     virtual_time.run(run())
 
 
-def test_versions_without_a_common_one_refuse_each_other():
+def test_incompatible_versions_are_refused():
     async def run() -> None:
         target = Target()
         await target.mesh.start()
@@ -242,7 +242,7 @@
     virtual_time.run(run())
 
 
-def test_a_stranger_that_says_nothing_is_dropped():
+def test_silent_streams_are_closed():
     """Silent streams must not exhaust the process: bounded and timed out."""
 
     async def run() -> None:
@@ -260,7 +260,7 @@
     virtual_time.run(run())
 
 
-def test_a_peer_that_reads_nothing_costs_bounded_memory():
+def test_send_queue_is_bounded():
     """A peer that stops reading must not make the send queue grow unbounded."""
 
     async def run() -> None:
@@ -271,16 +271,16 @@
         writer.write(_tell(HELLO) + _tell(link_messages.Heartbeat()))
         await target.clock.sleep_ms(100)
         message = Sum((), "x" * 1_000_000)
-        told = [target.mesh.tell("stranger", message) for _ in range(20)]
-        assert told.count(True) == 7
+        are_queued = [target.mesh.tell("stranger", message) for _ in range(20)]
+        assert are_queued.count(True) == 7
         full = target.mesh.counts.drops[counters.DropReason.QUEUE_FULL]
-        assert full == told.count(False)
+        assert full == are_queued.count(False)
         await target.mesh.stop()
 
     virtual_time.run(run())
 
 
-def test_a_huge_announced_length_reserves_nothing():
+def test_large_length_prefix_allocates_nothing():
     async def run() -> int:
         reader = asyncio.StreamReader()
         reader.feed_data(struct.pack(">I", codec.MAX_FRAME_BYTES - 1))
@@ -295,7 +295,7 @@
     assert virtual_time.run(run()) < 100_000
 
 
-def test_an_ask_whose_answer_comes_late_is_lost_and_forgotten():
+def test_late_reply_is_dropped():
     async def run() -> None:
         target = Target()
         await target.mesh.start()
--- a/tests/peers/test_mesh.py
+++ b/tests/peers/test_mesh.py
@@ -39,7 +39,7 @@
     return Answer(f"{peer}:{question.text}")
 
 
-def test_an_ask_is_answered_by_the_peer_it_names():
+def test_requests_reach_the_named_peer():
     async def run() -> None:
         bench = await _bench(("e1", "a"), ("e2", "a"), ("e3", "b"))
         mesh = bench.instances["e1"].core.peers
@@ -58,7 +58,7 @@
     virtual_time.run(run())
 
 
-def test_everybody_sees_everybody():
+def test_all_instances_see_each_other():
     async def run() -> None:
         bench = await _bench(("e1", "a"), ("e2", "a"), ("e3", "b"))
         for instance in bench.instances.values():
@@ -86,7 +86,7 @@
     virtual_time.run(run())
 
 
-def test_a_link_on_demand_is_closed_and_stays_closed():
+def test_on_demand_links_are_closed_when_idle():
     """Redialling closed on-demand links would grow to a link for every pair."""
 
     async def run() -> None:
--- a/tests/peers/test_tls_keys.py
+++ b/tests/peers/test_tls_keys.py
@@ -25,7 +25,7 @@
     pass
 
 
-class Keys:
+class TlsKeyFiles:
     """The TLS files of one instance."""
 
     def __init__(self, folder, name: str, authority: trustme.CA) -> None:
@@ -85,10 +85,12 @@
 
 @pytest.fixture
 def make_keys(tmp_path):
-    def make(name: str, authority: trustme.CA, *, folder: str = "") -> Keys:
+    def make(
+        name: str, authority: trustme.CA, *, folder: str = ""
+    ) -> TlsKeyFiles:
         path = tmp_path / (folder or name)
         path.mkdir()
-        return Keys(path, name, authority)
+        return TlsKeyFiles(path, name, authority)
 
     return make
 
@@ -110,7 +112,7 @@
         await e2.ping(e1)
 
 
-async def test_strangers_are_refused_and_counted(make_keys):
+async def test_unauthenticated_peers_are_refused(make_keys):
     """Unauthenticated peers could otherwise take over keys and roles.
 
     Covers plain TCP, a foreign authority and a name not in the certificate.
@@ -120,8 +122,10 @@
         e1 = Node("e1", make_keys("e1", authority).settings())
         plain = Node("e2", models.PeerSettings())
         foreign = Node("e2", make_keys("e2", trustme.CA()).settings())
-        posing = make_keys("e3", authority, folder="posing").settings()
-        impostor = Node("e2", posing)
+        impostor_settings = make_keys(
+            "e3", authority, folder="posing"
+        ).settings()
+        impostor = Node("e2", impostor_settings)
         for node in (e1, plain, foreign, impostor):
             await node.start(stack)
         await _refused(plain, e1)
@@ -133,7 +137,7 @@
         assert e1.mesh.link_count() == 0
 
 
-async def test_new_keys_come_into_force_without_a_restart(make_keys):
+async def test_keys_are_reloaded_without_a_restart(make_keys):
     """Rotating the authority keeps links working and shuts out old tls_keys."""
     old, new = trustme.CA(), trustme.CA()
     async with contextlib.AsyncExitStack() as stack:
@@ -153,7 +157,7 @@
         await _refused(late, e1)
 
 
-async def test_half_written_keys_change_nothing(make_keys, tmp_path):
+async def test_invalid_keys_do_not_replace_valid_ones(make_keys, tmp_path):
     authority = trustme.CA()
     async with contextlib.AsyncExitStack() as stack:
         e1 = Node("e1", make_keys("e1", authority).settings())
@@ -168,7 +172,7 @@
 
 
 @pytest.mark.parametrize("host", ["0.0.0.0", "::", "router.example"])
-def test_a_host_that_nobody_can_dial_is_no_setting(host):
+def test_undialable_hosts_are_rejected(host):
     with pytest.raises(ValueError, match="host"):
         models.PeerSettings(host=host)
 
@@ -178,7 +182,7 @@
     await _until(lambda: all(n.reloader.reloads > before[n] for n in nodes))
 
 
-async def _until(holds: Callable[[], bool]) -> None:
+async def _until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(20):
-        while not holds():  # noqa: ASYNC110
+        while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
