--- a/src/jujubewharf/operators/adapter.py
+++ b/src/jujubewharf/operators/adapter.py
@@ -1,4 +1,7 @@
-"""The gRPC face of the operator service: tokens, errors and streams."""
+"""gRPC adapter of the operator service.
+
+Authenticates callers, maps errors to gRPC statuses and serves streams.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +36,12 @@
 def handler(
     service: services.OperatorService, guard: guards.Guard
 ) -> grpc.GenericRpcHandler:
-    """Every RPC of the schema, answered by the operator service."""
+    """Returns a handler that serves every RPC of the schema.
+
+    Args:
+        service: Service that executes the calls.
+        guard: Limits and counts the calls of each operator.
+    """
     face = _Face(service, guard)
     return grpc.method_handlers_generic_handler(
         SERVICE.full_name,
@@ -84,10 +92,10 @@
         call: calls.UnaryCall,
         request: protobuf.Message,
     ) -> protobuf.Message:
-        """Makes the call; each change leaves a line, refused or not.
+        """Executes a call and logs it if it is a change, even if it fails.
 
-        History has what was judged; what an operator tried without the right
-        to is only here.
+        The configuration history only holds changes that reached the log, so
+        this audit line is the only record of attempts without permission.
         """
         outcome = errors.ErrorKind.INTERNAL.value
         operation = getattr(request, "operation_id", "")
@@ -140,8 +148,8 @@
     def _check_still(
         self, identity: values.Identity, context: _Context
     ) -> None:
-        # A stream outlives a change of its operator's role or scope; going on
-        # would show a former operator what it may no longer see.
+        # The role or scope of the operator may change while the stream is
+        # open. The stream must not send what the operator may no longer see.
         if self._identity(context) != identity:
             detail = "the identity was changed; watch anew"
             raise errors.WharfError(errors.ErrorKind.FORBIDDEN, detail)
--- a/src/jujubewharf/operators/backend.py
+++ b/src/jujubewharf/operators/backend.py
@@ -1,4 +1,4 @@
-"""What the operator interface needs of the configuration."""
+"""Access of the operator interface to the configuration."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from jujubewharf.configuration import state as states
 from jujubewharf.operators import values
 
-# The history also holds changes of the fold's own rules.
+# The history also holds records that are not resources, such as rule changes.
 _KINDS = frozenset(kind.value for kind in resources.Kind)
 _STATES = {
     states.Outcome.ACCEPTED: values.OperationState.ACCEPTED,
@@ -28,13 +28,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of one change.
+    """Outcome of one change.
 
     Attributes:
-        operation_id: Its operation.
-        state: Its verdict.
-        generation: Generation reached; 0 when it reached none.
-        detail: Why it was not accepted.
+        operation_id: ID of the operation.
+        state: Whether the change was accepted, or why it was rejected.
+        generation: Generation of the resource after the change; 0 if the
+            change was rejected.
+        detail: Reason for the rejection.
     """
 
     operation_id: str
@@ -45,14 +46,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """One change that came into force.
+    """One change that was applied.
 
     Attributes:
         kind: Resource kind.
         name: Resource name.
-        generation: Generation reached.
-        before: Body that the change found; ``None`` for none.
-        after: Body that it left; ``None`` for none.
+        generation: Generation of the resource after the change.
+        before: Resource before the change; ``None`` if it did not exist.
+        after: Resource after the change; ``None`` if it was deleted.
     """
 
     kind: resources.Kind
@@ -63,66 +64,84 @@
 
 
 def part_of(operation_id: str, part: str) -> str:
-    """Name of one change of an apply, below the apply's own."""
+    """Returns the operation ID of one change within an apply.
+
+    Args:
+        operation_id: Operation ID of the apply.
+        part: Suffix that identifies the change, such as ``endpoint/d1``.
+    """
     return f"{operation_id}/{part}"
 
 
 class Backend(Protocol):
-    """Configuration in force, and the way to change it."""
+    """Reads and changes the configuration."""
 
     @property
     def state(self) -> states.State:
-        """Configuration in force at this instance."""
+        """Configuration applied at this instance."""
         ...
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether this instance has a configuration to answer from."""
+        """Whether this instance has loaded the configuration."""
         ...
 
     async def submit(
         self, changes: Sequence[records.Change], *, force: bool
     ) -> list[Verdict]:
-        """Appends changes and waits until they are folded here.
+        """Appends changes to the log and waits until they are applied here.
+
+        Args:
+            changes: Changes to append.
+            force: Allows a change that leaves a pool in use empty.
+
+        Returns:
+            The verdict on each change, in the same order.
 
         Raises:
-            WharfError: ``LOG_UNAVAILABLE`` when nothing was appended,
-                ``OPERATION_UNKNOWN`` when that can't be known.
+            WharfError: ``LOG_UNAVAILABLE`` if nothing was appended,
+                ``OPERATION_UNKNOWN`` if the outcome is not known.
         """
         ...
 
     def operation(self, operation_id: str) -> values.HistoryEntry | None:
-        """What became of an operation; ``None`` when it was not seen."""
+        """Returns the outcome of an operation; ``None`` if it was not seen."""
         ...
 
     def operations(self, operation_id: str) -> Sequence[values.HistoryEntry]:
-        """The change of an operation, or those of an apply, oldest first."""
+        """Returns the changes of an operation or an apply, oldest first."""
         ...
 
     def history(
         self, kind: resources.Kind, name: str
     ) -> Sequence[values.HistoryEntry]:
-        """Changes of a resource, oldest first."""
+        """Returns the changes of a resource, oldest first."""
         ...
 
     async def changed(self, since_offset: int, wait_ms: float) -> None:
-        """Waits until more than an offset is folded, or for a while."""
+        """Waits until records past an offset are applied, or for ``wait_ms``.
+
+        Args:
+            since_offset: Log offset that the caller has already seen.
+            wait_ms: Longest wait in milliseconds.
+        """
         ...
 
     def steps(self, from_offset: int) -> AsyncIterator[Step]:
-        """Changes as they come into force, from an offset on.
+        """Yields changes from an offset on, each as soon as it is applied.
 
         Raises:
-            WharfError: ``UNKNOWN_RESOURCE`` when they are no longer kept.
+            WharfError: ``UNKNOWN_RESOURCE`` if changes that were not yielded
+                yet are no longer in the history.
         """
         ...
 
 
 class CoreBackend:
-    """The configuration of an instance.
+    """Backend on the configuration of an entry instance.
 
     Args:
-        core: The instance.
+        core: Core of the instance.
     """
 
     def __init__(self, core: cores.EntryCore) -> None:
@@ -228,7 +247,7 @@
 def _effect(item: histories.HistoryItem) -> values.Effect:
     if item.verb is records.Verb.DELETE:
         return values.Effect.DELETE
-    # A refused change found nothing that is kept, and says nothing of it.
+    # A rejected change does not record whether the resource existed.
     if item.verdict.is_accepted and item.generation_before == 0:
         return values.Effect.CREATE
     return values.Effect.CHANGE
--- a/src/jujubewharf/operators/calls.py
+++ b/src/jujubewharf/operators/calls.py
@@ -1,4 +1,4 @@
-"""Each RPC: its message taken apart, the call made, the answer put together."""
+"""RPC functions that convert between messages and service calls."""
 
 from __future__ import annotations
 
--- a/src/jujubewharf/operators/client.py
+++ b/src/jujubewharf/operators/client.py
@@ -1,8 +1,8 @@
-"""A client of the operator interface, for tools, the command line and tests.
+"""Client of the operator interface, for tools, the command line and tests.
 
-The client knows several instances and goes on to the next when one is not
-reached. Every change carries an operation id from the start, so that sending
-it again elsewhere can't make it take effect twice.
+The client fails over to the next instance when one is not reachable. Every
+change carries an operation ID, so that a retry at another instance does not
+apply the change twice.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
     """Calls the operator interface of a fleet.
 
     Use it as ``async with OperatorClient(addresses, token) as client``. All
-    calls raise ``faults.OperatorError`` when they were refused or their
-    outcome is unknown, and ``faults.UnreachableError`` when no instance was
-    reached.
+    calls raise ``faults.OperatorError`` if the call was refused or its
+    outcome is unknown, and ``faults.UnreachableError`` if no instance was
+    reachable.
 
     Args:
         addresses: ``IP:PORT`` of instances, in order of preference.
         token: The operator's bearer token.
-        timeout_ms: Longest wait for one instance's answer.
+        timeout_ms: Timeout of a call to one instance, in milliseconds.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         await self.close()
 
     def only(self, address: str) -> OperatorClient:
-        """A client of one instance, with the same token."""
+        """Returns a client of one instance with the same token."""
         return OperatorClient(
             [address], self._token, timeout_ms=self._timeout_ms
         )
@@ -115,7 +115,7 @@
         force: bool = False,
         operation_id: str = "",
     ) -> values.ChangeDone:
-        """Deletes a resource whose generation must be the expected one."""
+        """Deletes a resource at the expected generation."""
         request = pb.DeleteRequest(
             kind=_number(kind),
             name=name,
@@ -137,7 +137,7 @@
         force: bool = False,
         operation_id: str = "",
     ) -> values.ChangeDone:
-        """Brings back the body of an earlier generation, as a new change."""
+        """Restores an earlier generation of a resource as a new change."""
         request = pb.RollbackRequest(
             kind=_number(kind),
             name=name,
@@ -158,7 +158,7 @@
         force: bool = False,
         operation_id: str = "",
     ) -> values.ChangeDone:
-        """Stops new work to an endpoint, or lets it come again."""
+        """Drains an endpoint or ends its drain."""
         request = pb.DrainRequest(
             endpoint=endpoint,
             force=force,
@@ -177,10 +177,10 @@
         operation_id: str = "",
         seen_offset: int | None = None,
     ) -> values.ApplyReply:
-        """Declares many resources; see ``editing.Editor.apply``.
+        """Applies many resources; see ``editing.Editor.apply``.
 
-        The call does not fail when single changes were refused: the reply's
-        ``failed`` tells them.
+        The call succeeds even if single changes were rejected; check the
+        ``failed`` items of the reply.
         """
         request = pb.ApplyRequest(
             resources=[messages.resource_to_message(one) for one in wanted],
@@ -199,7 +199,7 @@
         *,
         not_before_offset: int = 0,
     ) -> values.StoredResource:
-        """One resource in force."""
+        """Returns a resource."""
         request = pb.GetRequest(
             kind=_number(kind),
             name=name,
@@ -218,7 +218,7 @@
         page_token: str = "",
         not_before_offset: int = 0,
     ) -> values.ListReply:
-        """A page of resources by name."""
+        """Returns a page of resources, sorted by name."""
         request = pb.ListRequest(
             kind=_number(kind),
             service=service,
@@ -231,7 +231,7 @@
     async def list_all(
         self, kind: resources.Kind, *, service: str = ""
     ) -> list[values.StoredResource]:
-        """All resources of a kind, page after page."""
+        """Returns all resources of a kind, fetched page by page."""
         found: list[values.StoredResource] = []
         token = ""
         while True:
@@ -247,9 +247,10 @@
         kinds: Sequence[resources.Kind] = (),
         service: str = "",
     ) -> AsyncGenerator[values.WatchEvent, None]:
-        """The state in force, then every change, from one instance.
+        """Yields the current state, then every change, from one instance.
 
-        It ends with an error when that instance goes; watch again then.
+        Raises an error when the connection to the instance is lost; call
+        ``watch`` again to resume from a new snapshot.
         """
         request = pb.WatchRequest(
             kinds=[_number(kind) for kind in kinds], service=service
@@ -270,7 +271,7 @@
         page_size: int = 0,
         page_token: str = "",
     ) -> values.HistoryReply:
-        """Changes of a resource, newest first."""
+        """Returns a page of the changes of a resource, newest first."""
         request = pb.HistoryRequest(
             kind=_number(kind),
             name=name,
@@ -282,21 +283,21 @@
         )
 
     async def operation(self, operation_id: str) -> values.Operation:
-        """What became of an operation."""
+        """Returns the outcome of an operation."""
         request = pb.GetOperationRequest(operation_id=operation_id)
         return await self._connections.call(
             "GetOperation", request, values.Operation
         )
 
     async def status(self) -> values.InstanceStatus:
-        """The answering instance."""
+        """Returns the status of the answering instance."""
         request = pb.GetStatusRequest()
         return await self._connections.call(
             "GetStatus", request, values.InstanceStatus
         )
 
     async def accept_loss(self) -> values.InstanceStatus:
-        """Lets one instance go on without lost records; see the pages."""
+        """Lets one instance continue without records that the log has lost."""
         request = pb.AcceptLossRequest()
         return await self._connections.call(
             "AcceptLoss", request, values.InstanceStatus
@@ -305,7 +306,7 @@
     async def engines(
         self, *, service: str = ""
     ) -> tuple[values.EngineStatus, ...]:
-        """Engines as the answering instance sees them."""
+        """Returns the engines as seen by the answering instance."""
         request = pb.ListEnginesRequest(service=service)
         reply = await self._connections.call(
             "ListEngines", request, values.ListEnginesReply
@@ -313,7 +314,7 @@
         return reply.engines
 
     async def identity(self) -> values.Identity:
-        """The identity behind the token."""
+        """Returns the identity that the token belongs to."""
         request = pb.GetIdentityRequest()
         return await self._connections.call(
             "GetIdentity", request, values.Identity
@@ -321,7 +322,7 @@
 
 
 def new_operation_id() -> str:
-    """A name for an operation, unique for all time."""
+    """Returns a new globally unique operation ID."""
     return uuid.uuid4().hex
 
 
--- a/src/jujubewharf/operators/connections.py
+++ b/src/jujubewharf/operators/connections.py
@@ -1,4 +1,4 @@
-"""Calls to the first instance of several that answers."""
+"""gRPC connections to several instances, with failover between them."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
         errors.ErrorKind.CONFIG_UNSAFE,
     }
 )
-# What another instance may answer better: it may be up, or reach the log
-# where this one is cut off.
+# Errors that may not occur at another instance, which may be ready or able to
+# reach the log.
 _ELSEWHERE = frozenset(
     {
         errors.ErrorKind.LOG_UNAVAILABLE,
@@ -40,7 +40,7 @@
     }
 )
 _CONNECT_S = 3.0
-# The client itself goes on to the next instance, under one operation id.
+# The client retries at the next instance itself, with the same operation ID.
 _OPTIONS = (("grpc.enable_retries", 0),)
 
 
@@ -50,7 +50,7 @@
     Args:
         addresses: ``IP:PORT`` of instances.
         token: The operator's bearer token.
-        timeout_ms: Longest wait for one instance's answer.
+        timeout_ms: Timeout of a call to one instance, in milliseconds.
     """
 
     def __init__(
@@ -75,11 +75,11 @@
     async def call(
         self, name: str, request: protobuf.Message, cls: type[_Value]
     ) -> _Value:
-        """Asks one instance after the other until one answers for good.
+        """Calls one instance after another until one gives a final answer.
 
         Raises:
             OperatorError: The call was refused, or its outcome is unknown.
-            UnreachableError: No instance was reached.
+            UnreachableError: No instance was reachable.
         """
         may_have_run = False
         refused: Exception = faults.UnreachableError("no address")
@@ -99,8 +99,9 @@
                 self._prefer(address)
                 return messages.from_message(reply, cls)
         if may_have_run and not _is_verdict(refused):
-            # One instance took the change and was lost before it answered;
-            # another's "did not run" speaks only for itself.
+            # The connection to one instance was lost after the request was
+            # sent, so the change may have run there although another
+            # instance answered that it did not run.
             raise faults.OperatorError(
                 errors.ErrorKind.OPERATION_UNKNOWN,
                 str(refused),
@@ -120,10 +121,12 @@
             raise _failure(address, error) from error
 
     async def _connect(self, address: str) -> None:
-        """Waits for a connection, so that a failure here means nothing ran.
+        """Waits for a connection before the request is sent.
+
+        If this fails, the request certainly did not run.
 
         Raises:
-            UnreachableError: There is none.
+            UnreachableError: The instance is not reachable.
         """
         channel = self._channel(address)
         try:
@@ -139,7 +142,7 @@
             raise faults.UnreachableError(text) from error
 
     def _prefer(self, address: str) -> None:
-        """Asks the instance that answered first from now on."""
+        """Moves an instance that answered to the front of the list."""
         self._addresses.remove(address)
         self._addresses.insert(0, address)
 
@@ -166,11 +169,11 @@
     async def stream(
         self, name: str, request: protobuf.Message, cls: type[_Value]
     ) -> AsyncGenerator[_Value, None]:
-        """Parts of an answer from the instance that answered last.
+        """Yields the messages of a stream from the preferred instance.
 
         Raises:
             OperatorError: The call was refused.
-            UnreachableError: The instance was lost.
+            UnreachableError: The connection to the instance was lost.
         """
         address = self._addresses[0]
         call = self._method(address, name)(request, metadata=self._metadata)
@@ -187,7 +190,7 @@
 
 
 class _NoAnswerError(Exception):
-    """The call was sent and got no answer from the operator service."""
+    """The request was sent, but the operator service did not answer."""
 
 
 def _serialize(message: protobuf.Message) -> bytes:
--- a/src/jujubewharf/operators/differences.py
+++ b/src/jujubewharf/operators/differences.py
@@ -1,4 +1,4 @@
-"""What differs between the configuration in force and a wanted one."""
+"""Differences between the current and the desired configuration."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from jujubewharf.operators import pacing
 from jujubewharf.operators import values
 
-# What others refer to comes first, and goes last.
+# Referenced kinds are created before and deleted after their referrers.
 _ORDER = (
     resources.Kind.MODEL,
     resources.Kind.SERVICE,
@@ -27,12 +27,12 @@
 
 
 def key_of(resource: resources.Resource) -> states.Key:
-    """Kind and name of a resource."""
+    """Returns the kind and name of a resource."""
     return resources.KIND_OF[type(resource)], resource.name
 
 
 def explicit(resource: resources.Resource) -> dict[str, object]:
-    """A resource as JSON data without the fields that have their default."""
+    """Returns a resource as JSON data without fields at their default."""
     data = border.dump(resource)
     for field in dataclasses.fields(resource):
         if field.default is dataclasses.MISSING:
@@ -45,7 +45,7 @@
 def of_resource(
     before: states.Entry | None, after: resources.Resource | None
 ) -> values.Difference | None:
-    """What differs in one resource; ``None`` when nothing does."""
+    """Returns the difference of one resource; ``None`` if it is unchanged."""
     old = before.resource if before else None
     if old == after:
         return None
@@ -67,12 +67,13 @@
     *,
     is_pruned: Callable[[resources.Resource], bool],
 ) -> list[values.Difference]:
-    """What an apply would do, in the order in which it would do it.
+    """Returns the changes of an apply, in the order of their execution.
 
     Args:
-        state: Configuration in force.
-        wanted: Resources that should be in force.
-        is_pruned: Whether a resource that is not wanted goes.
+        state: Current configuration.
+        wanted: Desired resources.
+        is_pruned: Returns whether to delete a resource that is not in
+            ``wanted``.
     """
     named = {key_of(resource): resource for resource in wanted}
     found = [
--- a/src/jujubewharf/operators/documents.py
+++ b/src/jujubewharf/operators/documents.py
@@ -1,7 +1,7 @@
-"""The configuration file that ``ctl apply`` takes and ``ctl export`` writes.
+"""Configuration file read by ``ctl apply`` and written by ``ctl export``.
 
-A JSON object with one list a kind: ``models``, ``services``, ``endpoints``,
-``accounts`` and ``operators``; each may be left out.
+The file is a JSON object with one list per kind: ``models``, ``services``,
+``endpoints``, ``accounts`` and ``operators``. Each list is optional.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 
 def parse(text: str) -> result.Result[list[resources.Resource], list[str]]:
-    """Checks a configuration file.
+    """Parses and checks a configuration file.
 
     Returns:
-        The resources in the file's order, or one line an error, each opening
-        with the path of the field it is about.
+        The resources in the order of the file, or one line per error, each
+        starting with the path of the invalid field.
     """
     try:
         data = json.loads(text)
@@ -54,7 +54,10 @@
 
 
 def dump(held: Sequence[resources.Resource]) -> str:
-    """Resources as a configuration file, by name; defaults are left out."""
+    """Returns resources as the text of a configuration file.
+
+    Resources are sorted by name; fields at their default are omitted.
+    """
     by_name = sorted(held, key=lambda resource: resource.name)
     data = {
         name: [
--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -1,4 +1,4 @@
-"""Changes that operators ask for, one resource or many at a time."""
+"""Changes of one or many resources on behalf of operators."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 class Editor:
-    """Checks changes and hands them to the configuration.
+    """Checks changes and submits them to the configuration.
 
-    Every call takes an ``operation_id``. A call sent again under the same id,
-    to any instance, takes effect once and gets the first one's answer; empty
-    lets the instance choose one.
+    Every call takes an ``operation_id``. Calls with the same ID, at any
+    instance, take effect only once and return the same result. If the ID is
+    empty, the instance generates one.
 
     Args:
-        backend: The configuration.
-        clock: Time.
+        backend: Configuration to change.
+        clock: Clock of the instance.
     """
 
     def __init__(self, backend: backends.Backend, clock: clocks.Clock) -> None:
@@ -46,10 +46,10 @@
         *,
         operation_id: str = "",
     ) -> values.ChangeDone:
-        """Declares a resource that must not exist yet.
+        """Creates a resource that must not exist yet.
 
         Raises:
-            WharfError: As for every change: ``FORBIDDEN``,
+            WharfError: As for every change, ``FORBIDDEN``,
                 ``CONFIG_INVALID``, ``CONFIG_CONFLICT``, ``CONFIG_UNSAFE``,
                 ``LOG_UNAVAILABLE`` or ``OPERATION_UNKNOWN``.
         """
@@ -65,7 +65,7 @@
         force: bool = False,
         operation_id: str = "",
     ) -> values.ChangeDone:
-        """Replaces a resource whose generation must be the expected one."""
+        """Replaces a resource at the expected generation."""
         _check_expected(expected_generation)
         wish = _put(_named(operation_id), resource, expected_generation)
         return await self._one(identity, wish, force=force)
@@ -80,7 +80,7 @@
         force: bool = False,
         operation_id: str = "",
     ) -> values.ChangeDone:
-        """Deletes a resource whose generation must be the expected one."""
+        """Deletes a resource at the expected generation."""
         _check_expected(expected_generation)
         wish = submission.Wish(
             _named(operation_id), kind, name, None, expected_generation
@@ -98,20 +98,20 @@
         force: bool = False,
         operation_id: str = "",
     ) -> values.ChangeDone:
-        """Brings back the body of an earlier generation, as a new change.
+        """Restores an earlier generation of a resource as a new change.
 
         Args:
-            identity: Who asks.
+            identity: Identity of the caller.
             kind: Resource kind.
             name: Resource name.
-            to_generation: Generation whose body comes back.
-            expected_generation: Generation in force that the operator saw;
-                0 when the resource is deleted now.
-            force: Goes on where a pool in use would be left empty.
-            operation_id: Names the operation.
+            to_generation: Generation to restore.
+            expected_generation: Current generation; 0 if the resource is
+                deleted.
+            force: Allows a change that leaves a pool in use empty.
+            operation_id: ID of the operation.
 
         Raises:
-            WharfError: Also ``UNKNOWN_RESOURCE`` when that generation is no
+            WharfError: Also ``UNKNOWN_RESOURCE`` if that generation is no
                 longer in the history.
         """
         resource = self._body_at(kind, name, to_generation)
@@ -127,7 +127,7 @@
         force: bool = False,
         operation_id: str = "",
     ) -> values.ChangeDone:
-        """Stops new work to an endpoint, or lets it come again.
+        """Drains an endpoint or ends its drain.
 
         Raises:
             WharfError: Also ``UNKNOWN_RESOURCE``.
@@ -140,7 +140,7 @@
         endpoint = dataclasses.replace(entry.resource, drained=drained)
         earlier = self._backend.operation(operation)
         if earlier is not None and earlier.resource == endpoint:
-            # Sent again: the generation moved on by the first one's doing.
+            # A retry of an operation that already changed the generation.
             return values.ChangeDone(
                 operation, earlier.generation, self._offset
             )
@@ -158,27 +158,30 @@
         operation_id: str = "",
         seen_offset: int | None = None,
     ) -> values.ApplyReply:
-        """Declares many resources, or tells what that would change.
+        """Applies many resources, or only computes the differences.
 
-        The changes are appended together, but each stands for itself: one
-        may be refused while others are in force. ``items`` tells each.
+        The changes are appended in batches, but each has its own verdict:
+        one may be rejected while others are applied. ``items`` of the reply
+        holds the outcome of each change.
 
         Args:
-            identity: Who asks.
-            wanted: Resources that should be in force; each name once.
-            prune: Deletes what the identity may change and did not list.
-            force: Goes on where a pool in use would be left empty.
-            dry_run: Only tells the differences.
-            operation_id: Names the whole; each change gets an id below it.
+            identity: Identity of the caller.
+            wanted: Desired resources; each kind and name only once.
+            prune: Deletes resources that are not in ``wanted`` and that the
+                identity may change.
+            force: Allows changes that leave a pool in use empty.
+            dry_run: Only computes the differences.
+            operation_id: ID of the apply; the IDs of its changes are derived
+                from it.
             seen_offset: ``applied_offset`` of the dry run that the operator
-                agreed to: what was changed since is a conflict.
+                confirmed; later changes of these resources are a conflict.
 
         Raises:
-            WharfError: As for a change; the whole is refused.
+            WharfError: As for a single change; no change is applied.
         """
         operation = _named(operation_id)
         _check_names(wanted, operation)
-        # What comes into force from here on is a conflict, not a difference.
+        # Changes that are applied after this offset are conflicts.
         offset = self._offset
         found = await differences.of_state(
             self._backend.state,
--- a/src/jujubewharf/operators/faults.py
+++ b/src/jujubewharf/operators/faults.py
@@ -1,4 +1,4 @@
-"""Failures of operator calls, made from the error table."""
+"""Errors of operator calls and their conversion to error details."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
     """A failed operator call.
 
     Args:
-        kind: Row of the error table.
-        detail: What was wrong this time; never a token.
-        ran: Overrides the table's word.
-        operation_id: Operation the call asked for.
-        generation: Generation in force, where that is the matter.
-        violations: Faults of the resource.
-        retry_after_ms: When to come back, if known.
+        kind: Kind of the error, a row of the error table.
+        detail: Description of this occurrence; must not contain a token.
+        ran: Whether the call took effect; overrides the error table.
+        operation_id: ID of the requested operation.
+        generation: Current generation, if the error is about it; else 0.
+        violations: Invalid fields of the resource.
+        retry_after_ms: Delay before a retry in milliseconds, if known.
     """
 
     def __init__(
@@ -37,11 +37,11 @@
 
 
 class UnreachableError(Exception):
-    """No server of the list was reached; nothing ran."""
+    """No instance was reachable; the call did not run."""
 
 
 def detail_of(error: errors.WharfError) -> values.ErrorDetail:
-    """What the interface tells of a failure."""
+    """Returns the error detail that is sent to the client."""
     row = error.answer
     detail = values.ErrorDetail(
         kind=error.kind.value,
@@ -62,10 +62,10 @@
 
 
 def from_detail(detail: values.ErrorDetail) -> OperatorError:
-    """The failure that an answer tells of.
+    """Returns the error that a received error detail describes.
 
-    A kind from a newer version than this one becomes ``INTERNAL``; the word
-    on whether it ran is kept, for the caller's next step hangs on it.
+    A kind that this version does not know becomes ``INTERNAL``. ``ran`` is
+    kept, because the caller decides by it whether to retry.
     """
     try:
         kind = errors.ErrorKind(detail.kind)
--- a/src/jujubewharf/operators/guard.py
+++ b/src/jujubewharf/operators/guard.py
@@ -1,8 +1,7 @@
-"""What keeps one operator's tools from crowding out the others.
+"""Rate limits of operator calls and the limit on open watches.
 
-The log takes several hundred appends a second from everybody; a script that
-changes things in a loop would use them up. Each operator has a rate at each
-instance, and only so many watches are open.
+All operators share the append capacity of the log. Per-operator limits at
+each instance keep a script that sends changes in a loop from using it up.
 """
 
 from __future__ import annotations
@@ -40,10 +39,10 @@
 
 
 class Guard:
-    """Bounds and counts the calls at this instance.
+    """Limits and counts operator calls at this instance.
 
     Args:
-        settings: The bounds.
+        settings: Limits to enforce.
     """
 
     def __init__(self, settings: models.OperatorSettings) -> None:
@@ -52,10 +51,10 @@
         self._watches = 0
 
     async def admit(self, identity: values.Identity, call: str) -> None:
-        """Counts a call against its operator's rate.
+        """Admits a call within the rate limit of its operator.
 
         Raises:
-            WharfError: ``RATE_LIMITED``.
+            WharfError: ``RATE_LIMITED`` if the limit is exceeded.
         """
         is_change = call in CHANGES
         limiter = self._limiter(identity.name, is_change)
@@ -69,10 +68,10 @@
 
     @contextlib.contextmanager
     def watching(self) -> Iterator[None]:
-        """Holds one of the watches while in the block.
+        """Reserves one of the watch slots for the duration of the block.
 
         Raises:
-            WharfError: ``TOO_MANY_IN_FLIGHT``.
+            WharfError: ``TOO_MANY_IN_FLIGHT`` if all slots are in use.
         """
         if self._watches >= self._settings.max_watches:
             detail = "no more watches at this instance"
@@ -85,7 +84,7 @@
             self._watches -= 1
 
     def count(self, call: str, outcome: str) -> None:
-        """Counts a call that ended."""
+        """Counts a finished call by its outcome."""
         _calls.add(1, {"call": call, "outcome": outcome})
 
     def _limiter(self, name: str, is_change: bool) -> aiolimiter.AsyncLimiter:
--- a/src/jujubewharf/operators/identities.py
+++ b/src/jujubewharf/operators/identities.py
@@ -1,8 +1,8 @@
-"""Who calls, and what they may see and change.
+"""Authentication and authorization of operators.
 
-A token is compared by its SHA-256 only, and with every known one in constant
-time, so that neither a leaked configuration nor the time of an answer tells
-anything of a token.
+Tokens are compared by their SHA-256, in constant time and with every known
+operator, so that neither a leaked configuration nor response times reveal
+anything about a token.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 
 
 class Identities:
-    """Finds the identity behind a token.
+    """Looks up the identity that a token belongs to.
 
     Args:
-        state: Gives the configuration in force.
-        bootstrap_token_sha256: Hex SHA-256 of the built-in admin's token;
-            empty switches that admin off.
+        state: Returns the current configuration.
+        bootstrap_token_sha256: Hex SHA-256 of the token of the built-in
+            admin; empty disables this admin.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         self._bootstrap = bootstrap_token_sha256.lower()
 
     def of_token(self, token: str) -> values.Identity:
-        """The identity behind a token.
+        """Returns the identity that a token belongs to.
 
         Raises:
-            WharfError: ``UNAUTHENTICATED``.
+            WharfError: ``UNAUTHENTICATED`` if no identity has this token.
         """
         digest = bearer.digest_of(token).encode()
         found: values.Identity | None = None
-        # No early exit: the time must not tell which digest came close.
+        # No early exit, so that timing does not reveal which digest matched.
         if self._bootstrap and _same(self._bootstrap, digest):
             found = _BOOTSTRAP
         for entry in self._state().of_kind(resources.Kind.OPERATOR):
@@ -66,7 +66,7 @@
 
 
 def may_see(identity: values.Identity, resource: resources.Resource) -> bool:
-    """Whether an identity may read a resource."""
+    """Returns whether an identity may read a resource."""
     match resource:
         case resources.Model():
             return True
@@ -77,7 +77,7 @@
 
 
 def may_change(identity: values.Identity, resource: resources.Resource) -> bool:
-    """Whether an identity may create, change or delete a resource."""
+    """Returns whether an identity may create, change or delete a resource."""
     match resource:
         case resources.Operator():
             needed = resources.OperatorRole.ADMIN
@@ -89,7 +89,7 @@
 
 
 def has_role(identity: values.Identity, role: resources.OperatorRole) -> bool:
-    """Whether an identity has a role or a higher one."""
+    """Returns whether an identity has at least the given role."""
     return _RANKS[identity.role] >= _RANKS[role]
 
 
@@ -114,7 +114,7 @@
 
 
 def _is_within(services: tuple[str, ...], identity: values.Identity) -> bool:
-    # No services means all of them, which is more than any scope.
+    # An empty tuple means all services, which exceeds any limited scope.
     return bool(services) and set(services) <= set(identity.services)
 
 
--- a/src/jujubewharf/operators/inspection.py
+++ b/src/jujubewharf/operators/inspection.py
@@ -1,4 +1,4 @@
-"""What operators ask of the answering instance itself."""
+"""Status of the answering instance and its view of the engines."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class Inspector:
-    """Tells how the instance does.
+    """Reports the status of the instance.
 
     Args:
-        core: The instance.
-        backend: Its configuration.
+        core: Core of the instance.
+        backend: Configuration of the instance.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self._logger = structlog.get_logger()
 
     def status(self) -> values.InstanceStatus:
-        """The instance, its configuration and its counts."""
+        """Returns the status of the instance."""
         settings = self._core.settings
         state = self._backend.state
         follower = self._core.configuration
@@ -59,10 +59,11 @@
         )
 
     def accept_loss(self, identity: values.Identity) -> values.InstanceStatus:
-        """Lets the instance go on without records that the log has lost.
+        """Lets the instance continue without records that the log has lost.
 
         Raises:
-            WharfError: ``FORBIDDEN`` unless an admin of all services asks.
+            WharfError: ``FORBIDDEN`` unless the caller is an admin of all
+                services.
         """
         admin = resources.OperatorRole.ADMIN
         if identity.services or not identities.has_role(identity, admin):
@@ -75,11 +76,11 @@
     def engines(
         self, identity: values.Identity, service: str = ""
     ) -> tuple[values.EngineStatus, ...]:
-        """Engines as the instance sees them, by name.
+        """Returns the engines as seen by this instance, sorted by name.
 
         Args:
-            identity: Who asks; it sees those in its scope.
-            service: Only engines of this service; empty takes all.
+            identity: Identity of the caller; limits the engines to its scope.
+            service: Service to select engines by; empty selects all.
         """
         found: list[values.EngineStatus] = []
         for entry in self._backend.state.of_kind(resources.Kind.ENDPOINT):
@@ -141,7 +142,12 @@
 def _by_reason(
     instrument: str, of_models: collections.Counter[str]
 ) -> tuple[values.ReasonCount, ...]:
-    """Counts of the process, or those of model requests without metrics."""
+    """Returns counts by reason, sorted by reason.
+
+    Args:
+        instrument: Metric instrument to read the counts from.
+        of_models: Counts of model requests, used when metrics are off.
+    """
     found = tallies.by_reason(instrument)
     counter = of_models if found is None else found
     return tuple(
--- a/src/jujubewharf/operators/messages.py
+++ b/src/jujubewharf/operators/messages.py
@@ -1,7 +1,7 @@
-"""Turns data classes into protobuf messages and back, field by field.
+"""Converts data classes to protobuf messages and back.
 
-Fields are matched by name, so a field is written down once in the data class
-and once in the schema; a test holds the two against each other.
+Fields are matched by name. A test checks that each data class has the same
+fields as its message in the schema.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 
 
 class MessageError(Exception):
-    """A message is not a value of the wanted class.
+    """A message cannot be converted to the data class.
 
     Args:
-        violations: Each fault with the path of its field.
+        violations: Invalid fields with their paths.
     """
 
     def __init__(self, violations: list[values.Violation]) -> None:
@@ -45,17 +45,17 @@
 
 
 def to_message(value: Any, message_class: type[_Message]) -> _Message:
-    """A data class as a message; fields that are ``None`` stay absent."""
+    """Converts a data class to a message; ``None`` fields stay unset."""
     message = message_class()
     _fill(message, value)
     return message
 
 
 def from_message(message: protobuf.Message, cls: type[_Value]) -> _Value:
-    """A message as a data class; absent fields take the class's defaults.
+    """Converts a message to a data class; unset fields get their default.
 
     Raises:
-        MessageError: A field is required and absent, or unknown here.
+        MessageError: A required field is missing or a field is unknown.
     """
     violations: list[values.Violation] = []
     value = _read(message, cls, "", violations)
@@ -65,7 +65,7 @@
 
 
 def resource_to_message(resource: resources.Resource) -> pb.Resource:
-    """A resource inside its oneof."""
+    """Wraps a resource in the ``Resource`` message."""
     message = pb.Resource()
     _fill_resource(message, resource)
     return message
@@ -74,10 +74,10 @@
 def resource_from_message(
     message: pb.Resource,
 ) -> result.Result[resources.Resource, tuple[values.Violation, ...]]:
-    """The resource inside a oneof.
+    """Unwraps the resource of a ``Resource`` message.
 
     Returns:
-        The resource, or all its faults.
+        The resource, or all its violations.
     """
     violations: list[values.Violation] = []
     resource = _read_resource(message, "", violations)
@@ -89,7 +89,7 @@
 def enum_of(
     enum_type: descriptors.EnumDescriptor, number: int, cls: type[_Enum]
 ) -> _Enum | None:
-    """The member with a number; ``None`` for the unspecified and unknown."""
+    """Returns the member with a number; ``None`` if unspecified or unknown."""
     found = enum_type.values_by_number.get(number)
     if found is None:
         return None
@@ -99,17 +99,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Plan:
-    """How one field goes between a data class and a message.
+    """Conversion of one field between a data class and a message.
 
     Attributes:
-        name: The field's name in both.
-        is_repeated: Whether it holds many.
-        has_presence: Whether a message tells that it is absent.
-        is_message: Whether it holds messages.
-        numbers: Number of each member, for an enumeration.
-        members: Member of each number, for an enumeration.
-        cls: Class of one element in the data class.
-        is_required: Whether the data class has no default.
+        name: Name of the field in the data class and the message.
+        is_repeated: Whether the field is repeated.
+        has_presence: Whether the message tracks if the field is set.
+        is_message: Whether the type of the field is a message.
+        numbers: Number by member, if the type is an enumeration.
+        members: Member by number, if the type is an enumeration.
+        cls: Python type of the field, or of its elements if repeated.
+        is_required: Whether the field has no default in the data class.
     """
 
     name: str
@@ -124,7 +124,7 @@
 
 @functools.cache
 def _plans(cls: Any, message_class: Any) -> tuple[_Plan, ...]:
-    """Plans of a data class's fields, worked out once."""
+    """Returns the cached conversions of the fields of a data class."""
     described = message_class.DESCRIPTOR.fields_by_name
     hints = typing.get_type_hints(cls)
     return tuple(
@@ -182,7 +182,7 @@
 
 
 def _fill_message(message: protobuf.Message, part: Any) -> None:
-    # An empty message leaves no mark of its own that it was set.
+    # Marks the message as set even if all its fields are unset.
     message.SetInParent()
     if isinstance(message, pb.Resource):
         _fill_resource(message, part)
@@ -212,7 +212,7 @@
     before = len(violations)
     unknown_set: Any = unknown_fields.UnknownFieldSet(message)
     for unknown in unknown_set:
-        # Dropping it would accept a change that is never in force.
+        # Ignoring the field would accept a change that is never applied.
         detail = f"field number {unknown.field_number} is unknown here"
         violations.append(values.Violation(path, detail))
     found: dict[str, Any] = {}
--- a/src/jujubewharf/operators/pacing.py
+++ b/src/jujubewharf/operators/pacing.py
@@ -1,8 +1,7 @@
-"""Long work in small pieces.
+"""Iteration that yields to the event loop at regular intervals.
 
-An entry instance relays tokens on the same event loop. A file of thousands
-of resources handled in one go would hold up every stream for seconds; in
-small pieces the streams go on between them.
+Entry instances relay token streams on the same event loop. Processing
+thousands of resources without a pause would stall every stream.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 
 
 async def paced(items: Iterable[_Item]) -> AsyncIterator[_Item]:
-    """The items, letting other tasks run after each piece."""
+    """Yields the items and lets other tasks run after every few items."""
     for number, item in enumerate(items, start=1):
         yield item
         if number % PIECE == 0:
--- a/src/jujubewharf/operators/queries.py
+++ b/src/jujubewharf/operators/queries.py
@@ -1,4 +1,4 @@
-"""What operators ask of the configuration in force and of its past."""
+"""Queries of the current configuration and its history."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class Queries:
-    """Reads the configuration for an identity, within its scope.
+    """Reads the configuration within the scope of an identity.
 
     Args:
-        backend: The configuration.
-        clock: Time.
+        backend: Configuration to read.
+        clock: Clock of the instance.
     """
 
     def __init__(self, backend: backends.Backend, clock: clocks.Clock) -> None:
@@ -44,18 +44,20 @@
         *,
         not_before_offset: int = 0,
     ) -> values.StoredResource:
-        """One resource in force.
+        """Returns a resource.
 
         Args:
-            identity: Who asks.
+            identity: Identity of the caller.
             kind: Resource kind.
             name: Resource name.
-            not_before_offset: Waits until the log is folded up to here, so
-                that an operator reads its own change at any instance.
+            not_before_offset: Log offset that must be applied before the
+                read, so that operators can read their own writes at any
+                instance.
 
         Raises:
-            WharfError: ``UNKNOWN_RESOURCE``, also for what the identity may
-                not see; ``LOG_UNAVAILABLE`` when the offset is not reached.
+            WharfError: ``UNKNOWN_RESOURCE`` if the resource does not exist
+                or the identity may not see it; ``LOG_UNAVAILABLE`` if the
+                offset is not reached in time.
         """
         await self._reach(not_before_offset)
         entry = self._backend.state.get(kind, name)
@@ -74,13 +76,14 @@
         page_token: str = "",
         not_before_offset: int = 0,
     ) -> values.ListReply:
-        """A page of resources by name.
+        """Returns a page of resources, sorted by name.
 
-        A page goes on after the last name of the one before, so a resource
-        that stays is listed exactly once whatever comes and goes meanwhile.
+        Each page starts after the last name of the previous page, so a
+        resource that exists throughout the listing is returned exactly once.
 
         Raises:
-            WharfError: ``BAD_REQUEST`` when the token is of another listing.
+            WharfError: ``BAD_REQUEST`` if the token belongs to another
+                listing.
         """
         await self._reach(not_before_offset)
         listing = ["list", kind.value, service]
@@ -108,11 +111,12 @@
         kinds: Sequence[resources.Kind] = (),
         service: str = "",
     ) -> AsyncIterator[values.WatchEvent]:
-        """The state in force, then every change as it comes into force.
+        """Yields the current state, then every change as it is applied.
 
         Raises:
-            WharfError: ``UNKNOWN_RESOURCE`` when the watcher is so slow that
-                changes it has not seen are no longer kept; watch anew.
+            WharfError: ``UNKNOWN_RESOURCE`` if the caller falls behind so far
+                that changes it has not seen are no longer in the history; it
+                has to start a new watch.
         """
         scope = _Scope(identity, frozenset(kinds), service)
         offset = self._offset
@@ -139,10 +143,11 @@
         page_size: int = 0,
         page_token: str = "",
     ) -> values.HistoryReply:
-        """Changes of a resource, newest first, as far back as is kept.
+        """Returns a page of the retained changes of a resource, newest first.
 
         Raises:
-            WharfError: ``BAD_REQUEST`` when the token is of another history.
+            WharfError: ``BAD_REQUEST`` if the token belongs to another
+                history.
         """
         listing = ["history", kind.value, name]
         after = _parse_token(page_token, listing)
@@ -164,14 +169,14 @@
     async def operation(
         self, identity: values.Identity, operation_id: str
     ) -> values.Operation:
-        """What became of an operation, or of the changes of an apply.
+        """Returns the outcome of an operation or an apply.
 
-        Of an apply it tells the changes that were judged: the first that was
-        refused, or else the last that was accepted.
+        The result of an apply describes its first rejected change, or its
+        last accepted change if none was rejected.
 
         Raises:
-            WharfError: ``FORBIDDEN`` for another's operation on what the
-                identity may not see.
+            WharfError: ``FORBIDDEN`` if another operator requested the
+                operation and the identity may not see the resource.
         """
         entries = self._backend.operations(operation_id)
         for entry in entries:
@@ -220,7 +225,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Scope:
-    """What one watcher is told of."""
+    """Resources that one caller may see and has selected."""
 
     identity: values.Identity
     kinds: frozenset[resources.Kind]
@@ -237,10 +242,10 @@
         )
 
     def event(self, step: backends.Step) -> values.WatchEvent | None:
-        """The step as this watcher sees it.
+        """Returns the event for a change; ``None`` if it is out of scope.
 
-        A resource that leaves the scope is told as deleted, and one that
-        comes into it as created.
+        A resource that leaves the scope is reported as deleted, and one that
+        enters it as created.
         """
         was_held, is_held = self.holds(step.before), self.holds(step.after)
         if not was_held and not is_held:
@@ -290,7 +295,7 @@
 def _may_see_history(
     identity: values.Identity, entries: Sequence[values.HistoryEntry]
 ) -> bool:
-    # A resource that moved between services shows both in its history.
+    # The history of a resource that moved between services shows both.
     bodies = [entry.resource for entry in entries if entry.resource]
     if not bodies:
         return not identity.services
--- a/src/jujubewharf/operators/server.py
+++ b/src/jujubewharf/operators/server.py
@@ -1,4 +1,4 @@
-"""The gRPC server of the operator interface."""
+"""gRPC server of the operator interface."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 _HEALTH_MS = 500.0
 _NAMES = ("", adapter.SERVICE.full_name)
 _OPTIONS = (
-    # Two processes on one port would share its callers silently.
+    # Fails at startup if another process already listens on the port.
     ("grpc.so_reuseport", 0),
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
 )
 
 
 class OperatorServer(mode.Service):
-    """Serves operators, with reflection and health.
+    """Serves the operator interface, gRPC reflection and health checks.
 
     Args:
-        settings: Where to listen.
-        service: Answers the calls.
-        clock: Time.
+        settings: Address to listen on and limits of calls.
+        service: Service that executes the calls.
+        clock: Clock of the instance.
 
     Attributes:
-        port: Port listened on, once started.
+        port: Port that the server listens on, once started.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._server = server
 
     async def on_stop(self) -> None:
-        """Stops listening; calls under way have a while to end."""
+        """Stops listening; active calls get a grace period to finish."""
         if self._server is not None:
             await self._health.enter_graceful_shutdown()
             await self._server.stop(_GRACE_S)
--- a/src/jujubewharf/operators/service.py
+++ b/src/jujubewharf/operators/service.py
@@ -1,4 +1,4 @@
-"""The operator service, callable in process; ``server`` puts it on gRPC."""
+"""The operator service, callable in process; ``server`` adds gRPC."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class OperatorService:
-    """Everything that operators can ask of one instance.
+    """Entry point of all operator calls at one instance.
 
     Args:
-        core: The instance.
+        core: Core of the instance.
 
     Attributes:
-        editor: Changes.
-        queries: Questions about the configuration.
-        inspector: Questions about the instance.
+        editor: Changes the configuration.
+        queries: Reads the configuration.
+        inspector: Reports the status of the instance.
     """
 
     def __init__(self, core: cores.EntryCore) -> None:
@@ -38,18 +38,18 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this instance knows the configuration."""
+        """Whether this instance has loaded the configuration."""
         return self._backend.is_caught_up
 
     def identify(self, token: str) -> values.Identity:
-        """The identity behind a token.
+        """Returns the identity that a token belongs to.
 
         Raises:
-            WharfError: ``UNAUTHENTICATED``; ``NOT_READY`` when this instance
-                has not read the configuration yet.
+            WharfError: ``UNAUTHENTICATED`` if no identity has this token;
+                ``NOT_READY`` if the configuration is not loaded yet.
         """
         if not self.is_ready:
-            # On an empty state every token would look unknown for good.
+            # Without a configuration every token would look invalid.
             kind = errors.ErrorKind.NOT_READY
             raise errors.WharfError(kind, retry_after_ms=_RETRY_AFTER_MS)
         return self._identities.of_token(token)
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -1,4 +1,4 @@
-"""How changes that operators ask for are checked and put on the log."""
+"""Checks changes and submits them to the configuration log."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from jujubewharf.operators import pacing
 from jujubewharf.operators import values
 
-# Changes that go to the log together. Every instance folds what it reads in
-# one go, so a longer run would hold up its streams for longer.
+# Changes that are appended to the log together. Every instance applies them
+# without yielding, so a larger batch would stall its streams for longer.
 RUN = 50
 
-# As ``configuration.validation`` writes them.
+# Format of the error lines of ``configuration.validation``.
 _FAULT = re.compile(
     r"changes\[(?P<index>\d+)\]\.(body\.)?(?P<path>[^:]*): (?P<message>.*)"
 )
@@ -43,14 +43,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wish:
-    """One change that an operator asks for.
+    """One change requested by an operator.
 
     Attributes:
-        operation_id: Names it.
+        operation_id: ID of the operation.
         kind: Resource kind.
         name: Resource name.
-        resource: What should be in force; ``None`` for a delete.
-        expected_generation: Generation that the operator saw; 0 for none.
+        resource: Desired resource; ``None`` to delete it.
+        expected_generation: Generation that the resource must have; 0 if it
+            must not exist.
     """
 
     operation_id: str
@@ -61,11 +62,11 @@
 
 
 class Submitter:
-    """Checks changes and hands them to the configuration.
+    """Checks changes and submits them to the configuration.
 
     Args:
-        backend: The configuration.
-        clock: Time.
+        backend: Configuration to change.
+        clock: Clock of the instance.
     """
 
     def __init__(self, backend: backends.Backend, clock: clocks.Clock) -> None:
@@ -73,10 +74,19 @@
         self._clock = clock
 
     def check_seen(self, wish: Wish, seen_offset: int | None) -> None:
-        """Refuses what was changed past the offset that the operator saw."""
+        """Refuses a change if the resource changed after ``seen_offset``.
+
+        Args:
+            wish: Requested change.
+            seen_offset: Log offset that the operator saw; ``None`` skips the
+                check.
+
+        Raises:
+            OperatorError: ``CONFIG_CONFLICT``.
+        """
         if seen_offset is None:
             return
-        # The history also knows of a delete, which leaves no entry behind.
+        # The history also covers a delete, after which no entry exists.
         for entry in self._backend.history(wish.kind, wish.name)[-1:]:
             if entry.generation > seen_offset:
                 raise faults.OperatorError(
@@ -93,21 +103,25 @@
         *,
         is_known: bool = False,
     ) -> None:
-        """Refuses what the identity may not change.
+        """Refuses a change that the identity is not allowed to make.
 
         Args:
-            identity: Who asks.
-            wish: What for.
-            is_known: Whether the operation was judged already.
+            identity: Identity of the caller.
+            wish: Requested change.
+            is_known: Whether the operation already has a verdict.
+
+        Raises:
+            WharfError: ``FORBIDDEN``, ``UNKNOWN_RESOURCE`` or
+                ``CONFIG_INVALID``.
         """
         held = self._backend.state.get(wish.kind, wish.name)
         involved = [held.resource] if held else []
         if wish.resource is not None:
             involved.append(wish.resource)
-        # A delete sent again finds nothing, and still gets its answer.
+        # A retried delete finds no resource, but still returns its result.
         if not involved and not is_known:
             raise unknown(wish.kind, wish.name)
-        # An identity that moves an endpoint needs both services.
+        # Moving an endpoint requires permission for both services.
         if not all(identities.may_change(identity, one) for one in involved):
             kind = errors.ErrorKind.FORBIDDEN
             detail = f"{identity.name} may not change {wish.kind.value}"
@@ -122,7 +136,11 @@
     async def check_bodies(
         self, changes: Sequence[records.Change], operation_id: str
     ) -> None:
-        """Names every fault of every change before the first is made."""
+        """Validates all changes before the first one is submitted.
+
+        Raises:
+            OperatorError: ``CONFIG_INVALID`` with all violations.
+        """
         violations: list[values.Violation] = []
         found = validation.find(self._backend.state, changes)
         async for lines in pacing.paced(found):
@@ -137,11 +155,11 @@
         operation_id: str,
         force: bool,
     ) -> tuple[values.AppliedDifference, ...]:
-        """Submits as many changes at once as go to the log together.
+        """Submits changes in batches.
 
-        A failure of the first run is the whole's. After that some changes
-        are in force: the failed run's items tell of the failure, and those
-        after it that they were not tried.
+        If the first batch fails, the whole call fails. If a later batch
+        fails, its items hold the error, and the items of the remaining
+        batches state that they were not tried.
         """
         items: list[values.AppliedDifference] = []
         for start in range(0, len(changes), RUN):
@@ -167,7 +185,7 @@
         operation_id: str,
         force: bool,
     ) -> list[backends.Verdict]:
-        """Submits one run of changes and waits for the verdicts."""
+        """Submits one batch of changes and waits for the verdicts."""
         try:
             return await self._backend.submit(changes, force=force)
         except errors.WharfError as error:
@@ -180,7 +198,7 @@
             ) from error
 
     def record(self, identity: values.Identity, wish: Wish) -> records.Change:
-        """The wish as a record of the log."""
+        """Returns the log record of a requested change."""
         verb, body = records.Verb.DELETE, {}
         if wish.resource is not None:
             verb, body = records.Verb.PUT, self._body(wish.resource)
@@ -196,10 +214,10 @@
         )
 
     def _body(self, resource: resources.Resource) -> dict[str, Any]:
-        """The resource's body, with what a newer version has set in it.
+        """Returns the body of a resource with fields unknown to this version.
 
-        This instance can't show such fields to an operator, so none can have
-        meant to drop them by leaving them out.
+        Operators cannot see such fields at this instance, so leaving them
+        out of a request does not mean that they should be removed.
         """
         held = self._backend.state.get(*differences.key_of(resource))
         if held is None or not held.extra_packed:
@@ -208,7 +226,7 @@
 
 
 def _check_operator_name(wish: Wish) -> None:
-    # History could not tell it from the one of the settings.
+    # In the history it would look like the built-in admin.
     if wish.name == identities.BOOTSTRAP_NAME:
         violation = values.Violation("name", "is the built-in admin's")
         raise invalid((violation,), wish.operation_id)
@@ -230,7 +248,7 @@
 def invalid(
     violations: tuple[values.Violation, ...], operation_id: str
 ) -> faults.OperatorError:
-    """The error that names every violation."""
+    """Returns an error that lists all violations."""
     return faults.OperatorError(
         errors.ErrorKind.CONFIG_INVALID,
         "; ".join(str(violation) for violation in violations),
@@ -257,14 +275,14 @@
 
 
 def unknown(kind: resources.Kind, name: str) -> errors.WharfError:
-    """The failure of a call on a resource that is not there."""
+    """Returns the error for a resource that does not exist."""
     return errors.WharfError(
         errors.ErrorKind.UNKNOWN_RESOURCE, f"{kind.value} {name}"
     )
 
 
 def error_of(verdict: backends.Verdict) -> faults.OperatorError | None:
-    """The failure that a verdict tells of; ``None`` when it was accepted."""
+    """Returns the error for a verdict; ``None`` if it was accepted."""
     kind = _KIND_OF_STATE.get(verdict.state)
     if kind is None:
         return None
--- a/src/jujubewharf/operators/values.py
+++ b/src/jujubewharf/operators/values.py
@@ -1,7 +1,7 @@
-"""What the operator interface answers, as data classes.
+"""Data classes of the replies of the operator interface.
 
-Each class has the fields of the message of the same name in
-``jujubewharf.proto``; ``messages`` turns the one into the other.
+Each class has the same fields as the message of the same name in
+``jujubewharf.proto``; ``messages`` converts between them.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Effect(enum.Enum):
-    """What a change does to a resource."""
+    """Effect of a change on a resource."""
 
     CREATE = "create"
     CHANGE = "change"
@@ -22,10 +22,10 @@
 
 
 class OperationState(enum.Enum):
-    """What became of an operation.
+    """Outcome of an operation.
 
-    ``NOT_SEEN`` says that it is not on the log as far as the answering
-    instance has read; an append under way may still arrive.
+    ``NOT_SEEN`` means that the answering instance has not read the operation
+    from the log; a pending append may still arrive.
     """
 
     ACCEPTED = "accepted"
@@ -37,11 +37,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
-    """One fault of a resource.
+    """One invalid field of a resource.
 
     Attributes:
         path: Path of the field.
-        message: What is wrong with it.
+        message: Description of the problem.
     """
 
     path: str
@@ -53,19 +53,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ErrorDetail:
-    """Why a call failed.
+    """Description of a failed call.
 
     Attributes:
-        kind: Row of the error table, by its value; a newer instance may send
-            one that this version does not know.
+        kind: Value of the error kind; a newer instance may send a kind that
+            this version does not know.
         ran: Whether the call took effect.
-        retryable: Whether the same call may help when sent again.
-        message: One sentence for a person.
-        detail: What was wrong this time.
-        retry_after_ms: When to come back, if known.
-        operation_id: Operation the call asked for, for a later lookup.
-        generation: Generation in force where that is the matter, else 0.
-        violations: Faults of the resource.
+        retryable: Whether a retry of the same call may succeed.
+        message: General description of the error kind.
+        detail: Description of this occurrence.
+        retry_after_ms: Delay before a retry in milliseconds, if known.
+        operation_id: ID of the requested operation, for a later lookup.
+        generation: Current generation, if the error is about it; else 0.
+        violations: Invalid fields of the resource.
     """
 
     kind: str
@@ -81,12 +81,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredResource:
-    """A resource in force.
+    """A resource of the current configuration.
 
     Attributes:
         resource: The resource.
-        generation: Grows with each change.
-        applied_offset: Log offset up to which the instance has folded.
+        generation: Generation of the resource; increases with each change.
+        applied_offset: Log offset up to which records were applied.
     """
 
     resource: resources.Resource
@@ -96,7 +96,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeDone:
-    """A change that is in force at the answering instance."""
+    """A change that was applied at the answering instance."""
 
     operation_id: str
     generation: int
@@ -109,8 +109,8 @@
 
     Attributes:
         path: Path of the field.
-        before: JSON text; empty when there was none.
-        after: JSON text; empty when there will be none.
+        before: Old value as JSON; empty if it was not set.
+        after: New value as JSON; empty if it will not be set.
     """
 
     path: str
@@ -120,14 +120,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Difference:
-    """A resource that differs from what is wanted.
+    """A resource that differs from its desired state.
 
     Attributes:
         kind: Resource kind.
         name: Resource name.
-        effect: What an apply does to it.
-        generation: Generation in force; 0 when there is none.
-        fields: The fields that differ.
+        effect: Effect of an apply on the resource.
+        generation: Current generation; 0 if the resource does not exist.
+        fields: Fields that differ.
     """
 
     kind: resources.Kind
@@ -139,13 +139,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppliedDifference:
-    """What became of one difference.
+    """Outcome of one difference of an apply.
 
     Attributes:
-        difference: The difference.
-        operation_id: Its operation; empty in a dry run.
-        generation: Generation reached; 0 in a dry run and on failure.
-        error: Why it failed, if it did.
+        difference: Difference that was applied.
+        operation_id: ID of the operation; empty in a dry run.
+        generation: Generation after the change; 0 in a dry run and on
+            failure.
+        error: Error of the change, if it failed.
     """
 
     difference: Difference
@@ -156,12 +157,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ApplyReply:
-    """What became of an apply.
+    """Outcome of an apply.
 
     Attributes:
-        operation_id: Names the whole apply; each item has its own below it.
-        items: One for each resource that differs.
-        applied_offset: Log offset up to which the instance has folded.
+        operation_id: ID of the apply; the IDs of its items are derived from
+            it.
+        items: One item per resource that differs.
+        applied_offset: Log offset up to which records were applied.
     """
 
     operation_id: str
@@ -170,7 +172,7 @@
 
     @property
     def failed(self) -> tuple[AppliedDifference, ...]:
-        """The items that are not in force."""
+        """Items whose change was not applied."""
         return tuple(item for item in self.items if item.error is not None)
 
 
@@ -185,16 +187,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """One step of a watch.
+    """One event of a watch.
 
     Attributes:
-        effect: What happened; ``None`` on the mark that ends the snapshot.
+        effect: Effect of the change; ``None`` for the end of the snapshot.
         kind: Resource kind.
         name: Resource name.
-        generation: Generation reached.
-        resource: The resource; ``None`` on a delete.
-        is_snapshot_end: The events so far hold the whole state.
-        applied_offset: Log offset up to which the instance has folded.
+        generation: Generation after the change.
+        resource: Resource after the change; ``None`` on a delete.
+        is_snapshot_end: Whether the events so far are the complete snapshot.
+        applied_offset: Log offset up to which records were applied.
     """
 
     effect: Effect | None = None
@@ -208,17 +210,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """One change of a resource, accepted or not.
+    """One change of a resource, accepted or rejected.
 
     Attributes:
-        operation_id: Its operation.
-        actor: Operator who asked for it.
-        effect: What it did or would have done.
-        state: What became of it.
-        generation: Generation it reached or would have reached.
-        wall_ms: When the operator asked for it.
-        resource: The resource; ``None`` on a delete.
-        detail: Why it was not accepted.
+        operation_id: ID of the operation.
+        actor: Operator who requested the change.
+        effect: Effect of the change, or the effect it would have had.
+        state: Whether the change was accepted, or why it was rejected.
+        generation: Generation after the change, or the one it would have
+            had.
+        wall_ms: Time of the request, in milliseconds since the Unix epoch.
+        resource: Resource after the change; ``None`` on a delete.
+        detail: Reason for the rejection.
     """
 
     operation_id: str
@@ -233,7 +236,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryReply:
-    """A page of changes, newest first."""
+    """A page of changes, newest first; the token is empty on the last."""
 
     entries: tuple[HistoryEntry, ...] = ()
     next_page_token: str = ""
@@ -242,14 +245,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Operation:
-    """What became of an operation.
+    """Outcome of an operation.
 
     Attributes:
-        operation_id: Its name.
-        state: Its verdict.
-        generation: Generation it reached; 0 when it reached none.
-        detail: Why it was not accepted.
-        applied_offset: Log offset up to which the instance has folded.
+        operation_id: ID of the operation.
+        state: Whether the operation was accepted, or why it was rejected.
+        generation: Generation after the change; 0 if it was rejected.
+        detail: Reason for the rejection.
+        applied_offset: Log offset up to which records were applied.
     """
 
     operation_id: str
@@ -261,7 +264,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReasonCount:
-    """A count with its reason."""
+    """Number of events with the same reason."""
 
     reason: str
     count: int
@@ -269,7 +272,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """An instance of the fleet as the answering one sees it."""
+    """A fleet member as seen by the answering instance."""
 
     instance: str
     address: str
@@ -280,23 +283,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstanceStatus:
-    """The answering instance.
+    """Status of the answering instance.
 
     Attributes:
-        instance: Its name.
-        region: Its region.
-        domain: Its failure domain.
-        applied_offset: Log offset up to which it has folded.
-        is_caught_up: Whether it has seen the end of the log since its start.
-        requests_in_flight: Requests it is answering.
-        refusals: Refusals since its start, by reason.
-        retries: Retries since its start, by reason.
-        members: The fleet as it sees it.
-        resources: Resources in force, by kind.
-        is_frozen: The next record needs rules of a newer program.
-        is_log_behind: The log ends before what is in force here.
-        log_silence_ms: Time since the log last answered; ``None`` before it
-            first did.
+        instance: Name of the instance.
+        region: Region of the instance.
+        domain: Failure domain of the instance.
+        applied_offset: Log offset up to which records were applied.
+        is_caught_up: Whether the instance has reached the end of the log
+            since its start.
+        requests_in_flight: Number of requests in flight.
+        refusals: Refusals since the start, by reason.
+        retries: Retries since the start, by reason.
+        members: Fleet members as seen by the instance.
+        resources: Number of resources by kind.
+        is_frozen: Whether the next record requires a newer version.
+        is_log_behind: Whether the log ends before the applied offset.
+        log_silence_ms: Time since the last answer of the log in
+            milliseconds; ``None`` before the first answer.
     """
 
     instance: str
@@ -316,24 +320,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """An engine as the answering instance sees it.
+    """An engine as seen by the answering instance.
 
     Attributes:
         name: Endpoint name.
-        service: Its service.
-        domain: Its failure domain.
-        role: Role it plays, by its own word if it gave one.
-        model: Model loaded, by its own word.
-        model_version: Version loaded, by its own word.
-        takes_work: Whether new work may be sent there.
-        is_drained: Whether operators drained it.
-        is_suspect: Whether its last call found nobody.
-        slots_total: Requests its decode memory holds.
-        slots_used: Requests it holds.
-        own_slots: Slots that requests of the answering instance hold.
-        prefill_queued_tokens: Prompt tokens waiting to be read.
+        service: Service of the engine.
+        domain: Failure domain of the engine.
+        role: Reported role, or the configured role if none was reported.
+        model: Reported model.
+        model_version: Reported model version.
+        takes_work: Whether new requests may be sent to the engine.
+        is_drained: Whether the engine is drained.
+        is_suspect: Whether the last call could not reach the engine.
+        slots_total: Decode slots of the engine.
+        slots_used: Decode slots in use.
+        own_slots: Decode slots used by requests of the answering instance.
+        prefill_queued_tokens: Prompt tokens waiting for prefill.
         decode_queued: Decode requests waiting for a slot.
-        report_age_ms: Age of its report; ``None`` before the first.
+        report_age_ms: Age of the last report in milliseconds; ``None``
+            before the first report.
     """
 
     name: str
@@ -355,19 +360,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListEnginesReply:
-    """Engines by name."""
+    """Engines sorted by name."""
 
     engines: tuple[EngineStatus, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """Who a token stands for.
+    """Identity of an operator.
 
     Attributes:
-        name: Goes into history with each change.
-        role: What it may do.
-        services: Services it is bound to; empty allows all.
+        name: Name recorded in the history with each change.
+        role: Role, which determines the permitted calls.
+        services: Services in scope; empty allows all.
     """
 
     name: str
