--- a/src/jujubewharf/commands/ctl.py
+++ b/src/jujubewharf/commands/ctl.py
@@ -1,7 +1,7 @@
 """``jujubewharf ctl``: create, change and inspect what the fleet runs.
 
-Exit codes: 0 done; 1 refused; 2 bad input; 3 outcome unknown, ask later with
-``ctl operation ID``; 4 no instance was reached.
+Exit codes: 0 success; 1 refused; 2 invalid input; 3 outcome unknown, check
+later with ``ctl operation ID``; 4 no instance reachable.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
     server: Annotated[
         list[str] | None,
         typer.Option(
-            help="IP:PORT of an instance; give more to fail over. The"
-            f" variable {ctl_session.SERVERS_VARIABLE} lists them with commas."
+            help="IP:PORT of an instance; repeat the option for failover."
+            f" Default: {ctl_session.SERVERS_VARIABLE}, separated by commas."
         ),
     ] = None,
     servers_listed: Annotated[
@@ -41,12 +41,12 @@
         pathlib.Path | None,
         typer.Option(
             envvar=ctl_session.TOKEN_FILE_VARIABLE,
-            help="File with the token; without it the variable"
-            f" {ctl_session.TOKEN_VARIABLE} is read.",
+            help="File that contains the token. Default: the value of"
+            f" {ctl_session.TOKEN_VARIABLE}.",
         ),
     ] = None,
     timeout_ms: Annotated[
-        float, typer.Option(min=1, help="Longest wait for one instance.")
+        float, typer.Option(min=1, help="Timeout of a call to one instance.")
     ] = clients.DEFAULT_TIMEOUT_MS,
 ) -> None:
     """Create, change and inspect what the fleet runs."""
--- a/src/jujubewharf/commands/ctl_changes.py
+++ b/src/jujubewharf/commands/ctl_changes.py
@@ -1,4 +1,4 @@
-"""The ``ctl`` commands that change the configuration."""
+"""``ctl`` commands that change the configuration."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 _Assignments = Annotated[
     list[str] | None,
-    typer.Argument(help="FIELD=VALUE; the value is JSON or else text."),
+    typer.Argument(help="FIELD=VALUE; VALUE is JSON or plain text."),
 ]
 
 
@@ -41,17 +41,17 @@
     context: typer.Context,
     file: options.File,
     yes: Annotated[
-        bool, typer.Option("--yes", help="Do not ask before the change.")
+        bool, typer.Option("--yes", help="Apply without confirmation.")
     ] = False,
     dry_run: Annotated[
-        bool, typer.Option("--dry-run", help="Only tell the differences.")
+        bool, typer.Option("--dry-run", help="Only show the differences.")
     ] = False,
     prune: options.Prune = False,
     force: options.Force = False,
     operation_id: options.OperationId = "",
     as_json: options.AsJson = False,
 ) -> None:
-    """Bring the fleet to a configuration file, after showing what differs."""
+    """Apply a configuration file after showing the differences."""
     session: ctl_session.Session = context.obj
     wanted = _read(file)
     planned = session.run(
@@ -87,7 +87,7 @@
     ] = None,
     service: options.Service = "",
 ) -> None:
-    """Write the configuration in force as a file that apply takes."""
+    """Write the current configuration as a file for apply."""
     session: ctl_session.Session = context.obj
     text = documents.dump(session.run(lambda client: _held(client, service)))
     if output is None:
@@ -104,7 +104,7 @@
     operation_id: options.OperationId = "",
     as_json: options.AsJson = False,
 ) -> None:
-    """Declare one resource: ctl create service shop-api kind=plain."""
+    """Create one resource: ctl create service shop-api kind=plain."""
     session: ctl_session.Session = context.obj
     resource = _built(kind, {"name": name}, fields or [])
     done = session.run(
@@ -170,15 +170,15 @@
     context: typer.Context,
     kind: options.Kind,
     name: options.Name,
-    to: Annotated[int, typer.Option(min=1, help="Generation to bring back.")],
+    to: Annotated[int, typer.Option(min=1, help="Generation to restore.")],
     generation: Annotated[
-        int, typer.Option(min=0, help="Generation in force; 0 if deleted.")
+        int, typer.Option(min=0, help="Current generation; 0 if deleted.")
     ],
     force: options.Force = False,
     operation_id: options.OperationId = "",
     as_json: options.AsJson = False,
 ) -> None:
-    """Bring back an earlier generation of a resource, as a new change."""
+    """Restore an earlier generation of a resource as a new change."""
     session: ctl_session.Session = context.obj
     done = session.run(
         lambda client: client.rollback(
@@ -201,7 +201,7 @@
     operation_id: options.OperationId = "",
     as_json: options.AsJson = False,
 ) -> None:
-    """Stop new work to an endpoint."""
+    """Drain an endpoint: stop sending it new requests."""
     _set_drained(context.obj, endpoint, True, force, operation_id, as_json)
 
 
@@ -211,7 +211,7 @@
     operation_id: options.OperationId = "",
     as_json: options.AsJson = False,
 ) -> None:
-    """Let new work reach an endpoint again."""
+    """End the drain of an endpoint."""
     _set_drained(context.obj, endpoint, False, False, operation_id, as_json)
 
 
--- a/src/jujubewharf/commands/ctl_options.py
+++ b/src/jujubewharf/commands/ctl_options.py
@@ -1,4 +1,4 @@
-"""Arguments and options that several ``ctl`` commands take."""
+"""Arguments and options shared by several ``ctl`` commands."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 Kind = Annotated[resources.Kind, typer.Argument(help="Kind of the resource.")]
 Name = Annotated[str, typer.Argument(help="Name of the resource.")]
 AsJson = Annotated[
-    bool, typer.Option("--json", help="Print JSON in place of tables.")
+    bool, typer.Option("--json", help="Print JSON instead of tables.")
 ]
 Force = Annotated[
     bool,
-    typer.Option("--force", help="Go on though a pool in use loses its last."),
+    typer.Option("--force", help="Allow a change that empties a pool in use."),
 ]
 OperationId = Annotated[
     str,
     typer.Option(
-        help="Name of the operation; sent again under the same name, it"
-        " takes effect once."
+        help="ID of the operation; calls with the same ID take effect"
+        " only once."
     ),
 ]
 Generation = Annotated[
     int | None,
     typer.Option(
-        min=1, help="Generation that must be in force; without it, the one now."
+        min=1, help="Generation that must be current. Default: the current one."
     ),
 ]
-Service = Annotated[
-    str, typer.Option(help="Only what belongs to this service.")
-]
+Service = Annotated[str, typer.Option(help="Only resources of this service.")]
 File = Annotated[
     pathlib.Path,
-    typer.Option("--file", "-f", help="Configuration file; - reads the input."),
+    typer.Option(
+        "--file", "-f", help="Configuration file; - for standard input."
+    ),
 ]
 Prune = Annotated[
     bool,
-    typer.Option("--prune", help="Delete what the file does not list."),
+    typer.Option("--prune", help="Delete resources that are not in the file."),
 ]
--- a/src/jujubewharf/commands/ctl_queries.py
+++ b/src/jujubewharf/commands/ctl_queries.py
@@ -1,4 +1,4 @@
-"""The ``ctl`` commands that only ask."""
+"""``ctl`` commands that inspect the fleet."""
 
 from __future__ import annotations
 
@@ -62,10 +62,10 @@
     service: options.Service = "",
     until_current: Annotated[
         bool,
-        typer.Option("--until-current", help="End after the state in force."),
+        typer.Option("--until-current", help="Exit after the current state."),
     ] = False,
 ) -> None:
-    """Follow the state in force and every change, one JSON line each."""
+    """Print the current state and every change, one JSON line each."""
     session: ctl_session.Session = context.obj
 
     async def follow(client: clients.OperatorClient) -> None:
@@ -83,7 +83,9 @@
     context: typer.Context,
     kind: options.Kind,
     name: options.Name,
-    limit: Annotated[int, typer.Option(min=1, help="Changes at most.")] = 20,
+    limit: Annotated[
+        int, typer.Option(min=1, help="Maximum number of changes.")
+    ] = 20,
     as_json: options.AsJson = False,
 ) -> None:
     """Show the changes of a resource, newest first."""
@@ -100,7 +102,7 @@
     operation_id: str,
     as_json: options.AsJson = False,
 ) -> None:
-    """Tell what became of an operation."""
+    """Show the outcome of an operation."""
     session: ctl_session.Session = context.obj
     found = session.run(
         lambda client: client.operation(operation_id), as_json=as_json
@@ -115,11 +117,11 @@
 def status(
     context: typer.Context,
     members: Annotated[
-        bool, typer.Option("--members", help="Show the fleet as seen there.")
+        bool, typer.Option("--members", help="Show the fleet members as well.")
     ] = False,
     as_json: options.AsJson = False,
 ) -> None:
-    """Ask every server of the list how it does."""
+    """Show the status of every server of the list."""
     session: ctl_session.Session = context.obj
     statuses = session.run(
         lambda client: _statuses(client, session.servers), as_json=as_json
@@ -141,13 +143,13 @@
     context: typer.Context,
     server: Annotated[str, typer.Argument(help="IP:PORT of the instance.")],
     yes: Annotated[
-        bool, typer.Option("--yes", help="Do not ask before.")
+        bool, typer.Option("--yes", help="Continue without confirmation.")
     ] = False,
     as_json: options.AsJson = False,
 ) -> None:
-    """Let an instance go on without records that the log has lost."""
+    """Let an instance continue without records that the log has lost."""
     session: ctl_session.Session = context.obj
-    question = f"Go on at {server} without records that the log has lost?"
+    question = f"Continue at {server} without records that the log has lost?"
     if not yes and not typer.confirm(question):
         raise typer.Exit(ctl_session.ExitCode.REFUSED)
     at_server = dataclasses.replace(session, servers=(server,))
@@ -161,7 +163,7 @@
     service: options.Service = "",
     as_json: options.AsJson = False,
 ) -> None:
-    """Show the engines as one instance sees them."""
+    """Show the engines as seen by one instance."""
     session: ctl_session.Session = context.obj
     found = session.run(
         lambda client: client.engines(service=service), as_json=as_json
@@ -170,7 +172,7 @@
 
 
 def whoami(context: typer.Context, as_json: options.AsJson = False) -> None:
-    """Show the identity behind the token."""
+    """Show the identity that the token belongs to."""
     session: ctl_session.Session = context.obj
     identity = session.run(lambda client: client.identity(), as_json=as_json)
     _show(identity, ctl_tables.of_fields(identity), as_json=as_json)
--- a/src/jujubewharf/commands/ctl_session.py
+++ b/src/jujubewharf/commands/ctl_session.py
@@ -1,4 +1,4 @@
-"""How ``jujubewharf ctl`` reaches the fleet, and its exit codes."""
+"""Connection settings, errors and exit codes of ``jujubewharf ctl``."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the command's exit code says."""
+    """Exit codes of ``ctl`` commands."""
 
     OK = 0
     REFUSED = 1
@@ -47,12 +47,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Session:
-    """Where to find the fleet and who asks.
+    """Addresses and credentials of a ``ctl`` command.
 
     Attributes:
         servers: ``IP:PORT`` of instances, in order of preference.
-        token_file: File with the token; ``None`` reads the environment.
-        timeout_ms: Longest wait for one instance's answer.
+        token_file: File that contains the token; ``None`` reads it from the
+            environment.
+        timeout_ms: Timeout of a call to one instance, in milliseconds.
     """
 
     servers: tuple[str, ...]
@@ -65,9 +66,9 @@
         *,
         as_json: bool = False,
     ) -> _Answer:
-        """Runs a call to its end; a failure ends the command."""
+        """Runs a call and returns its result; exits the command on failure."""
         if not self.servers:
-            fail(ExitCode.BAD_INPUT, f"give --server or set {SERVERS_VARIABLE}")
+            fail(ExitCode.BAD_INPUT, f"pass --server or set {SERVERS_VARIABLE}")
         token = self._token()
         try:
             return asyncio.run(self._call(token, call))
@@ -97,7 +98,7 @@
 
 
 def exit_code_of(detail: values.ErrorDetail) -> ExitCode:
-    """The exit code of a failed call."""
+    """Returns the exit code for a failed call."""
     if detail.ran is not errors.Ran.NO:
         return ExitCode.OUTCOME_UNKNOWN
     if detail.kind in [kind.value for kind in _BAD_INPUT_KINDS]:
@@ -106,13 +107,13 @@
 
 
 def fail(code: ExitCode, message: str) -> NoReturn:
-    """Tells what is wrong and ends the command."""
+    """Prints an error message and exits the command."""
     print(message, file=sys.stderr)
     raise typer.Exit(code)
 
 
 def fail_with(detail: values.ErrorDetail, *, as_json: bool) -> NoReturn:
-    """Tells of a failed call and ends the command."""
+    """Prints the error of a failed call and exits the command."""
     if as_json:
         print(to_json({"error": detail}), file=sys.stderr)
     else:
@@ -122,7 +123,7 @@
 
 
 def lines_of(detail: values.ErrorDetail) -> list[str]:
-    """A failure for a person; its operation helps to ask later."""
+    """Formats an error for humans, with the operation ID for a later lookup."""
     lines = [f"{detail.kind}: {detail.message}"]
     if detail.violations:
         lines.extend(f"  {violation}" for violation in detail.violations)
@@ -135,12 +136,12 @@
 
 
 def to_json(value: Any) -> str:
-    """Data classes as JSON text."""
+    """Formats data classes as indented JSON."""
     data = pydantic_core.to_jsonable_python(value)
     return json.dumps(data, indent=2, ensure_ascii=False)
 
 
 def to_json_line(value: Any) -> str:
-    """A data class as one line of JSON."""
+    """Formats a data class as one line of JSON."""
     data = pydantic_core.to_jsonable_python(value)
     return json.dumps(data, ensure_ascii=False)
--- a/src/jujubewharf/commands/ctl_tables.py
+++ b/src/jujubewharf/commands/ctl_tables.py
@@ -1,4 +1,4 @@
-"""Tables that ``jujubewharf ctl`` prints."""
+"""Tables printed by ``jujubewharf ctl``."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from jujubewharf.operators import values
 
 _PIPE_WIDTH = 160
-# A read of the log waits some seconds for news.
+# Must exceed the long-poll wait of log reads, which is some seconds.
 _LOG_SILENT_MS = 10_000.0
 
 _EFFECT_STYLES = {
@@ -68,7 +68,7 @@
 
 
 def show(*renderables: Any) -> None:
-    """Prints to the standard output, wide enough when it is no terminal."""
+    """Prints to standard output, with a fixed width if it is no terminal."""
     width = None if sys.stdout.isatty() else _PIPE_WIDTH
     console = consoles.Console(width=width, highlight=False)
     console.print(*renderables)
@@ -77,7 +77,7 @@
 def of_resources(
     kind: resources.Kind, held: Iterable[values.StoredResource]
 ) -> tables.Table:
-    """Resources of one kind, a row each."""
+    """Returns a table of resources of one kind, one per row."""
     columns = _COLUMNS[kind]
     table = _table(*columns, "generation")
     for stored in held:
@@ -88,7 +88,7 @@
 
 
 def of_resource(stored: values.StoredResource) -> tables.Table:
-    """One resource, a row a field."""
+    """Returns a table of one resource, one field per row."""
     table = _table("field", "value")
     for path, value in _flat(border.dump(stored.resource)):
         table.add_row(path, _cell(value))
@@ -97,7 +97,7 @@
 
 
 def of_differences(items: Sequence[values.AppliedDifference]) -> tables.Table:
-    """What an apply changes, a row a field."""
+    """Returns a table of the differences of an apply, one field per row."""
     table = _table("effect", "kind", "name", "field", "before", "after")
     for item in items:
         _add_difference(table, item.difference)
@@ -105,7 +105,7 @@
 
 
 def of_applied(items: Sequence[values.AppliedDifference]) -> tables.Table:
-    """What became of an apply, a row a resource."""
+    """Returns a table of the outcomes of an apply, one resource per row."""
     table = _table("kind", "name", "effect", "generation", "outcome")
     for item in items:
         difference = item.difference
@@ -123,7 +123,7 @@
 
 
 def of_history(entries: Sequence[values.HistoryEntry]) -> tables.Table:
-    """Changes of a resource, newest first."""
+    """Returns a table of the changes of a resource, in the given order."""
     table = _table(
         "generation", "at", "actor", "effect", "state", "operation", "detail"
     )
@@ -143,7 +143,7 @@
 def of_statuses(
     statuses: Sequence[tuple[str, values.InstanceStatus | str]],
 ) -> tables.Table:
-    """Instances by the address asked, or why one gave no answer."""
+    """Returns a table of instance statuses or errors, by server address."""
     table = _table(
         "server",
         "instance",
@@ -174,7 +174,7 @@
 
 
 def of_members(members: Sequence[values.Member]) -> tables.Table:
-    """The fleet as one instance sees it."""
+    """Returns a table of the fleet members as seen by one instance."""
     table = _table("instance", "address", "domain", "leaving", "suspected")
     for member in members:
         table.add_row(
@@ -188,7 +188,7 @@
 
 
 def of_engines(engines: Sequence[values.EngineStatus]) -> tables.Table:
-    """Engines as one instance sees them."""
+    """Returns a table of the engines as seen by one instance."""
     table = _table(
         "engine",
         "service",
@@ -220,7 +220,7 @@
 
 
 def of_fields(value: Any) -> tables.Table:
-    """A small data class, a row a field."""
+    """Returns a table of a data class, one field per row."""
     table = _table("field", "value")
     for name in value.__dataclass_fields__:
         table.add_row(name, _cell(_plain(getattr(value, name))))
--- a/src/jujubewharf/commands/ctl_tokens.py
+++ b/src/jujubewharf/commands/ctl_tokens.py
@@ -1,7 +1,7 @@
-"""``jujubewharf ctl token``: tokens and what the configuration holds of them.
+"""``jujubewharf ctl token``: creates and hashes tokens.
 
-A token is never printed: a new one goes into a file that only its owner
-reads, and the output is the SHA-256 that a resource takes.
+Tokens are never printed. A new token is written to a file that only its owner
+can read; the output is the SHA-256 that resources contain.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 _TOKEN_BYTES = 32
 _OWNER_ONLY = 0o600
 
-app = typer.Typer(no_args_is_help=True, help="Make and hash tokens.")
+app = typer.Typer(no_args_is_help=True, help="Create and hash tokens.")
 
 
 @app.command("new")
 def new(file: pathlib.Path) -> None:
-    """Write a new token to a file that must not exist; print its SHA-256."""
+    """Write a new token to a new file and print its SHA-256."""
     token = secrets.token_urlsafe(_TOKEN_BYTES)
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
     try:
--- a/src/jujubewharf/commands/demo.py
+++ b/src/jujubewharf/commands/demo.py
@@ -1,4 +1,4 @@
-"""``jujubewharf demo``: a whole deployment on loopback under a mixed load."""
+"""``jujubewharf demo``: runs a deployment on loopback under a mixed load."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def demo(requests: int = 300) -> None:
-    """Start a deployment on loopback, load it, check it, end it.
+    """Run a deployment on loopback under load and check the results.
 
-    Exits with 0 only if every answer came once and whole and no engine holds
-    memory at the end.
+    Exits with 0 only if every answer was complete and delivered exactly once
+    and no engine holds memory at the end.
     """
     try:
         faults = asyncio.run(_until_interrupted(requests))
--- a/src/jujubewharf/commands/experiment.py
+++ b/src/jujubewharf/commands/experiment.py
@@ -1,4 +1,4 @@
-"""``jujubewharf experiment``: measure the policy under load and faults."""
+"""``jujubewharf experiment``: measure policies under load and faults."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     seed: int = 1,
     as_json: Annotated[bool, typer.Option("--json")] = False,
 ) -> None:
-    """Run an experiment once; exit code 3 says that a promise was broken."""
+    """Run an experiment once; exit code 3 if a guarantee was violated."""
     experiment = _read_or_exit(file)
     _check_policies([policy])
     runner.quiet_logs()
@@ -66,7 +66,7 @@
     workers: int = comparison.MAX_WORKERS,
     as_json: Annotated[bool, typer.Option("--json")] = False,
 ) -> None:
-    """Compare policies over seeds; ``--plot`` also varies the load."""
+    """Compare policies over several seeds; ``--plot`` also varies the load."""
     experiment = _read_or_exit(file)
     names = policies.split(",")
     _check_policies(names)
@@ -100,7 +100,7 @@
 
 @app.command("check")
 def check(file: File) -> None:
-    """Check an experiment file; every error is named with its path."""
+    """Check an experiment file; prints every error with its path."""
     _read_or_exit(file)
     print("ok")
 
--- a/src/jujubewharf/commands/lazy.py
+++ b/src/jujubewharf/commands/lazy.py
@@ -1,8 +1,7 @@
-"""Command groups that are loaded when they are asked for.
+"""Command groups that are imported on first use.
 
-The daemon is one command of many. Loading the others with it (stand-ins,
-experiments, demo, operator tables) cost each entry instance some megabytes of
-the little that it may have.
+Importing all commands together with the daemon would increase the memory use
+of each entry instance.
 """
 
 from __future__ import annotations
@@ -14,8 +13,8 @@
 from typer import core
 from typer import main as typer_main
 
-# Each module has a ``typer.Typer`` named ``app``, or a function named as the
-# command.
+# Each module has a ``typer.Typer`` named ``app`` or a function with the name of
+# the command.
 _MODULES = {
     "ctl": "jujubewharf.commands.ctl",
     "demo": "jujubewharf.commands.demo",
@@ -25,14 +24,14 @@
 
 
 class LazyCommands(core.TyperGroup):
-    """The group of all commands."""
+    """Group of all commands, imported lazily."""
 
     def list_commands(self, ctx: Any) -> list[str]:
-        """Names of all commands, for the help text."""
+        """Returns the names of all commands, sorted."""
         return sorted([*super().list_commands(ctx), *_MODULES])
 
     def get_command(self, ctx: Any, cmd_name: str) -> Any:
-        """Loads a command."""
+        """Imports and returns a command."""
         if cmd_name not in _MODULES:
             return super().get_command(ctx, cmd_name)
         module = importlib.import_module(_MODULES[cmd_name])
--- a/src/jujubewharf/commands/main.py
+++ b/src/jujubewharf/commands/main.py
@@ -44,7 +44,7 @@
 def entry(settings: SettingsPath) -> None:
     """Run one entry instance until SIGTERM, then drain it.
 
-    Exit codes: 0 drained, 1 crashed, 2 bad settings, 3 requests were cut.
+    Exit codes: 0 drained, 1 crashed, 2 invalid settings, 3 requests aborted.
     """
     checked = _read_or_exit(settings)
     logs.configure(checked.telemetry.log_level, instance=checked.instance)
@@ -61,18 +61,18 @@
 
 @app.command("errors")
 def error_page() -> None:
-    """Print the table of all errors, as docs/ERRORS.md holds it."""
+    """Print the table of all errors in the format of docs/ERRORS.md."""
     print(error_pages.page(), end="")
 
 
 @app.command()
 def explain(
-    request_id: Annotated[str, typer.Argument(help="As the caller sent it.")],
+    request_id: Annotated[str, typer.Argument(help="ID sent by the caller.")],
     files: Annotated[list[pathlib.Path], typer.Argument(help="Log files.")],
 ) -> None:
-    """Print one request's life from the logs of any number of instances.
+    """Print the events of one request from the logs of several instances.
 
-    Exit codes: 0 found, 1 no file has a line of the request.
+    Exit codes: 0 found, 1 no log line of the request in any file.
     """
     story = explanation.read(request_id, files)
     print(explanation.page(story), end="")
@@ -83,10 +83,10 @@
 def settings_check(
     path: pathlib.Path,
     forwarding: Annotated[
-        bool, typer.Option(help="Settings of an instance that forwards.")
+        bool, typer.Option(help="Settings file of a forwarding instance.")
     ] = False,
 ) -> None:
-    """Check a settings file; every error is named with its path."""
+    """Check a settings file; prints every error with its path."""
     if forwarding:
         _check_forwarding_or_exit(path)
     else:
--- a/src/jujubewharf/commands/standin.py
+++ b/src/jujubewharf/commands/standin.py
@@ -1,4 +1,4 @@
-"""``jujubewharf standin``: small stand-ins for engines and the platform."""
+"""``jujubewharf standin``: stand-ins for engines and platform services."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 
 async def serve(application: web.Application, port: int) -> None:
-    """Serves an application on loopback until cancelled."""
+    """Serves an application on loopback until cancelled.
+
+    Prints the port as one line of JSON.
+    """
     runner = web.AppRunner(application, access_log=None)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", port)
