--- a/tests/commands/test_ctl.py
+++ b/tests/commands/test_ctl.py
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def deployment() -> Iterator[deployments.Deployment]:
-    """Two instances on an event loop in a thread of its own."""
+    """Runs two instances on an event loop in a separate thread."""
     started: list[deployments.Deployment] = []
     is_up, may_end = threading.Event(), threading.Event()
 
@@ -46,7 +46,7 @@
     thread = threading.Thread(target=asyncio.run, args=(serve(),))
     thread.start()
     assert is_up.wait(30)
-    # Servers and commands share this process, and so its output.
+    # Keeps the servers' logs out of the output of the commands.
     with structlog_testing.capture_logs():
         yield started[0]
     may_end.set()
@@ -72,7 +72,7 @@
 
 @pytest.fixture
 def file(tmp_path: pathlib.Path) -> pathlib.Path:
-    """A whole configuration file."""
+    """Writes a configuration file with resources of several kinds."""
     path = tmp_path / "configuration.json"
     path.write_text(documents.dump(deployments.ALL), encoding="utf-8")
     return path
--- a/tests/commands/test_main.py
+++ b/tests/commands/test_main.py
@@ -1,4 +1,4 @@
-"""The settings commands: every error named, exit code 2."""
+"""The ``settings`` and ``explain`` commands."""
 
 from __future__ import annotations
 
--- a/tests/operators/deployments.py
+++ b/tests/operators/deployments.py
@@ -1,4 +1,4 @@
-"""Operator servers of several instances on loopback, on one stand-in log."""
+"""Operator servers of several instances that share one stand-in log."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     role: resources.OperatorRole,
     services: Sequence[str] = (),
 ) -> resources.Operator:
-    """An operator whose token is its name."""
+    """Returns an operator whose token equals its name."""
     return resources.Operator(
         name, bearer.digest_of(name), role, tuple(services)
     )
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Deployment:
-    """Instances that share a log, each with an operator server."""
+    """Instances that share a log, each with its own operator server."""
 
     bench: benches.Bench
     servers: dict[str, servers.OperatorServer]
@@ -68,7 +68,7 @@
     def client(
         self, *names: str, token: str = BOOTSTRAP_TOKEN
     ) -> clients.OperatorClient:
-        """A client of some instances, or of all."""
+        """Returns a client of the named instances, or of all."""
         addresses = [self.address(name) for name in names] or self.addresses
         client = clients.OperatorClient(addresses, token)
         self.stack.push_async_callback(client.close)
@@ -76,7 +76,7 @@
 
 
 def core_settings() -> dict[str, object]:
-    """Settings under which the bootstrap token is valid."""
+    """Returns settings that enable the bootstrap token."""
     digest = bearer.digest_of(BOOTSTRAP_TOKEN)
     platform = {
         "log_url": _NOWHERE,
@@ -94,7 +94,7 @@
 async def running(
     *names: str, settings: models.OperatorSettings | None = None
 ) -> AsyncIterator[Deployment]:
-    """Starts instances and waits until each has read the log."""
+    """Starts instances and waits until each has caught up with the log."""
     bench = benches.Bench()
     bench.add_engine(
         ENDPOINT, engines.EngineSpec(role=ENDPOINT.role.value, model="judge")
--- a/tests/operators/test_access.py
+++ b/tests/operators/test_access.py
@@ -1,4 +1,4 @@
-"""Who may see and change what."""
+"""Authentication, authorization and limits of operators."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 MATE = deployments.operator("mate", _ROLE.OPERATOR, ("shop-api",))
 OPEN_ACCOUNT = dataclasses.replace(deployments.ACCOUNT, services=())
 
-# One letter an identity: - nothing, r sees, w sees and changes.
+# One letter per identity: - no access, r read, w read and write.
 MATRIX = (
     (deployments.SHOP, "r w w r w w"),
     (deployments.TILL, "r w w r w w"),
@@ -154,10 +154,9 @@
 
 
 async def test_an_operator_that_calls_too_often_is_told_when_to_come_back():
-    """A script of one team changes things in a loop.
+    """Calls over the rate limit are refused with a retry-after.
 
-    It is refused with the time to come back, nothing ran, and another
-    operator's changes go on at the same instance.
+    Other operators must not be affected.
     """
     settings = models.OperatorSettings(max_changes_per_s=0.3)
     async with deployments.running("e1", settings=settings) as deployment:
@@ -176,11 +175,7 @@
 
 
 async def test_a_watch_ends_when_its_operator_loses_its_rights():
-    """An operator is taken out of its team while it watches.
-
-    The next change would tell it what it may no longer see; the watch ends
-    with a refusal instead.
-    """
+    """An open watch must not leak resources after a change of scope."""
     async with deployments.running("e1") as deployment:
         admin = deployment.client()
         await admin.apply([*deployments.ALL, MATE])
--- a/tests/operators/test_failures.py
+++ b/tests/operators/test_failures.py
@@ -1,4 +1,4 @@
-"""Operator calls while the log, an instance or an answer is lost."""
+"""Operator calls during failures of the log, an instance or a reply."""
 
 from __future__ import annotations
 
@@ -27,11 +27,9 @@
 
 
 async def test_racing_operators_get_one_winner_and_one_conflict():
-    """Two operators change the same service at two instances at once.
+    """Of two concurrent changes of a resource, only the first is applied.
 
-    Both expect the generation that they saw, and both changes reach the log.
-    The fold takes the first of them everywhere; the other operator is told
-    that a change came first, and its body is nowhere in force.
+    Guards against instances that disagree about the winner.
     """
     async with deployments.running("e1", "e2") as deployment:
         one, two = deployment.client("e1"), deployment.client("e2")
@@ -67,11 +65,7 @@
 
 
 async def test_a_log_that_is_down_answers_that_nothing_ran():
-    """The log is down when an operator changes something.
-
-    The instance can't append; nothing ran, and it says so, with the same
-    answer for every instance asked. What is in force can still be read.
-    """
+    """A change fails with ``LOG_UNAVAILABLE`` while reads still work."""
     async with deployments.running("e1", "e2") as deployment:
         client = deployment.client()
         await client.create(deployments.SHOP)
@@ -87,11 +81,7 @@
 
 
 async def test_an_instance_cut_off_from_the_log_is_passed_over():
-    """The first instance of the list can't reach the log, the second can.
-
-    The first says that nothing ran, so the client goes on to the second
-    under the same operation id, and the operator sees one success.
-    """
+    """The client fails over if an instance cannot reach the log."""
     async with deployments.running("e1", "e2") as deployment:
         deployment.bench.instances["e1"].log.is_cut = True
         client = deployment.client("e1", "e2")
@@ -100,11 +90,7 @@
 
 
 async def test_a_lost_acknowledgement_is_resolved_by_reading():
-    """The log takes the change and its answer is lost.
-
-    The instance reads on, finds the operation and answers that it is in
-    force; the change stands on the log once.
-    """
+    """A change must not be appended twice if the log's reply is lost."""
     async with deployments.running("e1") as deployment:
         deployment.bench.log.lose_answers = 1
         client = deployment.client()
@@ -114,11 +100,7 @@
 
 
 async def test_a_dead_instance_is_passed_over_and_all_dead_is_unreachable():
-    """Instances die one after the other under an operator's client.
-
-    The client goes on to the next address; with none left it says that no
-    instance was reached, which means that nothing ran.
-    """
+    """The client fails over and reports when no instance is reachable."""
     async with deployments.running("e1", "e2") as deployment:
         client = deployment.client("e1", "e2")
         await client.create(deployments.SHOP)
@@ -131,11 +113,9 @@
 
 @pytest.mark.parametrize("names", [("e1",), ("e1", "e2")])
 async def test_an_instance_lost_before_its_answer(names, monkeypatch):
-    """An instance dies with a change under way, before it answers.
+    """An instance stops after it received a change, before its reply.
 
-    The client can't know whether the change went to the log. It asks the next
-    instance under the same operation id and gets the answer there; with none
-    left it says that the outcome is unknown, never that nothing ran.
+    The client retries at the next instance or reports an unknown outcome.
     """
     monkeypatch.setattr(server, "_GRACE_S", 0.0)
     async with deployments.running("e1", "e2") as deployment:
@@ -161,11 +141,7 @@
 
 
 def test_an_instance_that_knows_no_configuration_says_so():
-    """An instance starts while the log is down and no peer has a snapshot.
-
-    It knows no operator, but the token may well be good: it must not say
-    that the token is unknown, which would send the operator off for good.
-    """
+    """A valid token must not be rejected before the configuration loads."""
 
     async def scenario() -> None:
         bench = benches.Bench()
@@ -187,11 +163,9 @@
 
 
 def test_an_unknown_outcome_is_told_and_found_later():
-    """The log takes a change, then goes down before it can be read back.
+    """A change is appended, but the log fails before it is read back.
 
-    The instance can't know whether the change stands on the log: it answers
-    that the outcome is unknown, with the operation to ask for. When the log
-    is back, asking tells, and sending the operation again changes nothing.
+    The outcome is unknown until the log recovers; a retry changes nothing.
     """
 
     async def scenario() -> None:
@@ -229,11 +203,7 @@
 
 
 async def test_pages_stay_stable_while_others_change_things():
-    """Resources come and go between two pages of a listing.
-
-    A page goes on after the last name of the one before, so what stays is
-    listed exactly once, neither skipped nor told twice.
-    """
+    """Changes between two pages must not skip or repeat other resources."""
     async with deployments.running("e1", "e2") as deployment:
         client = deployment.client("e1")
         names = [f"s{number:02}" for number in range(10)]
@@ -266,8 +236,7 @@
 
 
 async def test_an_apply_of_many_names_every_fault_before_the_first_change():
-    """A file of more changes than go to the log together has faults at its
-    end. Found only on the way, half the file would be in force."""
+    """Invalid resources must not leave an apply of many half done."""
     async with deployments.running("e1") as deployment:
         many = [
             dataclasses.replace(deployments.TILL, name=f"till-{number:04}")
@@ -291,10 +260,9 @@
 
 
 async def test_an_apply_of_many_tells_where_the_log_went_down():
-    """The log goes down between two runs of changes of one apply.
+    """The log fails between two batches of one apply.
 
-    The first run is in force. The items tell which changes are, and that the
-    others did not run; the same apply sent again makes just these.
+    The items must show which changes were applied and which did not run.
     """
     async with deployments.running("e1") as deployment:
         many = [
@@ -316,11 +284,7 @@
 
 
 async def test_streams_go_on_while_a_large_file_is_applied():
-    """An operator applies a whole file at an instance that relays tokens.
-
-    Worked through in one go, the file would hold up every stream for as long
-    as that takes. Another task must get its turn after each piece.
-    """
+    """Applying a large file must not block the event loop."""
     async with deployments.running("e1") as deployment:
         operators = deployment.bench.instances["e1"].operators
         many = [
@@ -340,16 +304,12 @@
             _ADMIN, [deployments.SHOP, *many], dry_run=True
         )
         relaying.cancel()
-        # For the differences, the checks of rights and those of the bodies.
+        # Differences, permission checks and validation each yield.
         assert turns >= 3 * 39
 
 
 async def test_what_a_newer_version_set_outlives_a_change_by_an_older_one():
-    """A newer instance has set a field that this one does not know.
-
-    An operator drains the endpoint here. The record on the log must carry the
-    field on, or the newer instances would see it reverted.
-    """
+    """A change must keep resource fields that only newer versions know."""
     async with deployments.running("e1") as deployment:
         client = deployment.client()
         await client.create(deployments.SHOP)
@@ -378,7 +338,7 @@
 
 
 def _appending(seen_log) -> asyncio.Event:
-    """Set when an instance begins to append."""
+    """Returns an event that is set when an instance starts an append."""
     started = asyncio.Event()
     append = seen_log.append
 
--- a/tests/operators/test_messages.py
+++ b/tests/operators/test_messages.py
@@ -1,4 +1,4 @@
-"""Data classes and messages hold the same fields and survive each other."""
+"""Data classes match the schema and survive a round trip."""
 
 from __future__ import annotations
 
@@ -118,11 +118,7 @@
 
 
 def test_a_field_of_a_newer_version_is_refused_not_dropped():
-    """An operator's newer tool sets a field that this instance lacks.
-
-    Left aside, the change would be answered as in force while that field is
-    not. Refused, the operator asks a newer instance or upgrades this one.
-    """
+    """A change must not be accepted if one of its fields is ignored."""
     newer_field = b"\xfa\x01\x01x"  # Field 31, one byte of text.
     service = pb.Service(name="a", kind=pb.SERVICE_KIND_PLAIN)
     service.MergeFromString(newer_field)
--- a/tests/operators/test_rpc.py
+++ b/tests/operators/test_rpc.py
@@ -1,4 +1,4 @@
-"""Every RPC of the schema, over gRPC on loopback."""
+"""RPCs of the schema over gRPC on loopback."""
 
 from __future__ import annotations
 
--- a/tests/operators/test_schema.py
+++ b/tests/operators/test_schema.py
@@ -1,4 +1,4 @@
-"""The schema's golden file: an incompatible change shows as a removed line."""
+"""Snapshot of the schema, in which an incompatible change removes a line."""
 
 from __future__ import annotations
 
