--- a/src/jujubewharf/configuration/border.py
+++ b/src/jujubewharf/configuration/border.py
@@ -17,7 +17,7 @@
 
 from jujubewharf.configuration import resources
 
-_CONFIG = pydantic.ConfigDict(extra="forbid", allow_inf_nan=False)
+_PYDANTIC_CONFIG = pydantic.ConfigDict(extra="forbid", allow_inf_nan=False)
 _CAPABILITIES = "capabilities"
 
 _TYPES: dict[resources.Kind, type] = {
@@ -32,13 +32,13 @@
 )
 
 
-def _adapter(cls: type) -> pydantic.TypeAdapter[resources.Resource]:
-    cls.__pydantic_config__ = _CONFIG  # type: ignore[attr-defined]
+def _make_adapter(cls: type) -> pydantic.TypeAdapter[resources.Resource]:
+    cls.__pydantic_config__ = _PYDANTIC_CONFIG  # type: ignore[attr-defined]
     return pydantic.TypeAdapter(cls)
 
 
-resources.Capabilities.__pydantic_config__ = _CONFIG  # type: ignore[attr-defined]
-_ADAPTERS = {kind: _adapter(cls) for kind, cls in _TYPES.items()}
+resources.Capabilities.__pydantic_config__ = _PYDANTIC_CONFIG  # type: ignore[attr-defined]
+_ADAPTERS = {kind: _make_adapter(cls) for kind, cls in _TYPES.items()}
 
 
 def parse(
@@ -81,12 +81,14 @@
     kind: resources.Kind, body: dict[str, Any]
 ) -> result.Result[Reading, list[str]]:
     """Decodes a body from the log and keeps unknown fields separate."""
-    known, extra = _split(body, _FIELDS[kind])
-    inner = known.get(_CAPABILITIES)
-    if isinstance(inner, dict):
-        known[_CAPABILITIES], inner_extra = _split(inner, _CAPABILITY_FIELDS)
-        if inner_extra:
-            extra[_CAPABILITIES] = inner_extra
+    known, extra = _split_fields(body, _FIELDS[kind])
+    capabilities = known.get(_CAPABILITIES)
+    if isinstance(capabilities, dict):
+        known[_CAPABILITIES], extra_capabilities = _split_fields(
+            capabilities, _CAPABILITY_FIELDS
+        )
+        if extra_capabilities:
+            extra[_CAPABILITIES] = extra_capabilities
     return parse(kind, known).map(lambda resource: Reading(resource, extra))
 
 
@@ -107,9 +109,11 @@
     return body
 
 
-def _split(
+def _split_fields(
     body: dict[str, Any], known: frozenset[str]
 ) -> tuple[dict[str, Any], dict[str, Any]]:
-    inside = {key: value for key, value in body.items() if key in known}
-    outside = {key: value for key, value in body.items() if key not in known}
-    return inside, outside
+    known_fields = {key: value for key, value in body.items() if key in known}
+    unknown_fields = {
+        key: value for key, value in body.items() if key not in known
+    }
+    return known_fields, unknown_fields
--- a/src/jujubewharf/configuration/changes.py
+++ b/src/jujubewharf/configuration/changes.py
@@ -52,7 +52,7 @@
         self._log = platform_log
         self._clock = clock
         self._answer_timeout_ms = answer_timeout_ms
-        self._folded = asyncio.Event()
+        self._applied = asyncio.Event()
         follower.listen(self._on_state)
 
     async def submit(
@@ -80,13 +80,13 @@
         """
         if force:
             changes = [dataclasses.replace(one, force=True) for one in changes]
-        found = validation.check(self._state, changes)
-        if found:
-            raise self._refused(
-                errors.ErrorKind.CONFIG_INVALID, "; ".join(found)
+        problems = validation.check(self._state, changes)
+        if problems:
+            raise self._make_error(
+                errors.ErrorKind.CONFIG_INVALID, "; ".join(problems)
             )
-        self._check_can_fold()
-        verdicts = self._judged(changes)
+        self._check_can_apply()
+        verdicts = self._known_verdicts(changes)
         if not all(one.operation_id in verdicts for one in changes):
             await self._append(changes, verdicts)
             verdicts = await self._read_back(changes)
@@ -148,15 +148,15 @@
             WharfError: ``UNKNOWN_RESOURCE`` if that generation is not in the
                 history; otherwise as for ``submit``.
         """
-        body = self._body_of(kind, name, to_generation)
-        held = self._state.get(kind, name)
+        body = self._find_body(kind, name, to_generation)
+        current = self._state.get(kind, name)
         change = records.Change(
             operation_id=operation_id,
             actor=actor,
             verb=records.Verb.PUT,
             kind=kind.value,
             name=name,
-            expected_generation=held.generation if held else 0,
+            expected_generation=current.generation if current else 0,
             body=body,
             wall_ms=self._clock.wall_ms(),
         )
@@ -177,7 +177,7 @@
         """
         cursor = from_offset - 1
         while True:
-            folded = self._folded
+            applied = self._applied
             history = self._state.history
             if cursor + 1 < history.dropped_below:
                 raise errors.WharfError(
@@ -189,9 +189,9 @@
                 cursor = max(cursor, item.offset)
                 yield item
             if not items:
-                await folded.wait()
+                await applied.wait()
 
-    def _check_can_fold(self) -> None:
+    def _check_can_apply(self) -> None:
         """Checks that this instance would apply a change once appended.
 
         Raises:
@@ -206,17 +206,17 @@
         elif follower.is_log_behind:
             reason = "the log ends before what is in force"
         if reason:
-            raise self._refused(errors.ErrorKind.LOG_UNAVAILABLE, reason)
+            raise self._make_error(errors.ErrorKind.LOG_UNAVAILABLE, reason)
 
     @property
     def _state(self) -> states.State:
         return self._follower.current
 
     def _on_state(self, _: states.State) -> None:
-        folded, self._folded = self._folded, asyncio.Event()
-        folded.set()
+        applied, self._applied = self._applied, asyncio.Event()
+        applied.set()
 
-    def _judged(
+    def _known_verdicts(
         self, changes: Sequence[records.Change]
     ) -> dict[str, states.Verdict]:
         """Returns the verdicts of changes that have already been applied.
@@ -231,7 +231,7 @@
             if item is None:
                 continue
             if item.change_digest != change.digest():
-                raise self._refused(
+                raise self._make_error(
                     errors.ErrorKind.CONFIG_CONFLICT,
                     f"operation id {change.operation_id} was used for"
                     " another change",
@@ -242,15 +242,18 @@
     async def _append(
         self,
         changes: Sequence[records.Change],
-        judged: dict[str, states.Verdict],
+        known_verdicts: dict[str, states.Verdict],
     ) -> None:
-        fresh = [one for one in changes if one.operation_id not in judged]
+        new_changes = [
+            one for one in changes if one.operation_id not in known_verdicts
+        ]
         try:
             await self._log.append(
-                records.STREAM, [records.encode(change) for change in fresh]
+                records.STREAM,
+                [records.encode(change) for change in new_changes],
             )
         except log.LogUnavailableError as error:
-            raise self._refused(
+            raise self._make_error(
                 errors.ErrorKind.LOG_UNAVAILABLE, str(error)
             ) from error
         except log.AppendUnknownError:
@@ -264,19 +267,19 @@
         try:
             async with self._clock.timeout_ms(self._answer_timeout_ms):
                 while True:
-                    folded = self._folded
-                    verdicts = self._judged(changes)
+                    applied = self._applied
+                    verdicts = self._known_verdicts(changes)
                     if len(verdicts) == len(changes):
                         return verdicts
-                    await folded.wait()
+                    await applied.wait()
         except TimeoutError as error:
-            named = ", ".join(change.operation_id for change in changes)
-            raise self._refused(
+            operation_ids = ", ".join(change.operation_id for change in changes)
+            raise self._make_error(
                 errors.ErrorKind.OPERATION_UNKNOWN,
-                f"not read back yet; ask for operation {named}",
+                f"not read back yet; ask for operation {operation_ids}",
             ) from error
 
-    def _body_of(
+    def _find_body(
         self, kind: resources.Kind, name: str, generation: int
     ) -> dict[str, object]:
         for item in self.history(kind, name):
@@ -291,7 +294,7 @@
             f"generation {generation} of {kind.value} {name} is not kept",
         )
 
-    def _refused(
+    def _make_error(
         self, kind: errors.ErrorKind, detail: str
     ) -> errors.WharfError:
         _submitted.add(1, {"outcome": kind.value})
--- a/src/jujubewharf/configuration/checkpointer.py
+++ b/src/jujubewharf/configuration/checkpointer.py
@@ -20,13 +20,13 @@
 # Shares of the log's retention. A checkpoint is replaced while the records
 # after it are still in the log, with a margin for outages. If the state has
 # not changed, it only has to be rewritten before its chunks expire.
-_CHANGED_SHARE = 1 / 4
-_UNCHANGED_SHARE = 1 / 2
-_RANK_SHARE = 1 / 32
-_LAST_RANK = 7
-_TICK_SHARE = 1 / 64
-_MAX_TICK_MS = 60_000.0
-_URGENT_RANK_MS = 5_000.0
+_CHANGED_AGE_SHARE = 1 / 4
+_UNCHANGED_AGE_SHARE = 1 / 2
+_DELAY_SHARE_PER_RANK = 1 / 32
+_MAX_RANK = 7
+_CHECK_INTERVAL_SHARE = 1 / 64
+_MAX_CHECK_INTERVAL_MS = 60_000.0
+_URGENT_DELAY_PER_RANK_MS = 5_000.0
 
 _meter = metrics.get_meter("jujubewharf")
 _writes = _meter.create_counter(
@@ -77,10 +77,12 @@
         self._logger = structlog.get_logger()
 
     @mode.Service.task
-    async def _watch(self) -> None:
-        tick_ms = min(_MAX_TICK_MS, self._retention_ms * _TICK_SHARE)
+    async def _check_periodically(self) -> None:
+        interval_ms = min(
+            _MAX_CHECK_INTERVAL_MS, self._retention_ms * _CHECK_INTERVAL_SHARE
+        )
         while not self.should_stop:
-            await self._clock.sleep_ms(tick_ms)
+            await self._clock.sleep_ms(interval_ms)
             try:
                 await self._check()
             except log.LogUnavailableError:
@@ -90,15 +92,15 @@
                 _writes.add(1, {"outcome": "unknown"})
 
     async def _check(self) -> None:
-        held = self._holding
-        if not held.caught_up.is_set() or held.is_frozen:
+        holding = self._holding
+        if not holding.caught_up.is_set() or holding.is_frozen:
             return
-        if not held.next_offset:
+        if not holding.next_offset:
             return
         await self._store.refresh()
         if not self._is_due():
             return
-        manifest = await self._store.write(held.current, self._instance)
+        manifest = await self._store.write(holding.current, self._instance)
         _writes.add(1, {"outcome": "written"})
         self._logger.info(
             "checkpoint_written",
@@ -109,16 +111,14 @@
     def _is_due(self) -> bool:
         newest = self._store.manifests[-1] if self._store.manifests else None
         if newest is None or newest.next_offset < self.log_first_offset:
-            return self._is_urgent_long_enough(newest)
+            return self._is_urgent_write_due(newest)
         self._urgent_since_ms = None
         is_changed = newest.next_offset < self._holding.next_offset
-        share = _CHANGED_SHARE if is_changed else _UNCHANGED_SHARE
-        share += self._rank(newest) * _RANK_SHARE
+        share = _CHANGED_AGE_SHARE if is_changed else _UNCHANGED_AGE_SHARE
+        share += self._rank(newest) * _DELAY_SHARE_PER_RANK
         return self._age_ms(newest) >= share * self._retention_ms
 
-    def _is_urgent_long_enough(
-        self, newest: checkpoints.Manifest | None
-    ) -> bool:
+    def _is_urgent_write_due(self, newest: checkpoints.Manifest | None) -> bool:
         """Returns whether to write while there is no usable checkpoint.
 
         New instances can't start from the log in the meantime. The delay per
@@ -129,7 +129,7 @@
         if self._urgent_since_ms is None:
             self._urgent_since_ms = now_ms
         waited_ms = now_ms - self._urgent_since_ms
-        return waited_ms >= self._rank(newest) * _URGENT_RANK_MS
+        return waited_ms >= self._rank(newest) * _URGENT_DELAY_PER_RANK_MS
 
     def _age_ms(self, manifest: checkpoints.Manifest) -> float:
         """Returns the age of a manifest in milliseconds.
@@ -146,7 +146,7 @@
             return 0
         names = [member.instance for member in self._membership.present()]
         if self._instance not in names:
-            return _LAST_RANK
+            return _MAX_RANK
         key = f"checkpoint/{newest.next_offset if newest else 0}"
         key += f"/{newest.wall_ms if newest else 0}"
-        return min(_LAST_RANK, hashing.rank(key, names).index(self._instance))
+        return min(_MAX_RANK, hashing.rank(key, names).index(self._instance))
--- a/src/jujubewharf/configuration/checkpoints.py
+++ b/src/jujubewharf/configuration/checkpoints.py
@@ -63,7 +63,7 @@
             was read.
     """
 
-    _KEPT_MANIFESTS = 8
+    _MAX_MANIFESTS = 8
 
     def __init__(self, platform_log: log.Log, clock: clocks.Clock) -> None:
         self.manifests: list[Manifest] = []
@@ -89,7 +89,7 @@
             if not page.records:
                 return
             for record in page.records:
-                self._take_in(record)
+                self._add_manifest(record)
             self._cursor = page.records[-1].offset + 1
 
     def usable(self, from_offset: int, first_offset: int) -> list[Manifest]:
@@ -101,7 +101,7 @@
             first_offset: Offset of the oldest record in the log. Checkpoints
                 that end before it would leave a gap and are omitted.
         """
-        found = [
+        candidates = [
             manifest
             for manifest in self.manifests
             if manifest.next_offset > from_offset
@@ -109,9 +109,9 @@
         ]
         # All instances have to use the same checkpoint to skip lost records,
         # or their states would diverge; the first one in the stream counts.
-        closing = [one for one in found if one.lost_from is not None]
-        others = [one for one in found if one.lost_from is None]
-        return closing[:1] + others[::-1]
+        skipping_lost = [one for one in candidates if one.lost_from is not None]
+        others = [one for one in candidates if one.lost_from is None]
+        return skipping_lost[:1] + others[::-1]
 
     async def write(
         self,
@@ -172,8 +172,8 @@
         decoder = snapshots.Decoder(newest_rules=newest_rules)
         wanted = list(manifest.chunk_offsets)
         while wanted:
-            fed = await self._feed(decoder, wanted)
-            del wanted[:fed]
+            fed_count = await self._feed(decoder, wanted)
+            del wanted[:fed_count]
         return decoder.finish(manifest.digest)
 
     async def _feed(self, decoder: snapshots.Decoder, wanted: list[int]) -> int:
@@ -188,27 +188,27 @@
             raise snapshots.BrokenSnapshotError(
                 "chunks were truncated from the log"
             ) from error
-        found = {record.offset: record.payload for record in page.records}
-        fed = 0
+        payloads = {record.offset: record.payload for record in page.records}
+        fed_count = 0
         for offset in wanted:
-            if offset not in found:
+            if offset not in payloads:
                 break
-            decoder.feed(found[offset])
-            fed += 1
+            decoder.feed(payloads[offset])
+            fed_count += 1
             await asyncio.sleep(0)
-        if not fed:
+        if not fed_count:
             raise snapshots.BrokenSnapshotError(
                 "a chunk is missing from the log"
             )
-        return fed
+        return fed_count
 
-    def _take_in(self, record: log.LogRecord) -> None:
+    def _add_manifest(self, record: log.LogRecord) -> None:
         manifest = _decode(record.payload)
         if manifest is None:
             self._logger.warning("checkpoint_unknown", offset=record.offset)
             return
         self.manifests.append(manifest)
-        del self.manifests[: -self._KEPT_MANIFESTS]
+        del self.manifests[: -self._MAX_MANIFESTS]
         self.seen_ms = self._clock.now_ms()
 
 
--- a/src/jujubewharf/configuration/differences.py
+++ b/src/jujubewharf/configuration/differences.py
@@ -73,51 +73,51 @@
     found = [
         difference
         for resource in wanted
-        if (difference := _of_one(state, resource)) is not None
+        if (difference := _compare_resource(state, resource)) is not None
     ]
     if prune:
-        found.extend(_unwanted(state, wanted))
+        found.extend(_find_unwanted(state, wanted))
     return found
 
 
-def _of_one(
+def _compare_resource(
     state: states.State, resource: resources.Resource
 ) -> Difference | None:
     kind = resources.KIND_OF[type(resource)]
-    held = state.get(kind, resource.name)
+    current = state.get(kind, resource.name)
     after = border.dump(resource)
-    if held is None:
-        fields = _fields({}, after)
+    if current is None:
+        fields = _compare_fields({}, after)
         return Difference(kind, resource.name, Action.CREATE, 0, fields)
-    fields = _fields(border.dump(held.resource), after)
+    fields = _compare_fields(border.dump(current.resource), after)
     if not fields:
         return None
     return Difference(
-        kind, resource.name, Action.UPDATE, held.generation, fields
+        kind, resource.name, Action.UPDATE, current.generation, fields
     )
 
 
-def _unwanted(
+def _find_unwanted(
     state: states.State, wanted: Sequence[resources.Resource]
 ) -> Iterator[Difference]:
     keys = {(resources.KIND_OF[type(one)], one.name) for one in wanted}
     kinds = {kind for kind, _ in keys}
     for (kind, name), entry in state.entries:
         if kind in kinds and (kind, name) not in keys:
-            fields = _fields(border.dump(entry.resource), {})
+            fields = _compare_fields(border.dump(entry.resource), {})
             yield Difference(
                 kind, name, Action.DELETE, entry.generation, fields
             )
 
 
-def _fields(
+def _compare_fields(
     before: dict[str, Any], after: dict[str, Any], prefix: str = ""
 ) -> tuple[FieldDifference, ...]:
     found: list[FieldDifference] = []
     for name in sorted(before.keys() | after.keys()):
         old, new = before.get(name), after.get(name)
         if isinstance(old, dict) and isinstance(new, dict):
-            found.extend(_fields(old, new, f"{prefix}{name}."))
+            found.extend(_compare_fields(old, new, f"{prefix}{name}."))
         elif old != new:
             found.append(FieldDifference(prefix + name, old, new))
     return tuple(found)
--- a/src/jujubewharf/configuration/entries.py
+++ b/src/jujubewharf/configuration/entries.py
@@ -62,9 +62,11 @@
             kind: {} for kind in resources.Kind
         }
         self._by_service: dict[str, dict[str, Entry]] = {}
-        self._sorted: dict[str, tuple[resources.Endpoint, ...]] = {}
+        self._sorted_endpoints: dict[str, tuple[resources.Endpoint, ...]] = {}
         self._by_token: dict[tuple[resources.Kind, str], str] = {}
-        self._shared: dict[resources.Capabilities, resources.Capabilities] = {}
+        self._shared_capabilities: dict[
+            resources.Capabilities, resources.Capabilities
+        ] = {}
 
     def __len__(self) -> int:
         return sum(len(entries) for entries in self._by_kind.values())
@@ -81,21 +83,21 @@
 
     def of_kind(self, kind: resources.Kind) -> list[Entry]:
         """Returns all entries of a kind, sorted by name."""
-        held = self._by_kind[kind]
-        return [held[name] for name in sorted(held)]
+        entries_by_name = self._by_kind[kind]
+        return [entries_by_name[name] for name in sorted(entries_by_name)]
 
     def endpoints_of(self, service: str) -> tuple[resources.Endpoint, ...]:
         """Returns the endpoints of a service, sorted by name."""
-        endpoints = self._sorted.get(service)
+        endpoints = self._sorted_endpoints.get(service)
         if endpoints is None:
-            held = self._by_service.get(service, {})
+            entries_by_name = self._by_service.get(service, {})
             endpoints = tuple(
                 entry.resource
-                for _, entry in sorted(held.items())
+                for _, entry in sorted(entries_by_name.items())
                 if isinstance(entry.resource, resources.Endpoint)
             )
-            if held:
-                self._sorted[service] = endpoints
+            if entries_by_name:
+                self._sorted_endpoints[service] = endpoints
         return endpoints
 
     def name_of_token(
@@ -107,14 +109,14 @@
     def put(self, key: Key, entry: Entry) -> None:
         """Adds or replaces an entry."""
         self.remove(key)
-        self._share_strings(entry.resource)
+        self._deduplicate_values(entry.resource)
         kind = key[0]
         name = entry.resource.name
         self._by_kind[kind][name] = entry
         match entry.resource:
             case resources.Endpoint(service=service):
                 self._by_service.setdefault(service, {})[name] = entry
-                self._sorted.pop(service, None)
+                self._sorted_endpoints.pop(service, None)
             case resources.Account(token_sha256=token):
                 self._by_token[kind, token] = name
             case resources.Operator(token_sha256=token):
@@ -135,21 +137,21 @@
                 self._by_token.pop((kind, token), None)
 
     def _remove_from_service(self, service: str, name: str) -> None:
-        held = self._by_service[service]
-        del held[name]
-        if not held:
+        entries_by_name = self._by_service[service]
+        del entries_by_name[name]
+        if not entries_by_name:
             del self._by_service[service]
-        self._sorted.pop(service, None)
+        self._sorted_endpoints.pop(service, None)
 
-    def _share_strings(self, resource: resources.Resource) -> None:
+    def _deduplicate_values(self, resource: resources.Resource) -> None:
         # Endpoints share few distinct services, domains and models; keeping
         # one copy of each saves memory.
         if not isinstance(resource, resources.Endpoint):
             return
         for field in _INTERNED_FIELDS:
-            shared = sys.intern(getattr(resource, field))
-            object.__setattr__(resource, field, shared)
-        capabilities = self._shared.setdefault(
+            interned = sys.intern(getattr(resource, field))
+            object.__setattr__(resource, field, interned)
+        capabilities = self._shared_capabilities.setdefault(
             resource.capabilities, resource.capabilities
         )
         object.__setattr__(resource, "capabilities", capabilities)
--- a/src/jujubewharf/configuration/follower.py
+++ b/src/jujubewharf/configuration/follower.py
@@ -27,11 +27,11 @@
 
 DEFAULT_RETENTION_MS = 86_400_000.0
 
-_RETRY_MS = 1_000.0
+_RETRY_DELAY_MS = 1_000.0
 _SILENCE_GRACE_MS = 500.0
-_SPREAD_MS = 1_000.0
-_COMPARE_MS = 30_000.0
-_FIRST_COMPARE_MS = 2_000.0
+_PEER_INTERVAL_MS = 1_000.0
+_COMPARE_INTERVAL_MS = 30_000.0
+_FIRST_COMPARE_DELAY_MS = 2_000.0
 
 _meter = metrics.get_meter("jujubewharf")
 _lag = _meter.create_gauge(
@@ -79,8 +79,8 @@
         self._log = platform_log
         self._clock = clock
         self._wait_ms = wait_ms
-        self._heard_ms: float | None = None
-        self._is_reached = True
+        self._last_reply_ms: float | None = None
+        self._is_log_available = True
         self._is_log_behind = False
         self._logger = structlog.get_logger()
         self._holding = holdings.Holding(state)
@@ -130,9 +130,9 @@
     @property
     def log_silence_ms(self) -> float | None:
         """Milliseconds since the log last answered; ``None`` if never."""
-        if self._heard_ms is None:
+        if self._last_reply_ms is None:
             return None
-        return self._clock.now_ms() - self._heard_ms
+        return self._clock.now_ms() - self._last_reply_ms
 
     def listen(self, listener: Listener) -> None:
         """Adds a callback for each applied batch and each adopted state."""
@@ -161,41 +161,43 @@
                 await self._recover(error.first_offset)
             except (log.LogUnavailableError, log.AppendUnknownError) as error:
                 _reads.add(1, {"outcome": "unavailable"})
-                self._note_reached(False, str(error))
-                await self._clock.sleep_ms(_RETRY_MS)
+                self._update_availability(False, str(error))
+                await self._clock.sleep_ms(_RETRY_DELAY_MS)
 
     async def _read_once(self) -> None:
-        asked_for = self._holding.next_offset
+        requested_offset = self._holding.next_offset
         page = await self._log.read(
-            records.STREAM, asked_for, wait_ms=self._wait_ms
+            records.STREAM, requested_offset, wait_ms=self._wait_ms
         )
         _reads.add(1, {"outcome": "read"})
-        self._note_reached(True)
+        self._update_availability(True)
         self._recovery.is_loss_accepted = False
         self._holding.fold(page.records)
         self._checkpointer.log_first_offset = page.first_offset
-        self._note_log_end(page.next_offset, asked_for)
+        self._update_log_end(page.next_offset, requested_offset)
         if self._holding.is_frozen:
-            await self._clock.sleep_ms(_RETRY_MS)
+            await self._clock.sleep_ms(_RETRY_DELAY_MS)
 
-    def _note_reached(self, is_reached: bool, detail: str = "") -> None:
+    def _update_availability(
+        self, is_available: bool, detail: str = ""
+    ) -> None:
         """Records whether the log answered, and logs changes of this."""
-        if is_reached:
-            self._heard_ms = self._clock.now_ms()
-        if is_reached == self._is_reached:
+        if is_available:
+            self._last_reply_ms = self._clock.now_ms()
+        if is_available == self._is_log_available:
             return
-        self._is_reached = is_reached
-        if is_reached:
+        self._is_log_available = is_available
+        if is_available:
             self._logger.info("log_reached")
         else:
             self._logger.warning("log_unavailable", detail=detail)
 
-    def _note_log_end(self, log_end: int, asked_for: int) -> None:
+    def _update_log_end(self, log_end: int, requested_offset: int) -> None:
         _lag.set(max(0, log_end - self._holding.next_offset))
-        is_behind = log_end < asked_for
+        is_behind = log_end < requested_offset
         if is_behind and not self._is_log_behind:
             self._logger.error(
-                "log_behind", log_end=log_end, in_force=asked_for
+                "log_behind", log_end=log_end, in_force=requested_offset
             )
         self._is_log_behind = is_behind
         if not is_behind and self._holding.next_offset >= log_end:
@@ -209,10 +211,10 @@
             self._logger.warning("log_unavailable", detail=str(error))
             is_recovered = False
         if not is_recovered:
-            await self._clock.sleep_ms(_RETRY_MS)
+            await self._clock.sleep_ms(_RETRY_DELAY_MS)
 
     @mode.Service.task
-    async def _ask_peers(self) -> None:
+    async def _sync_with_peers(self) -> None:
         """Requests records from peers, more often while the log is silent.
 
         A log that answers may have been recreated and lack records. A new
@@ -221,14 +223,20 @@
         if self._spread is None:
             return
         started_ms = self._clock.now_ms()
-        next_compare_ms = started_ms + _FIRST_COMPARE_MS
+        next_compare_ms = started_ms + _FIRST_COMPARE_DELAY_MS
         while not self.should_stop:
-            await self._clock.sleep_ms(_SPREAD_MS)
+            await self._clock.sleep_ms(_PEER_INTERVAL_MS)
             now_ms = self._clock.now_ms()
-            heard_ms = started_ms if self._heard_ms is None else self._heard_ms
-            is_silent = now_ms - heard_ms > self._wait_ms + _SILENCE_GRACE_MS
+            last_reply_ms = (
+                started_ms
+                if self._last_reply_ms is None
+                else self._last_reply_ms
+            )
+            is_silent = (
+                now_ms - last_reply_ms > self._wait_ms + _SILENCE_GRACE_MS
+            )
             if is_silent:
                 await self._spread.catch_up()
             elif now_ms >= next_compare_ms:
-                next_compare_ms = now_ms + _COMPARE_MS
+                next_compare_ms = now_ms + _COMPARE_INTERVAL_MS
                 await self._spread.catch_up(peer_count=1)
--- a/src/jujubewharf/configuration/history.py
+++ b/src/jujubewharf/configuration/history.py
@@ -59,15 +59,15 @@
     @property
     def before(self) -> dict[str, Any] | None:
         """Body before the change."""
-        return _unpacked(self.before_packed)
+        return _unpack(self.before_packed)
 
     @property
     def after(self) -> dict[str, Any] | None:
         """Body after the change."""
-        return _unpacked(self.after_packed)
+        return _unpack(self.after_packed)
 
 
-def _unpacked(packed: bytes) -> dict[str, Any] | None:
+def _unpack(packed: bytes) -> dict[str, Any] | None:
     return msgpack.unpackb(packed) if packed else None
 
 
--- a/src/jujubewharf/configuration/holding.py
+++ b/src/jujubewharf/configuration/holding.py
@@ -18,7 +18,7 @@
 RECENT_RECORDS = 512
 
 _meter = metrics.get_meter("jujubewharf")
-_folded = _meter.create_counter(
+_applied = _meter.create_counter(
     "configuration.folded",
     description="Records folded here, by the fold's verdict",
 )
@@ -54,8 +54,8 @@
         self.current = state or states.State()
         self.caught_up = asyncio.Event()
         self.is_frozen = False
-        self._recent: collections.deque[log.LogRecord] = collections.deque(
-            maxlen=RECENT_RECORDS
+        self._recent_records: collections.deque[log.LogRecord] = (
+            collections.deque(maxlen=RECENT_RECORDS)
         )
         self._listeners: list[Listener] = []
         self._logger = structlog.get_logger()
@@ -75,9 +75,9 @@
         Returns:
             Number of applied records.
         """
-        count = sum(1 for record in found if self._fold_one(record))
+        count = sum(1 for record in found if self._apply_one(record))
         if count:
-            self._tell()
+            self._notify_listeners()
         return count
 
     def adopt(self, state: states.State, *, source: str) -> bool:
@@ -95,9 +95,9 @@
             to_offset=state.next_offset,
         )
         self.current.take_over(state)
-        self._recent.clear()
+        self._recent_records.clear()
         _adopted.add(1, {"source": source})
-        self._tell()
+        self._notify_listeners()
         return True
 
     def recent(self, from_offset: int, limit: int) -> list[log.LogRecord]:
@@ -107,12 +107,17 @@
             At most ``limit`` records; none if the record at ``from_offset``
             has already been evicted.
         """
-        if not self._recent or from_offset < self._recent[0].offset:
+        if (
+            not self._recent_records
+            or from_offset < self._recent_records[0].offset
+        ):
             return []
-        found = [one for one in self._recent if one.offset >= from_offset]
+        found = [
+            one for one in self._recent_records if one.offset >= from_offset
+        ]
         return found[:limit]
 
-    def _fold_one(self, record: log.LogRecord) -> bool:
+    def _apply_one(self, record: log.LogRecord) -> bool:
         if record.offset != self.next_offset or self.is_frozen:
             return False
         try:
@@ -123,11 +128,11 @@
             self.is_frozen = True
             self._logger.error("configuration_frozen", detail=str(error))
             return False
-        self._recent.append(record)
-        _folded.add(1, {"outcome": verdict.outcome.value})
+        self._recent_records.append(record)
+        _applied.add(1, {"outcome": verdict.outcome.value})
         return True
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             try:
                 listener(self.current)
--- a/src/jujubewharf/configuration/records.py
+++ b/src/jujubewharf/configuration/records.py
@@ -69,15 +69,15 @@
 
     def digest(self) -> str:
         """Returns a digest of the change without its actor and time."""
-        asked = [
+        content = [
             self.verb.value,
             self.kind,
             self.name,
             self.expected_generation,
-            _sorted(self.body),
+            _sort_keys(self.body),
             self.force,
         ]
-        return hashing.digest(msgpack.packb(asked))
+        return hashing.digest(msgpack.packb(content))
 
 
 class UnknownRecordError(Exception):
@@ -111,7 +111,7 @@
         UnknownRecordError: The record requires newer rules.
         MalformedRecordError: The record is invalid in all versions.
     """
-    data = _map(payload)
+    data = _unpack_map(payload)
     version = data.get("schema_version")
     if not isinstance(version, int):
         raise MalformedRecordError("no schema version")
@@ -138,10 +138,10 @@
 
 def pack_body(body: dict[str, Any]) -> bytes:
     """Encodes a body canonically: equal bodies have equal bytes."""
-    return msgpack.packb(_sorted(body))
+    return msgpack.packb(_sort_keys(body))
 
 
-def _map(payload: bytes) -> dict[str, Any]:
+def _unpack_map(payload: bytes) -> dict[str, Any]:
     try:
         data = msgpack.unpackb(payload)
     except Exception as error:
@@ -167,11 +167,13 @@
         raise MalformedRecordError("the generation is not a number")
 
 
-def _sorted(value: Any) -> Any:
+def _sort_keys(value: Any) -> Any:
     match value:
         case dict():
-            return {key: _sorted(value[key]) for key in sorted(value, key=str)}
+            return {
+                key: _sort_keys(value[key]) for key in sorted(value, key=str)
+            }
         case list() | tuple():
-            return [_sorted(item) for item in value]
+            return [_sort_keys(item) for item in value]
         case _:
             return value
--- a/src/jujubewharf/configuration/recovery.py
+++ b/src/jujubewharf/configuration/recovery.py
@@ -45,7 +45,7 @@
         self._spread = spread
         self._instance = instance
         self.is_loss_accepted = False
-        self._rounds = 0
+        self._gap_rounds = 0
         self._logger = structlog.get_logger()
 
     async def recover(self, first_offset: int) -> bool:
@@ -66,7 +66,7 @@
         """
         if self._spread is not None:
             await self._spread.adopt_any()
-        if self._is_led_on(first_offset):
+        if self._can_continue(first_offset):
             return True
         await self._store.refresh()
         for manifest in self._store.usable(
@@ -77,10 +77,10 @@
         await self._close_gap(first_offset)
         return False
 
-    def _is_led_on(self, first_offset: int) -> bool:
+    def _can_continue(self, first_offset: int) -> bool:
         if self._holding.next_offset < first_offset:
             return False
-        self._rounds = 0
+        self._gap_rounds = 0
         return True
 
     async def _load(self, manifest: checkpoints.Manifest) -> bool:
@@ -94,7 +94,7 @@
                 detail=str(error),
             )
             return False
-        self._rounds = 0
+        self._gap_rounds = 0
         return self._holding.adopt(state, source="checkpoint")
 
     async def _close_gap(self, first_offset: int) -> None:
@@ -108,10 +108,10 @@
         silent one may have applied and acknowledged the missing records.
         """
         if not await self._may_close_gap():
-            self._rounds = 0
+            self._gap_rounds = 0
             return
-        self._rounds += 1
-        if self._rounds < _ROUNDS_TO_CLOSE_GAP:
+        self._gap_rounds += 1
+        if self._gap_rounds < _ROUNDS_TO_CLOSE_GAP:
             return
         self._logger.error(
             "records_lost",
@@ -123,20 +123,24 @@
         )
 
     async def _may_close_gap(self) -> bool:
-        held = self._holding.next_offset
+        own_offset = self._holding.next_offset
         offsets = await self._spread.offsets() if self._spread else {}
-        heard = {
+        known_offsets = {
             name: offset
             for name, offset in offsets.items()
             if offset is not None
         }
-        if any(offset > held for offset in heard.values()):
+        if any(offset > own_offset for offset in known_offsets.values()):
             return False
         if self.is_loss_accepted:
             return True
-        if not held or len(heard) < len(offsets):
+        if not own_offset or len(known_offsets) < len(offsets):
             # An empty state would delete the whole configuration; it is only
             # used if an operator accepts the loss.
             return False
-        equals = [name for name, offset in heard.items() if offset == held]
-        return self._instance <= min(equals, default=self._instance)
+        equal_members = [
+            name
+            for name, offset in known_offsets.items()
+            if offset == own_offset
+        ]
+        return self._instance <= min(equal_members, default=self._instance)
--- a/src/jujubewharf/configuration/rules.py
+++ b/src/jujubewharf/configuration/rules.py
@@ -47,53 +47,53 @@
         The decoded body to store, ``None`` for a delete, or the reason why
         the change is rejected.
     """
-    held = entries.get((kind, change.name))
-    generation = held.generation if held else 0
+    current = entries.get((kind, change.name))
+    generation = current.generation if current else 0
     expected = change.expected_generation
     if expected is not None and expected != generation:
         detail = f"generation is {generation}, not {expected}"
-        return _refused(verdicts.Outcome.CONFLICT, detail)
+        return _reject(verdicts.Outcome.CONFLICT, detail)
     if change.verb is records.Verb.DELETE:
-        return _judge_delete(entries, kind, change)
-    return _judge_put(entries, kind, change)
+        return _evaluate_delete(entries, kind, change)
+    return _evaluate_put(entries, kind, change)
 
 
-def _judge_delete(
+def _evaluate_delete(
     entries: entries_lib.Entries, kind: resources.Kind, change: records.Change
 ) -> Judgement:
-    held = entries.get((kind, change.name))
-    if held is None or change.force:
+    current = entries.get((kind, change.name))
+    if current is None or change.force:
         return result.Ok(None)
-    reason = _unsafe(entries, held.resource, None)
+    reason = _unsafe_reason(entries, current.resource, None)
     if reason:
-        return _refused(verdicts.Outcome.UNSAFE, reason)
+        return _reject(verdicts.Outcome.UNSAFE, reason)
     return result.Ok(None)
 
 
-def _judge_put(
+def _evaluate_put(
     entries: entries_lib.Entries, kind: resources.Kind, change: records.Change
 ) -> Judgement:
-    read = border.read(kind, change.body)
-    if isinstance(read, result.Err):
-        detail = "; ".join(read.err_value)
-        return _refused(verdicts.Outcome.INVALID, detail)
-    reading = read.ok_value
-    invalid = _invalid(entries, kind, change.name, reading.resource)
+    decoded = border.read(kind, change.body)
+    if isinstance(decoded, result.Err):
+        detail = "; ".join(decoded.err_value)
+        return _reject(verdicts.Outcome.INVALID, detail)
+    reading = decoded.ok_value
+    invalid = _invalid_reason(entries, kind, change.name, reading.resource)
     if invalid:
-        return _refused(verdicts.Outcome.INVALID, invalid)
-    held = entries.get((kind, change.name))
-    if held is not None and not change.force:
-        reason = _unsafe(entries, held.resource, reading.resource)
+        return _reject(verdicts.Outcome.INVALID, invalid)
+    current = entries.get((kind, change.name))
+    if current is not None and not change.force:
+        reason = _unsafe_reason(entries, current.resource, reading.resource)
         if reason:
-            return _refused(verdicts.Outcome.UNSAFE, reason)
+            return _reject(verdicts.Outcome.UNSAFE, reason)
     return result.Ok(reading)
 
 
-def _refused(outcome: verdicts.Outcome, detail: str) -> result.Err[Refusal]:
+def _reject(outcome: verdicts.Outcome, detail: str) -> result.Err[Refusal]:
     return result.Err(Refusal(outcome, detail))
 
 
-def _invalid(
+def _invalid_reason(
     entries: entries_lib.Entries,
     kind: resources.Kind,
     name: str,
@@ -108,7 +108,7 @@
     return ""
 
 
-def _unsafe(
+def _unsafe_reason(
     entries: entries_lib.Entries,
     before: resources.Resource,
     after: resources.Resource | None,
@@ -122,41 +122,47 @@
     match before:
         case resources.Endpoint():
             assert after is None or isinstance(after, resources.Endpoint)
-            return _empties_pool(entries, before, after)
+            return _unsafe_endpoint_reason(entries, before, after)
         case resources.Service():
             assert after is None or isinstance(after, resources.Service)
-            return _unsafe_service(entries, before, after)
+            return _unsafe_service_reason(entries, before, after)
         case resources.Model():
-            return _unsafe_model(entries, before) if after is None else ""
+            return (
+                _unsafe_model_reason(entries, before) if after is None else ""
+            )
         case resources.Operator():
             assert after is None or isinstance(after, resources.Operator)
-            return _locks_out(entries, before, after)
+            return _unsafe_operator_reason(entries, before, after)
         case _:
             return ""
 
 
-def _empties_pool(
+def _unsafe_endpoint_reason(
     entries: entries_lib.Entries,
     before: resources.Endpoint,
     after: resources.Endpoint | None,
 ) -> str:
-    held = entries.get((resources.Kind.SERVICE, before.service))
-    if held is None or not isinstance(held.resource, resources.Service):
+    current = entries.get((resources.Kind.SERVICE, before.service))
+    if current is None or not isinstance(current.resource, resources.Service):
         return ""
-    service = held.resource
-    stays = after is not None and after.service == service.name
-    kept = _jobs(service, [after]) if stays and after is not None else set()
-    at_risk = _jobs(service, [before]) - kept
+    service = current.resource
+    is_kept = after is not None and after.service == service.name
+    kept_jobs = (
+        _covered_jobs(service, [after])
+        if is_kept and after is not None
+        else set()
+    )
+    lost_jobs = _covered_jobs(service, [before]) - kept_jobs
     # Most changes remove no job, and need no scan of the other endpoints.
-    for endpoint in entries.endpoints_of(service.name) if at_risk else ():
+    for endpoint in entries.endpoints_of(service.name) if lost_jobs else ():
         if endpoint.name != before.name:
-            at_risk -= _jobs(service, [endpoint])
-        if not at_risk:
+            lost_jobs -= _covered_jobs(service, [endpoint])
+        if not lost_jobs:
             break
-    return _lost(service.name, at_risk)
+    return _lost_jobs_reason(service.name, lost_jobs)
 
 
-def _unsafe_service(
+def _unsafe_service_reason(
     entries: entries_lib.Entries,
     before: resources.Service,
     after: resources.Service | None,
@@ -166,8 +172,10 @@
         users = [f"endpoint {endpoint.name}" for endpoint in endpoints[:1]]
         users += _users_of_service(entries, before.name)
         return f"service {before.name} is used by {users[0]}" if users else ""
-    lost = _jobs(before, endpoints) - _jobs(after, endpoints)
-    return _lost(before.name, lost)
+    lost_jobs = _covered_jobs(before, endpoints) - _covered_jobs(
+        after, endpoints
+    )
+    return _lost_jobs_reason(before.name, lost_jobs)
 
 
 def _users_of_service(entries: entries_lib.Entries, name: str) -> list[str]:
@@ -183,7 +191,9 @@
     return users
 
 
-def _unsafe_model(entries: entries_lib.Entries, before: resources.Model) -> str:
+def _unsafe_model_reason(
+    entries: entries_lib.Entries, before: resources.Model
+) -> str:
     for kind in (resources.Kind.SERVICE, resources.Kind.ENDPOINT):
         for entry in entries.of_kind(kind):
             match entry.resource:
@@ -196,7 +206,7 @@
     return ""
 
 
-def _locks_out(
+def _unsafe_operator_reason(
     entries: entries_lib.Entries,
     before: resources.Operator,
     after: resources.Operator | None,
@@ -212,13 +222,13 @@
     return f"operator {before.name} is the last admin"
 
 
-def _jobs(
+def _covered_jobs(
     service: resources.Service, endpoints: Iterable[resources.Endpoint]
 ) -> set[str]:
     """Returns the jobs for which a service has a suitable endpoint."""
     jobs: set[str] = set()
     for endpoint in endpoints:
-        if endpoint.drained or not _fits(service, endpoint):
+        if endpoint.drained or not _is_suitable(service, endpoint):
             continue
         if service.kind is resources.ServiceKind.PLAIN:
             jobs.add("plain")
@@ -230,15 +240,17 @@
     return jobs
 
 
-def _fits(service: resources.Service, endpoint: resources.Endpoint) -> bool:
+def _is_suitable(
+    service: resources.Service, endpoint: resources.Endpoint
+) -> bool:
     is_plain = service.kind is resources.ServiceKind.PLAIN
     if is_plain != (endpoint.role is resources.Role.PLAIN):
         return False
     return endpoint.model in ("", service.model) or not service.model
 
 
-def _lost(service: str, jobs: set[str]) -> str:
+def _lost_jobs_reason(service: str, jobs: set[str]) -> str:
     if not jobs:
         return ""
-    named = " and ".join(sorted(jobs))
-    return f"service {service} would have no endpoint left for {named}"
+    job_names = " and ".join(sorted(jobs))
+    return f"service {service} would have no endpoint left for {job_names}"
--- a/src/jujubewharf/configuration/snapshot.py
+++ b/src/jujubewharf/configuration/snapshot.py
@@ -90,15 +90,15 @@
 
     def raw_chunks(self) -> Iterator[bytes]:
         """Yields the uncompressed chunks."""
-        gathered = bytearray()
+        buffer = bytearray()
         for item in self._items():
-            gathered += msgpack.packb(item)
-            if len(gathered) >= CHUNK_BYTES:
-                self._hash.update(gathered)
-                yield bytes(gathered)
-                gathered.clear()
-        self._hash.update(gathered)
-        yield bytes(gathered)
+            buffer += msgpack.packb(item)
+            if len(buffer) >= CHUNK_BYTES:
+                self._hash.update(buffer)
+                yield bytes(buffer)
+                buffer.clear()
+        self._hash.update(buffer)
+        yield bytes(buffer)
 
     def chunks(self) -> Iterator[bytes]:
         """Yields the compressed chunks."""
@@ -113,7 +113,7 @@
         for record in self._unknown:
             yield [_UNKNOWN, record.offset, record.payload]
         for item in self._history:
-            yield _history_item(item)
+            yield _encode_history_item(item)
 
 
 def digest(state: states.State) -> str:
@@ -155,7 +155,7 @@
         unpacker.feed(raw)
         try:
             for item in unpacker:
-                self._take_in(item)
+                self._decode_item(item)
         except (ValueError, TypeError, KeyError, IndexError) as error:
             raise BrokenSnapshotError(str(error)) from error
 
@@ -171,23 +171,23 @@
             )
         return self._state
 
-    def _take_in(self, item: list[Any]) -> None:
+    def _decode_item(self, item: list[Any]) -> None:
         if item[0] == _HEADER:
-            self._state = self._begin(item)
+            self._state = self._decode_header(item)
             return
         if self._state is None:
             raise BrokenSnapshotError("snapshot header is missing")
         match item:
             case [_, kind, name, generation, body] if item[0] == _ENTRY:
-                _put(self._state, kind, name, generation, body)
+                _put_entry(self._state, kind, name, generation, body)
             case [_, offset, payload] if item[0] == _UNKNOWN:
                 self._state.unknown.append(log.LogRecord(offset, payload))
             case [_, *fields] if item[0] == _HISTORY:
-                self._state.history.add(_to_history(fields))
+                self._state.history.add(_decode_history_item(fields))
             case _:
                 raise BrokenSnapshotError(f"unknown snapshot item {item[0]}")
 
-    def _begin(self, item: list[Any]) -> states.State:
+    def _decode_header(self, item: list[Any]) -> states.State:
         _, version, next_offset, rules_version = item
         if version != FORMAT:
             raise BrokenSnapshotError(f"unknown snapshot format {version}")
@@ -214,28 +214,28 @@
 
 
 def _decompress(chunk: bytes) -> bytes:
-    inflater = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        raw = inflater.decompress(chunk, _MAX_CHUNK_BYTES)
+        raw = decompressor.decompress(chunk, _MAX_CHUNK_BYTES)
     except zlib.error as error:
         raise BrokenSnapshotError(str(error)) from error
-    if not inflater.eof:
+    if not decompressor.eof:
         raise BrokenSnapshotError("snapshot chunk is truncated or too large")
     return raw
 
 
-def _put(
+def _put_entry(
     state: states.State, kind: str, name: str, generation: int, body: bytes
 ) -> None:
-    known = resources.Kind(kind)
-    reading = border.read(known, msgpack.unpackb(body)).unwrap_or_raise(
+    resource_kind = resources.Kind(kind)
+    reading = border.read(resource_kind, msgpack.unpackb(body)).unwrap_or_raise(
         BrokenSnapshotError
     )
     entry = entries_lib.Entry.from_reading(generation, reading)
-    state.entries.put((known, name), entry)
+    state.entries.put((resource_kind, name), entry)
 
 
-def _history_item(item: histories.HistoryItem) -> list[Any]:
+def _encode_history_item(item: histories.HistoryItem) -> list[Any]:
     verdict = item.verdict
     return [
         _HISTORY,
@@ -255,7 +255,7 @@
     ]
 
 
-def _to_history(fields: list[Any]) -> histories.HistoryItem:
+def _decode_history_item(fields: list[Any]) -> histories.HistoryItem:
     operation_id, offset, outcome, detail, actor, wall_ms, verb, *rest = fields
     verdict = verdicts.Verdict(
         operation_id, offset, verdicts.Outcome(outcome), detail
--- a/src/jujubewharf/configuration/spread.py
+++ b/src/jujubewharf/configuration/spread.py
@@ -30,19 +30,19 @@
 
 PEERS_A_ROUND = 2
 
-_ASK_TIMEOUT_MS = 2_000.0
-_PAGE_RECORDS = 200
-_PAGE_BYTES = 256_000
-_SNAPSHOT_KEPT_MS = 30_000.0
-_SNAPSHOT_REUSED_MS = 5_000.0
+_REQUEST_TIMEOUT_MS = 2_000.0
+_MAX_PAGE_RECORDS = 200
+_MAX_PAGE_BYTES = 256_000
+_SNAPSHOT_RETENTION_MS = 30_000.0
+_SNAPSHOT_REUSE_MS = 5_000.0
 
 
-class _Kept:
+class _CachedSnapshot:
     """A cached snapshot and the time at which it was encoded."""
 
-    def __init__(self, snapshot: snapshots.Snapshot, made_ms: float) -> None:
+    def __init__(self, snapshot: snapshots.Snapshot, created_ms: float) -> None:
         self.snapshot = snapshot
-        self.made_ms = made_ms
+        self.created_ms = created_ms
 
 
 class PeerSpread(mode.Service):
@@ -68,8 +68,8 @@
         self._membership = membership
         self._clock = clock
         self._rounds = itertools.count()
-        self._kept: _Kept | None = None
-        self._making = asyncio.Lock()
+        self._cached: _CachedSnapshot | None = None
+        self._encode_lock = asyncio.Lock()
         self._logger = structlog.get_logger()
         network.handle(configuration_messages.RecordsRequest, self._on_records)
         network.handle(
@@ -84,20 +84,20 @@
             peer_count: Maximum number of peers to ask; the first one that is
                 ahead of this instance is the last one asked.
         """
-        for peer in itertools.islice(self._peers(), peer_count):
-            given = await self._ask_records(peer)
-            if given is None or given.next_offset <= self._holding.next_offset:
+        for peer in itertools.islice(self._ranked_peers(), peer_count):
+            reply = await self._request_records(peer)
+            if reply is None or reply.next_offset <= self._holding.next_offset:
                 continue
             self._holding.fold(
-                log.LogRecord(one.offset, one.payload) for one in given.records
+                log.LogRecord(one.offset, one.payload) for one in reply.records
             )
-            if not given.records:
+            if not reply.records:
                 await self.adopt_from(peer)
-            elif given.is_caught_up:
-                self._note_caught_up(given.next_offset)
+            elif reply.is_caught_up:
+                self._update_caught_up(reply.next_offset)
             return
 
-    def _note_caught_up(self, end_offset: int) -> None:
+    def _update_caught_up(self, end_offset: int) -> None:
         """Marks the state as caught up once it reached a caught-up peer's.
 
         Otherwise requests could be served with a partial configuration, such
@@ -112,7 +112,7 @@
         Returns:
             Whether a state was adopted.
         """
-        for peer in itertools.islice(self._peers(), PEERS_A_ROUND):
+        for peer in itertools.islice(self._ranked_peers(), PEERS_A_ROUND):
             if await self.adopt_from(peer):
                 return True
         return False
@@ -138,11 +138,11 @@
         ]
         found: dict[str, int | None] = {}
         for name in names:
-            given = await self._ask_records(name)
-            found[name] = None if given is None else given.next_offset
+            reply = await self._request_records(name)
+            found[name] = None if reply is None else reply.next_offset
         return found
 
-    def _peers(self) -> Iterator[str]:
+    def _ranked_peers(self) -> Iterator[str]:
         """Yields the peers, in a different order on each call."""
         key = f"{self._network.instance}/{next(self._rounds)}"
         names = [
@@ -152,26 +152,26 @@
         ]
         yield from hashing.rank(key, names)
 
-    async def _ask(
+    async def _request(
         self, peer: str, message: messages.Message
     ) -> messages.Message:
         return await self._network.ask(
-            peer, message, timeout_ms=_ASK_TIMEOUT_MS
+            peer, message, timeout_ms=_REQUEST_TIMEOUT_MS
         )
 
-    async def _ask_records(
+    async def _request_records(
         self, peer: str
     ) -> configuration_messages.RecordsReply | None:
-        wanted = configuration_messages.RecordsRequest(
-            self._holding.next_offset, _PAGE_RECORDS
+        request = configuration_messages.RecordsRequest(
+            self._holding.next_offset, _MAX_PAGE_RECORDS
         )
         try:
-            given = await self._ask(peer, wanted)
+            reply = await self._request(peer, request)
         except networks.PeerError:
             return None
-        if not isinstance(given, configuration_messages.RecordsReply):
+        if not isinstance(reply, configuration_messages.RecordsReply):
             return None
-        return given
+        return reply
 
     async def _fetch(self, peer: str) -> states.State | None:
         """Fetches the state of a peer; ``None`` if it is not ahead.
@@ -181,76 +181,83 @@
             BrokenSnapshotError: The snapshot is incomplete or damaged.
         """
         current = self._holding.current
-        wanted = configuration_messages.SnapshotRequest(current.next_offset)
-        offered = await self._ask(peer, wanted)
-        if not isinstance(offered, configuration_messages.SnapshotOffer):
+        request = configuration_messages.SnapshotRequest(current.next_offset)
+        offer = await self._request(peer, request)
+        if not isinstance(offer, configuration_messages.SnapshotOffer):
             return None
-        if not offered.digest:
+        if not offer.digest:
             return None
         decoder = snapshots.Decoder(newest_rules=current.newest_rules)
-        for index in range(offered.chunk_count):
-            chunk = configuration_messages.ChunkRequest(offered.digest, index)
-            given = await self._ask(peer, chunk)
-            if not isinstance(given, configuration_messages.ChunkReply):
+        for index in range(offer.chunk_count):
+            chunk_request = configuration_messages.ChunkRequest(
+                offer.digest, index
+            )
+            reply = await self._request(peer, chunk_request)
+            if not isinstance(reply, configuration_messages.ChunkReply):
                 raise snapshots.BrokenSnapshotError(
                     "peer did not reply with a chunk"
                 )
-            decoder.feed(given.data)
-        return decoder.finish(offered.digest)
+            decoder.feed(reply.data)
+        return decoder.finish(offer.digest)
 
     async def _on_records(
-        self, _: str, wanted: configuration_messages.RecordsRequest
+        self, _: str, request: configuration_messages.RecordsRequest
     ) -> configuration_messages.RecordsReply:
-        limit = min(wanted.limit, _PAGE_RECORDS)
-        found = self._holding.recent(wanted.from_offset, limit)
+        limit = min(request.limit, _MAX_PAGE_RECORDS)
+        found = self._holding.recent(request.from_offset, limit)
         return configuration_messages.RecordsReply(
             self._holding.next_offset,
-            tuple(_within_page(found)),
+            tuple(_limit_page(found)),
             self._holding.caught_up.is_set(),
         )
 
     async def _on_snapshot(
-        self, _: str, wanted: configuration_messages.SnapshotRequest
+        self, _: str, request: configuration_messages.SnapshotRequest
     ) -> configuration_messages.SnapshotOffer:
-        is_whole = self._holding.caught_up.is_set()
-        if not is_whole or self._holding.next_offset <= wanted.above_offset:
+        is_caught_up = self._holding.caught_up.is_set()
+        if (
+            not is_caught_up
+            or self._holding.next_offset <= request.above_offset
+        ):
             return configuration_messages.SnapshotOffer(
                 self._holding.next_offset
             )
-        snapshot = await self._snapshot(wanted.above_offset)
+        snapshot = await self._get_snapshot(request.above_offset)
         return configuration_messages.SnapshotOffer(
             snapshot.next_offset, snapshot.digest, len(snapshot.chunks)
         )
 
     async def _on_chunk(
-        self, _: str, wanted: configuration_messages.ChunkRequest
+        self, _: str, request: configuration_messages.ChunkRequest
     ) -> configuration_messages.ChunkReply:
-        kept = self._kept
-        if kept is None or kept.snapshot.digest != wanted.digest:
+        cached = self._cached
+        if cached is None or cached.snapshot.digest != request.digest:
             return configuration_messages.ChunkReply()
-        if not 0 <= wanted.index < len(kept.snapshot.chunks):
+        if not 0 <= request.index < len(cached.snapshot.chunks):
             return configuration_messages.ChunkReply()
         return configuration_messages.ChunkReply(
-            kept.snapshot.chunks[wanted.index]
+            cached.snapshot.chunks[request.index]
         )
 
-    async def _snapshot(self, above_offset: int) -> snapshots.Snapshot:
+    async def _get_snapshot(self, above_offset: int) -> snapshots.Snapshot:
         """Returns a snapshot, shared by peers that ask at a similar time.
 
         After the restart of a rack many peers ask at once. A snapshot for each
         would be expensive, and would replace the one that another peer is
         still fetching.
         """
-        async with self._making:
-            kept = self._kept
+        async with self._encode_lock:
+            cached = self._cached
             now_ms = self._clock.now_ms()
-            is_young = kept and now_ms - kept.made_ms < _SNAPSHOT_REUSED_MS
-            if kept is None or not is_young:
-                kept = _Kept(await self._encode(), now_ms)
-            elif kept.snapshot.next_offset <= above_offset:
-                kept = _Kept(await self._encode(), now_ms)
-            self._kept = kept
-            return kept.snapshot
+            is_recent = (
+                cached and now_ms - cached.created_ms < _SNAPSHOT_REUSE_MS
+            )
+            if cached is None or not is_recent:
+                cached = _CachedSnapshot(await self._encode(), now_ms)
+            elif cached.snapshot.next_offset <= above_offset:
+                cached = _CachedSnapshot(await self._encode(), now_ms)
+            self._cached = cached
+            return cached.snapshot
 
     async def _encode(self) -> snapshots.Snapshot:
         encoder = snapshots.Encoder(self._holding.current)
@@ -263,23 +270,26 @@
         )
 
     @mode.Service.task
-    async def _forget(self) -> None:
+    async def _evict_snapshot(self) -> None:
         while not self.should_stop:
-            await self._clock.sleep_ms(_SNAPSHOT_KEPT_MS)
-            kept = self._kept
-            if kept is None:
+            await self._clock.sleep_ms(_SNAPSHOT_RETENTION_MS)
+            cached = self._cached
+            if cached is None:
                 continue
-            if self._clock.now_ms() - kept.made_ms >= _SNAPSHOT_KEPT_MS:
-                self._kept = None
+            if (
+                self._clock.now_ms() - cached.created_ms
+                >= _SNAPSHOT_RETENTION_MS
+            ):
+                self._cached = None
 
 
-def _within_page(
+def _limit_page(
     found: list[log.LogRecord],
 ) -> Iterator[configuration_messages.WireRecord]:
     """Yields as many records as fit into one message, at least one."""
     size_bytes = 0
     for record in found:
         size_bytes += len(record.payload)
-        if size_bytes > _PAGE_BYTES and size_bytes > len(record.payload):
+        if size_bytes > _MAX_PAGE_BYTES and size_bytes > len(record.payload):
             return
         yield configuration_messages.WireRecord(record.offset, record.payload)
--- a/src/jujubewharf/configuration/state.py
+++ b/src/jujubewharf/configuration/state.py
@@ -109,7 +109,7 @@
                 f"record has offset {record.offset},"
                 f" expected {self.next_offset}"
             )
-        verdict = self._judge(record)
+        verdict = self._apply_record(record)
         self.next_offset = record.offset + 1
         return verdict
 
@@ -132,78 +132,84 @@
         """Newest rules version that this program supports."""
         return self._newest_rules
 
-    def _judge(self, record: log.LogRecord) -> Verdict:
+    def _apply_record(self, record: log.LogRecord) -> Verdict:
         offset = record.offset
         try:
             change = records.decode(
                 record.payload, rules_version=self.rules_version
             )
         except records.UnknownRecordError as error:
-            return self._keep(record, str(error))
+            return self._keep_unknown(record, str(error))
         except records.MalformedRecordError as error:
             return Verdict("", offset, Outcome.MALFORMED, str(error))
         earlier = self.history.find(change.operation_id)
         if earlier is not None:
-            return _repeated(offset, change, earlier)
+            return _duplicate_verdict(offset, change, earlier)
         if change.verb is records.Verb.RULES:
-            return self._raise_rules(offset, change)
+            return self._change_rules(offset, change)
         if change.kind not in resources.Kind._value2member_map_:
-            return self._keep(record, f"kind {change.kind}")
+            return self._keep_unknown(record, f"kind {change.kind}")
         return self._apply_change(offset, resources.Kind(change.kind), change)
 
-    def _keep(self, record: log.LogRecord, detail: str) -> Verdict:
+    def _keep_unknown(self, record: log.LogRecord, detail: str) -> Verdict:
         self.unknown.append(record)
         return Verdict("", record.offset, Outcome.UNKNOWN_RECORD, detail)
 
-    def _raise_rules(self, offset: int, change: records.Change) -> Verdict:
+    def _change_rules(self, offset: int, change: records.Change) -> Verdict:
         wanted = change.body.get("version")
         if not isinstance(wanted, int) or wanted <= self.rules_version:
             detail = f"rules {self.rules_version} are in force"
-            return self._note(
-                _item(offset, change, Outcome.CONFLICT, detail=detail)
+            return self._add_to_history(
+                _history_item(offset, change, Outcome.CONFLICT, detail=detail)
             )
         if wanted > self._newest_rules:
             raise RulesTooNewError(
                 f"rules version {wanted} required by record at offset {offset}"
             )
         self.rules_version = wanted
-        verdict = self._note(_item(offset, change, Outcome.ACCEPTED))
-        self._fold_kept()
+        verdict = self._add_to_history(
+            _history_item(offset, change, Outcome.ACCEPTED)
+        )
+        self._apply_kept()
         return verdict
 
-    def _fold_kept(self) -> None:
+    def _apply_kept(self) -> None:
         kept, self.unknown = self.unknown, []
         for record in kept:
-            self._judge(record)
+            self._apply_record(record)
 
     def _apply_change(
         self, offset: int, kind: resources.Kind, change: records.Change
     ) -> Verdict:
-        judgement = rules.judge(self._entries, kind, change)
-        if judgement.is_err():
-            refusal = judgement.unwrap_err()
-            return self._note(
-                _item(offset, change, refusal.outcome, detail=refusal.detail)
+        evaluation = rules.judge(self._entries, kind, change)
+        if evaluation.is_err():
+            rejection = evaluation.unwrap_err()
+            return self._add_to_history(
+                _history_item(
+                    offset, change, rejection.outcome, detail=rejection.detail
+                )
             )
         key = (kind, change.name)
-        held = self._entries.get(key)
-        reading = judgement.unwrap()
+        before = self._entries.get(key)
+        reading = evaluation.unwrap()
         after: Entry | None = None
         if reading is None:
             self._entries.remove(key)
         else:
             after = Entry.from_reading(offset + 1, reading)
             self._entries.put(key, after)
-        return self._note(
-            _item(offset, change, Outcome.ACCEPTED, held=held, after=after)
+        return self._add_to_history(
+            _history_item(
+                offset, change, Outcome.ACCEPTED, before=before, after=after
+            )
         )
 
-    def _note(self, item: histories.HistoryItem) -> Verdict:
+    def _add_to_history(self, item: histories.HistoryItem) -> Verdict:
         self.history.add(item)
         return item.verdict
 
 
-def _repeated(
+def _duplicate_verdict(
     offset: int, change: records.Change, earlier: histories.HistoryItem
 ) -> Verdict:
     # A client that got no reply may submit the operation again. The duplicate
@@ -214,19 +220,19 @@
     return Verdict(change.operation_id, offset, Outcome.CONFLICT, detail)
 
 
-def _item(
+def _history_item(
     offset: int,
     change: records.Change,
     outcome: Outcome,
     *,
     detail: str = "",
-    held: Entry | None = None,
+    before: Entry | None = None,
     after: Entry | None = None,
 ) -> histories.HistoryItem:
     fields: dict[str, Any] = {}
-    if held is not None:
-        fields["generation_before"] = held.generation
-        fields["before_packed"] = held.packed_body()
+    if before is not None:
+        fields["generation_before"] = before.generation
+        fields["before_packed"] = before.packed_body()
     if after is not None:
         fields["after_packed"] = after.packed_body()
     return histories.HistoryItem(
--- a/src/jujubewharf/configuration/validation.py
+++ b/src/jujubewharf/configuration/validation.py
@@ -15,9 +15,11 @@
 from jujubewharf.configuration import state as states
 
 MAX_CHANGES = 500
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
-_ADDRESS = re.compile(r"(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}")
-_TOKEN = re.compile(r"[0-9a-f]{64}")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
+_ADDRESS_PATTERN = re.compile(
+    r"(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}"
+)
+_TOKEN_PATTERN = re.compile(r"[0-9a-f]{64}")
 
 
 def check(state: states.State, changes: Sequence[records.Change]) -> list[str]:
@@ -48,7 +50,7 @@
 
     def __init__(self, state: states.State) -> None:
         self._state = state
-        self._added: set[states.Key] = set()
+        self._added_keys: set[states.Key] = set()
         self._operation_ids: set[str] = set()
 
     def check(self, changes: Sequence[records.Change]) -> Iterator[list[str]]:
@@ -70,8 +72,8 @@
         if change.kind not in resources.Kind._value2member_map_:
             yield f"kind: {change.kind!r} is unknown"
             return
-        if not _NAME.fullmatch(change.name):
-            yield f"name: {change.name!r} is no name ({_NAME.pattern})"
+        if not _NAME_PATTERN.fullmatch(change.name):
+            yield f"name: {change.name!r} is no name ({_NAME_PATTERN.pattern})"
         if change.verb is records.Verb.PUT:
             kind = resources.Kind(change.kind)
             yield from self._check_body(kind, change)
@@ -79,7 +81,7 @@
     def _check_body(
         self, kind: resources.Kind, change: records.Change
     ) -> Iterator[str]:
-        parsed = border.parse(kind, self._without_held(kind, change))
+        parsed = border.parse(kind, self._without_stored_extra(kind, change))
         if isinstance(parsed, result.Err):
             for error in parsed.err_value:
                 yield f"body.{error}"
@@ -89,9 +91,9 @@
             yield f"body.name: {resource.name!r} is not {change.name!r}"
         for error in self._check_resource(resource):
             yield f"body.{error}"
-        self._added.add((kind, change.name))
+        self._added_keys.add((kind, change.name))
 
-    def _without_held(
+    def _without_stored_extra(
         self, kind: resources.Kind, change: records.Change
     ) -> dict[str, Any]:
         """Returns the body without unknown fields that are in force already.
@@ -99,12 +101,12 @@
         Fields of a newer version may be preserved in a change, but not added
         or modified.
         """
-        held = self._state.get(kind, change.name)
-        read = border.read(kind, change.body)
-        if held is None or not held.extra_packed or read.is_err():
+        current = self._state.get(kind, change.name)
+        decoded = border.read(kind, change.body)
+        if current is None or not current.extra_packed or decoded.is_err():
             return change.body
-        reading = read.unwrap()
-        if records.pack_body(reading.extra) != held.extra_packed:
+        reading = decoded.unwrap()
+        if records.pack_body(reading.extra) != current.extra_packed:
             return change.body
         return border.dump(reading.resource)
 
@@ -115,13 +117,13 @@
             case resources.Endpoint():
                 yield from self._check_endpoint(resource)
             case resources.Model():
-                yield from _positive(resource, "kv_bytes_per_token")
-                yield from _positive(resource, "weight_bytes")
+                yield from _check_positive(resource, "kv_bytes_per_token")
+                yield from _check_positive(resource, "weight_bytes")
             case resources.Account():
                 yield from self._check_token(resource)
                 yield from self._check_services(resource.services)
-                yield from _positive(resource, "rate_per_s")
-                yield from _positive(resource, "max_in_flight")
+                yield from _check_positive(resource, "rate_per_s")
+                yield from _check_positive(resource, "max_in_flight")
                 if resource.priority < 0:
                     yield "priority: below 0"
             case resources.Operator():
@@ -139,7 +141,7 @@
             "deadline_ms",
             "max_in_flight",
         ):
-            yield from _positive(service, name)
+            yield from _check_positive(service, name)
         if service.max_queued < 0:
             yield "max_queued: below 0"
         if service.retry_ratio < 0:
@@ -148,20 +150,20 @@
             yield "waste_weight: not from 0 to 1"
 
     def _check_endpoint(self, endpoint: resources.Endpoint) -> Iterator[str]:
-        if not _ADDRESS.fullmatch(endpoint.address):
+        if not _ADDRESS_PATTERN.fullmatch(endpoint.address):
             yield f"address: {endpoint.address!r} is not IP:PORT"
         if not endpoint.domain:
             yield "domain: missing"
         if not self._is_known(resources.Kind.SERVICE, endpoint.service):
             yield f"service: {endpoint.service!r} is unknown"
-        yield from _positive(endpoint, "slots")
-        yield from _positive(endpoint, "link_bytes_per_s")
+        yield from _check_positive(endpoint, "slots")
+        yield from _check_positive(endpoint, "link_bytes_per_s")
 
     def _check_token(
         self, owner: resources.Account | resources.Operator
     ) -> Iterator[str]:
         # The value is omitted, as it may be the secret token itself.
-        if not _TOKEN.fullmatch(owner.token_sha256):
+        if not _TOKEN_PATTERN.fullmatch(owner.token_sha256):
             yield "token_sha256: not 64 lower-case hex digits"
 
     def _check_services(self, services: Sequence[str]) -> Iterator[str]:
@@ -170,11 +172,11 @@
                 yield f"services: {name!r} is unknown"
 
     def _is_known(self, kind: resources.Kind, name: str) -> bool:
-        return (kind, name) in self._added or (
+        return (kind, name) in self._added_keys or (
             self._state.get(kind, name) is not None
         )
 
 
-def _positive(resource: resources.Resource, field: str) -> Iterator[str]:
+def _check_positive(resource: resources.Resource, field: str) -> Iterator[str]:
     if getattr(resource, field) <= 0:
         yield f"{field}: not above 0"
--- a/src/jujubewharf/configuration/verdicts.py
+++ b/src/jujubewharf/configuration/verdicts.py
@@ -23,7 +23,7 @@
     MALFORMED = "malformed"
 
 
-_ERROR_OF: dict[Outcome, errors.ErrorKind] = {
+_ERROR_KINDS: dict[Outcome, errors.ErrorKind] = {
     Outcome.CONFLICT: errors.ErrorKind.CONFIG_CONFLICT,
     Outcome.INVALID: errors.ErrorKind.CONFIG_INVALID,
     Outcome.UNSAFE: errors.ErrorKind.CONFIG_UNSAFE,
@@ -60,7 +60,7 @@
 
     def error(self) -> errors.WharfError | None:
         """Returns the error for the caller; ``None`` if accepted."""
-        kind = _ERROR_OF.get(self.outcome)
+        kind = _ERROR_KINDS.get(self.outcome)
         if kind is None:
             return None
         return errors.WharfError(kind, self.detail)
--- a/tests/configuration/test_model.py
+++ b/tests/configuration/test_model.py
@@ -178,7 +178,7 @@
     stateful.run_state_machine_as_test(Fleet, settings=_settings(150))
 
 
-class _SkipsAGap(holdings.Holding):
+class _SkipsGap(holdings.Holding):
     def fold(self, found):
         found = list(found)
         if found and found[0].offset > self.next_offset:
@@ -186,14 +186,14 @@
         return super().fold(found)
 
 
-class _GoesBack(holdings.Holding):
+class _AdoptsOlderState(holdings.Holding):
     def adopt(self, state, *, source):
         del source
         self.current = state
         return True
 
 
-class _FoldsByOldRules(holdings.Holding):
+class _AppliesByOldRules(holdings.Holding):
     def fold(self, found):
         count = super().fold(found)
         if self.is_frozen:
@@ -209,13 +209,13 @@
 
 @pytest.mark.parametrize(
     "weakened",
-    [_SkipsAGap, _GoesBack, _FoldsByOldRules, "history"],
+    [_SkipsGap, _AdoptsOlderState, _AppliesByOldRules, "history"],
     ids=["gap", "lower offset", "old rules", "history"],
 )
 def test_model_detects_a_missing_safeguard(monkeypatch, weakened):
     """The model test fails if any single safeguard is disabled."""
     if weakened == "history":
-        monkeypatch.setattr(snapshots, "_history_item", _without_history)
+        monkeypatch.setattr(snapshots, "_encode_history_item", _without_history)
     else:
         monkeypatch.setattr(holdings, "Holding", weakened)
     with pytest.raises((AssertionError, KeyError, ValueError)):
