--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -24,6 +24,7 @@
 from jujubewharf.forwarding import engine_pool as engine_pools
 from jujubewharf.forwarding import limits as all_limits
 from jujubewharf.forwarding import margins
+from jujubewharf.forwarding import patience
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import quotas as all_quotas
 from jujubewharf.forwarding import registry as registries
@@ -31,7 +32,6 @@
 from jujubewharf.forwarding import reservations
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
-from jujubewharf.forwarding import wait_policy
 from jujubewharf.forwarding import wait_queue as wait_queues
 
 # Number of engines that a request asks in its first round and in each later
@@ -116,7 +116,7 @@
         self._knows_all_reservations = knows_all_reservations
         self._clock = clock
         self._rng = rng
-        self._wait_policy = wait_policy.WaitPolicy(cost_estimates, clock)
+        self._wait_policy = patience.WaitPolicy(cost_estimates, clock)
         self._queues: dict[str, wait_queues.WaitQueue] = {}
         self._running = 0
 
--- a/tests/forwarding/test_wait_policy.py
+++ b/tests/forwarding/test_patience.py
@@ -9,8 +9,8 @@
 from jujubewharf.experiments import virtual_time
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import costs
+from jujubewharf.forwarding import patience
 from jujubewharf.forwarding import runs
-from jujubewharf.forwarding import wait_policy
 from tests.forwarding import deployments
 
 
@@ -18,7 +18,7 @@
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
         estimates = costs.CostEstimates()
-        await test(wait_policy.WaitPolicy(estimates, clock), estimates, clock)
+        await test(patience.WaitPolicy(estimates, clock), estimates, clock)
 
     virtual_time.run(main())
 
