--- a/src/jujubewharf/forwarding/patience.py
+++ b/src/jujubewharf/forwarding/patience.py
@@ -9,8 +9,8 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf.forwarding import calls
+from jujubewharf.forwarding import come_back
 from jujubewharf.forwarding import costs
-from jujubewharf.forwarding import retry_after
 from jujubewharf.forwarding import runs
 
 # Share of the latency target assumed for prefill and the first event before
@@ -96,7 +96,7 @@
             running_count: Number of responses that this instance is running.
         """
         timeout_ms = call.patience_ms or _DEFAULT_CALLER_TIMEOUT_MS
-        max_retry_after_ms = timeout_ms * retry_after.MAX_TIMEOUT_SHARE
+        max_retry_after_ms = timeout_ms * come_back.MAX_TIMEOUT_SHARE
         memory_hold_ms = (
             self._cost_estimates.memory_hold_ms
             or timeout_ms * _DEFAULT_RESPONSE_SHARE
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -15,11 +15,11 @@
 from jujubewharf.forwarding import backpressure as all_backpressure
 from jujubewharf.forwarding import budget as budgets
 from jujubewharf.forwarding import calls
+from jujubewharf.forwarding import come_back
 from jujubewharf.forwarding import limits as all_limits
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import registry as registries
 from jujubewharf.forwarding import request_log
-from jujubewharf.forwarding import retry_after
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
 from jujubewharf.requests import plain_endpoints
@@ -60,7 +60,7 @@
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
-        self._come_back = retry_after.RetryScheduler(clock, rng)
+        self._come_back = come_back.RetryScheduler(clock, rng)
         self._backends = backends
         self._registry = registry
         self._chooser = chooser
@@ -134,7 +134,7 @@
             run.service,
             free_in_ms=wait_ms,
             interval_ms=self._backpressure.request_interval_ms(names),
-            max_ms=patience_ms * retry_after.MAX_TIMEOUT_SHARE,
+            max_ms=patience_ms * come_back.MAX_TIMEOUT_SHARE,
         )
         return run.failure("all endpoints deferred", retry_after_ms=after_ms)
 
--- a/tests/forwarding/test_retry_after.py
+++ b/tests/forwarding/test_come_back.py
@@ -6,12 +6,12 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf.experiments import virtual_time
-from jujubewharf.forwarding import retry_after
+from jujubewharf.forwarding import come_back
 
 
 def test_retry_times_are_spaced_up_to_the_maximum():
     async def main():
-        scheduler = retry_after.RetryScheduler(
+        scheduler = come_back.RetryScheduler(
             clocks.Clock(wall_origin_ms=0.0), random.Random(1)
         )
         retry_after_ms = [
