--- a/src/jujubewharf/forwarding/attempts.py
+++ b/src/jujubewharf/forwarding/attempts.py
@@ -18,10 +18,10 @@
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import limits as all_limits
 from jujubewharf.forwarding import observations as observed
+from jujubewharf.forwarding import places as all_places
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import registry as registries
 from jujubewharf.forwarding import request_log
-from jujubewharf.forwarding import reservations as all_reservations
 from jujubewharf.forwarding import runs
 
 # Maximum number of prefill engines tried per request. If all fail, the decode
@@ -84,7 +84,7 @@
         self,
         backends: ports.Backends,
         registry: registries.Registry,
-        places: all_reservations.Placer,
+        places: all_places.Placer,
         budget: budgets.FleetRetryBudget,
         observations: observed.Observer,
         limits: all_limits.Permits,
@@ -208,7 +208,7 @@
 
     @contextlib.asynccontextmanager
     async def _prefill_result(
-        self, run: runs.Run, place: all_reservations.Reservation
+        self, run: runs.Run, place: all_places.Reservation
     ) -> AsyncIterator[_Prefilled]:
         """Runs prefill and frees the result on exit if no engine fetched it.
 
@@ -314,9 +314,7 @@
             # frees the memory sooner, so failures are not retried.
             await self._backends.drop_source(prefilled.engine, prefilled.source)
 
-    async def _check_not_deferred(
-        self, place: all_reservations.Reservation
-    ) -> None:
+    async def _check_not_deferred(self, place: all_places.Reservation) -> None:
         """Checks that the engine still accepts the request it has memory for.
 
         The engine may have asked for backoff or set a rate limit after the
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -25,11 +25,11 @@
 from jujubewharf.forwarding import limits as all_limits
 from jujubewharf.forwarding import margins
 from jujubewharf.forwarding import patience
+from jujubewharf.forwarding import places
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import quotas as all_quotas
 from jujubewharf.forwarding import registry as registries
 from jujubewharf.forwarding import request_log
-from jujubewharf.forwarding import reservations
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
 from jujubewharf.forwarding import wait_queue as wait_queues
@@ -121,9 +121,7 @@
         self._running = 0
 
     @contextlib.asynccontextmanager
-    async def place(
-        self, run: runs.Run
-    ) -> AsyncIterator[reservations.Reservation]:
+    async def place(self, run: runs.Run) -> AsyncIterator[places.Reservation]:
         """Waits for a reservation and holds it while the block runs.
 
         Raises:
@@ -149,7 +147,7 @@
                 await self._release(reservation.engine, reservation_id)
             self._queue_of(run.service).wake_first()
 
-    def record_hold_time(self, reservation: reservations.Reservation) -> None:
+    def record_hold_time(self, reservation: places.Reservation) -> None:
         """Records how long a completed response held its memory."""
         took_ms = self._clock.now_ms() - reservation.reserved_at_ms
         self._cost_estimates.record_decode(
@@ -158,7 +156,7 @@
 
     @contextlib.contextmanager
     def _prefill_assigned(
-        self, run: runs.Run, reservation: reservations.Reservation
+        self, run: runs.Run, reservation: places.Reservation
     ) -> Iterator[None]:
         """Chooses prefill engines and tracks the prompt until it is prefilled.
 
@@ -186,7 +184,7 @@
 
     async def _wait_for_reservation(
         self, run: runs.Run
-    ) -> tuple[reservations.Reservation, _MemoryDemand]:
+    ) -> tuple[places.Reservation, _MemoryDemand]:
         started_ms = self._clock.now_ms()
         on_time_wait_ms = self._wait_policy.on_time_wait_ms(run)
         is_late = on_time_wait_ms <= 0.0
@@ -292,7 +290,7 @@
 
     async def _try_engines(
         self, run: runs.Run, demand: _MemoryDemand, *, max_engines: int
-    ) -> reservations.Reservation | None:
+    ) -> places.Reservation | None:
         """Asks at most ``max_engines`` engines that may have enough memory."""
         assert run.traits is not None
         candidates = self._pool.decode_candidates(
@@ -320,7 +318,7 @@
                 # The response to the reservation said that the engine drains.
                 await self._release(engine, reservation_id)
                 continue
-            return reservations.Reservation(
+            return places.Reservation(
                 engine,
                 reservation_id,
                 reserved_at_ms=self._clock.now_ms(),
--- a/src/jujubewharf/forwarding/quarantine_waits.py
+++ b/src/jujubewharf/forwarding/quarantine_waits.py
@@ -9,13 +9,13 @@
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import crashes
 from jujubewharf.forwarding import fingerprints
+from jujubewharf.forwarding import places
 from jujubewharf.forwarding import quarantine as quarantines
-from jujubewharf.forwarding import reservations
 from jujubewharf.forwarding import runs
 
 
 class QuarantineAwarePlaces:
-    """Wraps a ``reservations.Placer`` to end the wait of quarantined requests.
+    """Wraps a ``places.Placer`` to end the wait of quarantined requests.
 
     A request may wait in the queue for seconds while other tries of it crash
     engines. It would be refused after the wait anyway, and until then would
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        finder: reservations.Placer,
+        finder: places.Placer,
         quarantine: quarantines.Quarantine,
         history: crashes.CrashHistory,
     ) -> None:
@@ -40,16 +40,14 @@
         history.on_quarantine = self._cancel_waits
 
     @contextlib.asynccontextmanager
-    async def place(
-        self, run: runs.Run
-    ) -> AsyncIterator[reservations.Reservation]:
-        """Waits for memory and reserves it; see ``reservations.Placer``."""
+    async def place(self, run: runs.Run) -> AsyncIterator[places.Reservation]:
+        """Waits for memory and reserves it; see ``places.Placer``."""
         async with contextlib.AsyncExitStack() as stack:
             yield await self._wait(stack, run)
 
     async def _wait(
         self, stack: contextlib.AsyncExitStack, run: runs.Run
-    ) -> reservations.Reservation:
+    ) -> places.Reservation:
         await self._quarantine.admit(run)
         while True:
             scope = asyncio.timeout(None)
--- a/src/jujubewharf/leadership/delegation.py
+++ b/src/jujubewharf/leadership/delegation.py
@@ -8,7 +8,7 @@
 from jujubewharf.engines import client
 from jujubewharf.forwarding import observations as observed
 from jujubewharf.forwarding import placement as placements
-from jujubewharf.forwarding import reservations as all_reservations
+from jujubewharf.forwarding import places as all_places
 from jujubewharf.forwarding import runs
 from jujubewharf.leadership import leader_link
 from jujubewharf.peers import leader_messages
@@ -31,10 +31,10 @@
     @contextlib.asynccontextmanager
     async def place(
         self, run: runs.Run
-    ) -> AsyncIterator[all_reservations.Reservation]:
-        """Waits for memory and holds it; see ``all_reservations.Placer``."""
+    ) -> AsyncIterator[all_places.Reservation]:
+        """Waits for memory and holds it; see ``all_places.Placer``."""
         async with contextlib.AsyncExitStack() as stack:
-            reservation: all_reservations.Reservation | None = None
+            reservation: all_places.Reservation | None = None
             if self._leader.is_open:
                 leader_context = self._leader.place(run)
                 reservation = await leader_context.__aenter__()
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -14,9 +14,9 @@
 from jujubewharf.configuration import resources
 from jujubewharf.forwarding import costs
 from jujubewharf.forwarding import fingerprints
+from jujubewharf.forwarding import places as all_places
 from jujubewharf.forwarding import registry as registries
 from jujubewharf.forwarding import request_log
-from jujubewharf.forwarding import reservations as all_reservations
 from jujubewharf.forwarding import routes
 from jujubewharf.forwarding import runs
 from jujubewharf.leadership import feeds as all_feeds
@@ -253,7 +253,7 @@
     @contextlib.asynccontextmanager
     async def place(
         self, run: runs.Run
-    ) -> AsyncIterator[all_reservations.Reservation | None]:
+    ) -> AsyncIterator[all_places.Reservation | None]:
         """Reserves memory through the leader, and holds it for the block.
 
         Yields:
@@ -264,7 +264,7 @@
             WharfError: The leader refused the request.
         """
         number = next(self._sequence)
-        reservation: all_reservations.Reservation | None = None
+        reservation: all_places.Reservation | None = None
         is_complete = False
         try:
             reservation = await self._request_reservation(number, run)
@@ -282,7 +282,7 @@
 
     async def _request_reservation(
         self, number: int, run: runs.Run
-    ) -> all_reservations.Reservation | None:
+    ) -> all_places.Reservation | None:
         started_ms = self._clock.now_ms()
         link = self._link
         if link is None:
@@ -380,13 +380,13 @@
 
     def _to_reservation(
         self, number: int, placed: leader_messages.PlacementGranted
-    ) -> all_reservations.Reservation | None:
+    ) -> all_places.Reservation | None:
         engine = self._registry.get(placed.engine)
         if engine is None:
             # The engine was registered too recently to be known here, or it has
             # left since.
             return None
-        reservation = all_reservations.Reservation(
+        reservation = all_places.Reservation(
             engine,
             placed.reservation_id,
             reserved_at_ms=self._clock.now_ms(),
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -17,7 +17,7 @@
 from jujubewharf.forwarding import forwarder
 from jujubewharf.forwarding import observations as observed
 from jujubewharf.forwarding import placement as placements
-from jujubewharf.forwarding import reservations as all_reservations
+from jujubewharf.forwarding import places as all_places
 from jujubewharf.forwarding import runs
 from jujubewharf.forwarding import state_log
 from jujubewharf.leadership import account_usage
@@ -89,7 +89,7 @@
     """A placement that a follower waits for or holds."""
 
     task: asyncio.Task[None] | None = None
-    reservation: all_reservations.Reservation | None = None
+    reservation: all_places.Reservation | None = None
     ending: asyncio.Future[leader_messages.PlacementReleased] = (
         dataclasses.field(default_factory=asyncio.Future)
     )
@@ -355,7 +355,7 @@
 
 
 def _grant_message(
-    reservation: all_reservations.Reservation,
+    reservation: all_places.Reservation,
 ) -> leader_messages.PlacementGranted:
     return leader_messages.PlacementGranted(
         reservation.engine.name,
