--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -18,7 +18,6 @@
 from jujubewharf.forwarding import costs
 from jujubewharf.forwarding import crash_detection
 from jujubewharf.forwarding import crashes
-from jujubewharf.forwarding import engine_pool
 from jujubewharf.forwarding import fleet_share
 from jujubewharf.forwarding import forwarder
 from jujubewharf.forwarding import lease as leases
@@ -26,6 +25,7 @@
 from jujubewharf.forwarding import observations
 from jujubewharf.forwarding import placement
 from jujubewharf.forwarding import plain
+from jujubewharf.forwarding import pool
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import quarantine
 from jujubewharf.forwarding import quarantine_waits
@@ -207,9 +207,7 @@
             is_limited=self.backpressure.is_limited,
         )
         self.registry.add_listener(chooser.set_endpoints)
-        engines = engine_pool.EnginePool(
-            self.work, self.backpressure, clock, rng
-        )
+        engines = pool.EnginePool(self.work, self.backpressure, clock, rng)
         lengths = margins.ResponseLengths()
         self.registry.add_listener(engines.update_engines)
         self._orders = role_controller.RoleController(
--- a/src/jujubewharf/forwarding/observations.py
+++ b/src/jujubewharf/forwarding/observations.py
@@ -6,8 +6,8 @@
 
 from jujubewharf.engines import client
 from jujubewharf.forwarding import costs
-from jujubewharf.forwarding import engine_pool as engine_pools
 from jujubewharf.forwarding import margins
+from jujubewharf.forwarding import pool as pools
 
 
 class Observer(Protocol):
@@ -63,7 +63,7 @@
         self,
         cost_estimates: costs.CostEstimates,
         lengths: margins.ResponseLengths,
-        pool: engine_pools.EnginePool,
+        pool: pools.EnginePool,
     ) -> None:
         self._cost_estimates = cost_estimates
         self._lengths = lengths
--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -21,11 +21,11 @@
 from jujubewharf.engines import client
 from jujubewharf.forwarding import backpressure as all_backpressure
 from jujubewharf.forwarding import costs
-from jujubewharf.forwarding import engine_pool as engine_pools
 from jujubewharf.forwarding import limits as all_limits
 from jujubewharf.forwarding import margins
 from jujubewharf.forwarding import patience
 from jujubewharf.forwarding import places
+from jujubewharf.forwarding import pool as pools
 from jujubewharf.forwarding import ports
 from jujubewharf.forwarding import quotas as all_quotas
 from jujubewharf.forwarding import registry as registries
@@ -95,7 +95,7 @@
         self,
         backends: ports.Backends,
         registry: registries.Registry,
-        pool: engine_pools.EnginePool,
+        pool: pools.EnginePool,
         cost_estimates: costs.CostEstimates,
         lengths: margins.ResponseLengths,
         quotas: all_quotas.Quotas,
--- a/tests/forwarding/test_engine_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -9,7 +9,7 @@
 from jujubewharf.experiments import virtual_time
 from jujubewharf.forwarding import backpressure
 from jujubewharf.forwarding import costs
-from jujubewharf.forwarding import engine_pool as engine_pools
+from jujubewharf.forwarding import pool as pools
 from tests.forwarding import deployments
 
 MEMORY = 40_000
@@ -20,7 +20,7 @@
 def _with_pool(test):
     async def main():
         clock = clocks.Clock(wall_origin_ms=0.0)
-        pool = engine_pools.EnginePool(
+        pool = pools.EnginePool(
             costs.CostEstimates(),
             backpressure.Backpressure(clock),
             clock,
