--- a/src/jujubewharf/leadership/fleet_quotas.py
+++ b/src/jujubewharf/leadership/fleet_quotas.py
@@ -32,7 +32,7 @@
 from jujubewharf.forwarding import request_log
 from jujubewharf.forwarding import runs
 from jujubewharf.forwarding import settings
-from jujubewharf.leadership import account_usage
+from jujubewharf.leadership import account_pace
 from jujubewharf.leadership import fleet as fleets
 from jujubewharf.peers import messages
 from jujubewharf.peers import quota_messages
@@ -104,14 +104,14 @@
         )
         self._has_use = asyncio.Event()
         # Use by this instance's callers, and by all callers for a leader.
-        self._own_usage = account_usage.AccountUsage()
-        self._total_usage = account_usage.AccountUsage()
+        self._own_usage = account_pace.AccountUsage()
+        self._total_usage = account_pace.AccountUsage()
         # Units of the largest request per account at this instance.
         self._largest_units: dict[str, float] = {}
         # This instance's share of each account's use.
         self._usage_shares: dict[str, float] = {}
         self._shares_sent_ms = 0.0
-        self._followers: set[account_usage.FollowerUsage] = set()
+        self._followers: set[account_pace.FollowerUsage] = set()
         # Expiry in ms and reserved shares per lost follower.
         self._lost_followers: dict[str, tuple[float, dict[str, float]]] = {}
         fleet.link.on_usage_shares = self.set_usage_shares
@@ -212,14 +212,14 @@
 
     def add_follower(
         self, peer: str, tell: Callable[[messages.Message], object]
-    ) -> account_usage.FollowerUsage:
+    ) -> account_pace.FollowerUsage:
         """Starts to count the use at a follower."""
         self._lost_followers.pop(peer, None)
-        use = account_usage.FollowerUsage(peer, tell)
+        use = account_pace.FollowerUsage(peer, tell)
         self._followers.add(use)
         return use
 
-    def remove_follower(self, use: account_usage.FollowerUsage) -> None:
+    def remove_follower(self, use: account_pace.FollowerUsage) -> None:
         """Reserves the share of a follower whose link ended."""
         self._followers.discard(use)
         now_ms = self._clock.now_ms()
@@ -231,7 +231,7 @@
             )
 
     def follower_admitted(
-        self, use: account_usage.FollowerUsage, run: runs.Run
+        self, use: account_pace.FollowerUsage, run: runs.Run
     ) -> None:
         """Records a placed model request of a follower."""
         if run.account is not None and run.account.quota is not None:
@@ -239,7 +239,7 @@
 
     def follower_used(
         self,
-        use: account_usage.FollowerUsage,
+        use: account_pace.FollowerUsage,
         uses: Iterable[quota_messages.AccountUsage],
     ) -> None:
         """Counts the use that a follower has admitted on its own."""
@@ -254,7 +254,7 @@
         self._has_use.set()
 
     def _record_follower_use(
-        self, use: account_usage.FollowerUsage, account: str, units: float
+        self, use: account_pace.FollowerUsage, account: str, units: float
     ) -> None:
         now_ms = self._clock.now_ms()
         use.usage.add(account, units, now_ms)
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -20,7 +20,7 @@
 from jujubewharf.forwarding import places as all_places
 from jujubewharf.forwarding import runs
 from jujubewharf.forwarding import state_log
-from jujubewharf.leadership import account_usage
+from jujubewharf.leadership import account_pace
 from jujubewharf.peers import crash_messages
 from jujubewharf.peers import leader_messages
 from jujubewharf.peers import limit_messages
@@ -33,23 +33,23 @@
 
     def add_follower(
         self, peer: str, tell: Callable[[messages.Message], object]
-    ) -> account_usage.FollowerUsage:
+    ) -> account_pace.FollowerUsage:
         """Starts to count the use at a follower."""
         ...
 
-    def remove_follower(self, use: account_usage.FollowerUsage) -> None:
+    def remove_follower(self, use: account_pace.FollowerUsage) -> None:
         """Reserves the share of a follower whose link ended."""
         ...
 
     def follower_admitted(
-        self, use: account_usage.FollowerUsage, run: runs.Run
+        self, use: account_pace.FollowerUsage, run: runs.Run
     ) -> None:
         """Records a placed model request of a follower."""
         ...
 
     def follower_used(
         self,
-        use: account_usage.FollowerUsage,
+        use: account_pace.FollowerUsage,
         uses: Iterable[quota_messages.AccountUsage],
     ) -> None:
         """Counts the use that a follower has admitted on its own."""
@@ -121,7 +121,7 @@
         crashes: FollowerCrashes,
         clock: clocks.Clock,
         *,
-        use: account_usage.FollowerUsage,
+        use: account_pace.FollowerUsage,
     ) -> None:
         self._quotas = quotas
         self._limits = limits
