--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -37,12 +37,12 @@
 from jujubewharf.forwarding import store_followers
 from jujubewharf.forwarding import stream
 from jujubewharf.leadership import crash_services
-from jujubewharf.leadership import delegation
 from jujubewharf.leadership import fleet as fleets
 from jujubewharf.leadership import fleet_crashes
 from jujubewharf.leadership import fleet_limits
 from jujubewharf.leadership import fleet_quotas
 from jujubewharf.leadership import leadership
+from jujubewharf.leadership import led
 from jujubewharf.leadership import shared_state
 from jujubewharf.leaving import shutdown
 from jujubewharf.platform import groups
@@ -235,7 +235,7 @@
             rng,
         )
         local = observations.LocalObserver(self.work, lengths, engines)
-        observed = delegation.FleetObserver(self.fleet.link, local)
+        observed = led.FleetObserver(self.fleet.link, local)
         if adapters.peers is not None:
             self._leadership = self.fleet.new_leadership(
                 self._settings.instance,
@@ -265,7 +265,7 @@
             crash_detecting_backends,
             self.registry,
             quarantine_waits.QuarantineAwarePlaces(
-                delegation.FleetPlacer(self.fleet.link, places),
+                led.FleetPlacer(self.fleet.link, places),
                 request_quarantine,
                 self.crashes,
             ),
