--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -17,7 +17,7 @@
 from jujubewharf.routing import eligibility
 from jujubewharf.routing import fleet as fleets
 from jujubewharf.routing import hold_times
-from jujubewharf.routing import prefill_ledger
+from jujubewharf.routing import read_ledger
 from jujubewharf.routing import slot_ledger
 
 _SERVE_INTERVAL_MS = 20.0
@@ -72,7 +72,7 @@
         self._queues: dict[str, _Queue] = {}
         self._hold_times: dict[str, hold_times.HoldTimes] = {}
         self._present: frozenset[str] = frozenset()
-        self._prefill_ledgers: dict[str, prefill_ledger.PrefillLedger] = {}
+        self._prefill_ledgers: dict[str, read_ledger.PrefillLedger] = {}
         self._digest_rotation: collections.deque[str] = collections.deque()
         self._coordinators = coordinators.CoordinatorCache(members)
         peers.handle(slot_messages.SlotRequest, self.on_ask)
@@ -170,7 +170,7 @@
         prefills = self._prefill_ledgers.get(ask.engine)
         if prefills is None:
             prefills = self._prefill_ledgers[ask.engine] = (
-                prefill_ledger.PrefillLedger(now_ms)
+                read_ledger.PrefillLedger(now_ms)
             )
         holder = slot_ledger.Holder(peer, ask.number)
         transfer_ms = self._transfer_ms(ask.engine, ask.tokens)
