--- a/src/jujubewharf/commands/ctl_changes.py
+++ b/src/jujubewharf/commands/ctl_changes.py
@@ -53,7 +53,7 @@
 ) -> None:
     """Apply a configuration file after showing the differences."""
     session: ctl_session.Session = context.obj
-    wanted = _read(file)
+    wanted = _read_file(file)
     planned = session.run(
         lambda client: client.apply(wanted, prune=prune, dry_run=True),
         as_json=as_json,
@@ -76,7 +76,7 @@
         as_json=as_json,
     )
     _show(reply, ctl_tables.of_applied(reply.items), as_json=as_json)
-    _exit_after(reply)
+    _exit_if_failed(reply)
 
 
 def export(
@@ -89,7 +89,9 @@
 ) -> None:
     """Write the current configuration as a file for apply."""
     session: ctl_session.Session = context.obj
-    text = documents.dump(session.run(lambda client: _held(client, service)))
+    text = documents.dump(
+        session.run(lambda client: _all_resources(client, service))
+    )
     if output is None:
         print(text, end="")
         return
@@ -106,7 +108,7 @@
 ) -> None:
     """Create one resource: ctl create service shop-api kind=plain."""
     session: ctl_session.Session = context.obj
-    resource = _built(kind, {"name": name}, fields or [])
+    resource = _build_resource(kind, {"name": name}, fields or [])
     done = session.run(
         lambda client: client.create(resource, operation_id=operation_id),
         as_json=as_json,
@@ -127,7 +129,7 @@
     """Change fields of one resource: ctl change endpoint d1 slots=24."""
     session: ctl_session.Session = context.obj
     stored = session.run(lambda client: client.get(kind, name), as_json=as_json)
-    resource = _built(kind, border.dump(stored.resource), fields or [])
+    resource = _build_resource(kind, border.dump(stored.resource), fields or [])
     done = session.run(
         lambda client: client.change(
             resource,
@@ -232,7 +234,7 @@
     _show(done, ctl_tables.of_fields(done), as_json=as_json)
 
 
-async def _held(
+async def _all_resources(
     client: clients.OperatorClient, service: str
 ) -> list[resources.Resource]:
     found: list[resources.Resource] = []
@@ -242,7 +244,7 @@
     return found
 
 
-def _read(file: pathlib.Path) -> list[resources.Resource]:
+def _read_file(file: pathlib.Path) -> list[resources.Resource]:
     try:
         if str(file) == "-":
             text = sys.stdin.read()
@@ -257,7 +259,7 @@
     return parsed.unwrap()
 
 
-def _built(
+def _build_resource(
     kind: resources.Kind, data: dict[str, object], assignments: Sequence[str]
 ) -> resources.Resource:
     for assignment in assignments:
@@ -265,7 +267,7 @@
         if not is_given:
             message = f"{assignment}: must be FIELD=VALUE"
             ctl_session.fail(ctl_session.ExitCode.BAD_INPUT, message)
-        _assign(data, path.split("."), _value(text))
+        _assign(data, path.split("."), _parse_value(text))
     parsed = border.parse(kind, data)
     if parsed.is_err():
         lines = "\n".join(parsed.unwrap_err())
@@ -285,7 +287,7 @@
     data[path[-1]] = value
 
 
-def _value(text: str) -> object:
+def _parse_value(text: str) -> object:
     try:
         return json.loads(text)
     except ValueError:
@@ -307,7 +309,7 @@
         ctl_tables.show(table)
 
 
-def _exit_after(reply: values.ApplyReply) -> None:
+def _exit_if_failed(reply: values.ApplyReply) -> None:
     codes = [
         ctl_session.exit_code_of(item.error)
         for item in reply.failed
--- a/src/jujubewharf/commands/ctl_session.py
+++ b/src/jujubewharf/commands/ctl_session.py
@@ -71,13 +71,13 @@
             fail(ExitCode.BAD_INPUT, f"pass --server or set {SERVERS_VARIABLE}")
         token = self._token()
         try:
-            return asyncio.run(self._call(token, call))
+            return asyncio.run(self._run_with_client(token, call))
         except faults.UnreachableError as error:
             fail(ExitCode.UNREACHABLE, str(error))
         except errors.WharfError as error:
             fail_with(faults.detail_of(error), as_json=as_json)
 
-    async def _call(
+    async def _run_with_client(
         self,
         token: str,
         call: Callable[[clients.OperatorClient], Awaitable[_Answer]],
--- a/src/jujubewharf/commands/ctl_tables.py
+++ b/src/jujubewharf/commands/ctl_tables.py
@@ -17,9 +17,9 @@
 from jujubewharf.configuration import resources
 from jujubewharf.operators import values
 
-_PIPE_WIDTH = 160
+_NON_TERMINAL_WIDTH = 160
 # Must exceed the long-poll wait of log reads, which is some seconds.
-_LOG_SILENT_MS = 10_000.0
+_LOG_SILENCE_LIMIT_MS = 10_000.0
 
 _EFFECT_STYLES = {
     values.Effect.CREATE: "green",
@@ -69,7 +69,7 @@
 
 def show(*renderables: Any) -> None:
     """Prints to standard output, with a fixed width if it is no terminal."""
-    width = None if sys.stdout.isatty() else _PIPE_WIDTH
+    width = None if sys.stdout.isatty() else _NON_TERMINAL_WIDTH
     console = consoles.Console(width=width, highlight=False)
     console.print(*renderables)
 
@@ -82,7 +82,7 @@
     table = _table(*columns, "generation")
     for stored in held:
         data = border.dump(stored.resource)
-        cells = [_cell(data[column]) for column in columns]
+        cells = [_format_cell(data[column]) for column in columns]
         table.add_row(*cells, str(stored.generation))
     return table
 
@@ -90,8 +90,8 @@
 def of_resource(stored: values.StoredResource) -> tables.Table:
     """Returns a table of one resource, one field per row."""
     table = _table("field", "value")
-    for path, value in _flat(border.dump(stored.resource)):
-        table.add_row(path, _cell(value))
+    for path, value in _flatten(border.dump(stored.resource)):
+        table.add_row(path, _format_cell(value))
     table.add_row("generation", str(stored.generation))
     return table
 
@@ -114,10 +114,10 @@
             outcome = f"{item.error.kind}: {item.error.detail}"
         table.add_row(
             difference.kind.value,
-            _cell(difference.name),
-            _effect(difference.effect),
+            _format_cell(difference.name),
+            _format_effect(difference.effect),
             str(item.generation or ""),
-            _cell(outcome),
+            _format_cell(outcome),
         )
     return table
 
@@ -130,12 +130,12 @@
     for entry in entries:
         table.add_row(
             str(entry.generation),
-            _time(entry.wall_ms),
-            _cell(entry.actor),
-            _effect(entry.effect),
+            _format_time(entry.wall_ms),
+            _format_cell(entry.actor),
+            _format_effect(entry.effect),
             entry.state.value,
-            _cell(entry.operation_id),
-            _cell(entry.detail),
+            _format_cell(entry.operation_id),
+            _format_cell(entry.detail),
         )
     return table
 
@@ -157,18 +157,18 @@
     )
     for server, status in statuses:
         if isinstance(status, str):
-            table.add_row(server, _cell(status))
+            table.add_row(server, _format_cell(status))
             continue
         table.add_row(
             server,
-            _cell(status.instance),
-            _cell(status.region),
-            _cell(status.domain),
+            _format_cell(status.instance),
+            _format_cell(status.region),
+            _format_cell(status.domain),
             str(status.applied_offset),
-            _log_state(status),
+            _format_log_state(status),
             str(status.requests_in_flight),
-            _counts(status.refusals),
-            _counts(status.retries),
+            _format_counts(status.refusals),
+            _format_counts(status.retries),
         )
     return table
 
@@ -178,11 +178,11 @@
     table = _table("instance", "address", "domain", "leaving", "suspected")
     for member in members:
         table.add_row(
-            _cell(member.instance),
+            _format_cell(member.instance),
             member.address,
-            _cell(member.domain),
-            _cell(member.is_leaving),
-            _cell(member.is_suspected),
+            _format_cell(member.domain),
+            _format_cell(member.is_leaving),
+            _format_cell(member.is_suspected),
         )
     return table
 
@@ -205,15 +205,15 @@
         model = f"{engine.model} {engine.model_version}".strip()
         age_ms = engine.report_age_ms
         table.add_row(
-            _cell(engine.name),
-            _cell(engine.service),
-            _cell(engine.domain),
+            _format_cell(engine.name),
+            _format_cell(engine.service),
+            _format_cell(engine.domain),
             engine.role,
-            _cell(model),
+            _format_cell(model),
             f"{engine.slots_used}/{engine.slots_total}",
             str(engine.own_slots),
             str(engine.prefill_queued_tokens),
-            _why_no_work(engine),
+            _takes_work(engine),
             "" if age_ms is None else f"{age_ms:.0f}",
         )
     return table
@@ -223,7 +223,7 @@
     """Returns a table of a data class, one field per row."""
     table = _table("field", "value")
     for name in value.__dataclass_fields__:
-        table.add_row(name, _cell(_plain(getattr(value, name))))
+        table.add_row(name, _format_cell(_enum_value(getattr(value, name))))
     return table
 
 
@@ -235,19 +235,23 @@
 
 
 def _add_difference(table: tables.Table, item: values.Difference) -> None:
-    row = (_effect(item.effect), item.kind.value, _cell(item.name))
+    row = (
+        _format_effect(item.effect),
+        item.kind.value,
+        _format_cell(item.name),
+    )
     for field in item.fields:
-        before, after = _cell(field.before), _cell(field.after)
-        table.add_row(*row, _cell(field.path), before, after)
+        before, after = _format_cell(field.before), _format_cell(field.after)
+        table.add_row(*row, _format_cell(field.path), before, after)
         row = ("", "", "")
 
 
-def _effect(effect: values.Effect) -> str:
+def _format_effect(effect: values.Effect) -> str:
     style = _EFFECT_STYLES[effect]
     return f"[{style}]{effect.value}[/{style}]"
 
 
-def _log_state(status: values.InstanceStatus) -> str:
+def _format_log_state(status: values.InstanceStatus) -> str:
     if status.is_frozen:
         return "needs a newer program"
     if status.is_log_behind:
@@ -257,12 +261,12 @@
     silence_ms = status.log_silence_ms
     if silence_ms is None:
         return "never heard"
-    if silence_ms > _LOG_SILENT_MS:
+    if silence_ms > _LOG_SILENCE_LIMIT_MS:
         return f"silent for {silence_ms / clocks.MS_PER_S:.0f} s"
     return "heard"
 
 
-def _why_no_work(engine: values.EngineStatus) -> str:
+def _takes_work(engine: values.EngineStatus) -> str:
     if engine.takes_work:
         return "yes"
     if engine.is_drained:
@@ -270,23 +274,25 @@
     return "no: unreachable" if engine.is_suspect else "no"
 
 
-def _counts(counts: Sequence[values.ReasonCount]) -> str:
+def _format_counts(counts: Sequence[values.ReasonCount]) -> str:
     return " ".join(f"{one.reason}={one.count}" for one in counts)
 
 
-def _flat(data: dict[str, object], path: str = "") -> Iterable[tuple[str, Any]]:
+def _flatten(
+    data: dict[str, object], path: str = ""
+) -> Iterable[tuple[str, Any]]:
     for name, value in data.items():
         if isinstance(value, dict):
-            yield from _flat(value, f"{path}{name}.")
+            yield from _flatten(value, f"{path}{name}.")
         else:
             yield f"{path}{name}", value
 
 
-def _plain(value: Any) -> Any:
+def _enum_value(value: Any) -> Any:
     return getattr(value, "value", value)
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     match value:
         case bool():
             return "yes" if value else "no"
@@ -296,7 +302,7 @@
             return markup.escape(str(value))
 
 
-def _time(wall_ms: float) -> str:
+def _format_time(wall_ms: float) -> str:
     moment = datetime.datetime.fromtimestamp(
         wall_ms / clocks.MS_PER_S, tz=datetime.UTC
     )
--- a/src/jujubewharf/commands/experiment.py
+++ b/src/jujubewharf/commands/experiment.py
@@ -22,7 +22,7 @@
 from jujubewharf.routing import catalog
 
 _EXIT_BAD_FILE = 2
-_EXIT_BROKEN = 3
+_EXIT_GUARANTEE_VIOLATED = 3
 
 app = typer.Typer(no_args_is_help=True, help=__doc__)
 
@@ -53,7 +53,7 @@
     else:
         _print_report(result)
     if result.broken_promises:
-        raise typer.Exit(_EXIT_BROKEN)
+        raise typer.Exit(_EXIT_GUARANTEE_VIOLATED)
 
 
 @app.command("compare")
@@ -84,18 +84,20 @@
             tasks, workers=workers, on_done=lambda: bar.advance(task)
         )
     plain = _plain_services(experiment)
-    rows_of_factor = {}
-    per_factor = len(names) * seeds
-    for place, scale in enumerate(scales):
-        some = reports[place * per_factor : (place + 1) * per_factor]
-        rows_of_factor[scale] = list(comparison.rows(some, plain))
+    rows_by_scale = {}
+    reports_per_scale = len(names) * seeds
+    for index, scale in enumerate(scales):
+        scale_reports = reports[
+            index * reports_per_scale : (index + 1) * reports_per_scale
+        ]
+        rows_by_scale[scale] = list(comparison.rows(scale_reports, plain))
     if as_json:
         print(json.dumps([one.to_json() for one in reports], indent=2))
     else:
-        for scale, rows in rows_of_factor.items():
+        for scale, rows in rows_by_scale.items():
             _print_rows(f"{experiment.name}, load x{scale:g}", rows)
     if plot:
-        plots.draw(rows_of_factor, plot, title=experiment.name)
+        plots.draw(rows_by_scale, plot, title=experiment.name)
 
 
 @app.command("check")
--- a/src/jujubewharf/commands/lazy.py
+++ b/src/jujubewharf/commands/lazy.py
@@ -15,7 +15,7 @@
 
 # Each module has a ``typer.Typer`` named ``app`` or a function with the name of
 # the command.
-_MODULES = {
+_MODULE_BY_COMMAND = {
     "ctl": "jujubewharf.commands.ctl",
     "demo": "jujubewharf.commands.demo",
     "experiment": "jujubewharf.commands.experiment",
@@ -28,13 +28,13 @@
 
     def list_commands(self, ctx: Any) -> list[str]:
         """Returns the names of all commands, sorted."""
-        return sorted([*super().list_commands(ctx), *_MODULES])
+        return sorted([*super().list_commands(ctx), *_MODULE_BY_COMMAND])
 
     def get_command(self, ctx: Any, cmd_name: str) -> Any:
         """Imports and returns a command."""
-        if cmd_name not in _MODULES:
+        if cmd_name not in _MODULE_BY_COMMAND:
             return super().get_command(ctx, cmd_name)
-        module = importlib.import_module(_MODULES[cmd_name])
+        module = importlib.import_module(_MODULE_BY_COMMAND[cmd_name])
         app = getattr(module, "app", None)
         if app is None:
             app = typer.Typer()
--- a/src/jujubewharf/operators/adapter.py
+++ b/src/jujubewharf/operators/adapter.py
@@ -42,14 +42,17 @@
         service: Service that executes the calls.
         guard: Limits and counts the calls of each operator.
     """
-    face = _Face(service, guard)
+    grpc_adapter = _GrpcAdapter(service, guard)
     return grpc.method_handlers_generic_handler(
         SERVICE.full_name,
-        {method.name: face.handler(method) for method in SERVICE.methods},
+        {
+            method.name: grpc_adapter.handler(method)
+            for method in SERVICE.methods
+        },
     )
 
 
-class _Face:
+class _GrpcAdapter:
     def __init__(
         self, service: services.OperatorService, guard: guards.Guard
     ) -> None:
@@ -77,7 +80,9 @@
             try:
                 identity = self._identity(context)
                 await self._guard.admit(identity, name)
-                reply = await self._audited(name, identity, call, request)
+                reply = await self._call_with_audit(
+                    name, identity, call, request
+                )
             except Exception as error:
                 await self._abort(name, error, context)
             self._guard.count(name, _OK)
@@ -85,7 +90,7 @@
 
         return answer
 
-    async def _audited(
+    async def _call_with_audit(
         self,
         name: str,
         identity: values.Identity,
@@ -130,7 +135,7 @@
                 await self._guard.admit(identity, name)
                 with self._guard.watching():
                     async for part in call(self._service, identity, request):
-                        self._check_still(identity, context)
+                        self._check_identity_unchanged(identity, context)
                         yield part
             except Exception as error:
                 await self._abort(name, error, context)
@@ -145,7 +150,7 @@
                 return self._service.identify(token)
         return self._service.identify("")
 
-    def _check_still(
+    def _check_identity_unchanged(
         self, identity: values.Identity, context: _Context
     ) -> None:
         # The role or scope of the operator may change while the stream is
--- a/src/jujubewharf/operators/backend.py
+++ b/src/jujubewharf/operators/backend.py
@@ -18,8 +18,8 @@
 from jujubewharf.operators import values
 
 # The history also holds records that are not resources, such as rule changes.
-_KINDS = frozenset(kind.value for kind in resources.Kind)
-_STATES = {
+_RESOURCE_KINDS = frozenset(kind.value for kind in resources.Kind)
+_STATE_BY_OUTCOME = {
     states.Outcome.ACCEPTED: values.OperationState.ACCEPTED,
     states.Outcome.CONFLICT: values.OperationState.CONFLICT,
     states.Outcome.UNSAFE: values.OperationState.UNSAFE,
@@ -165,8 +165,8 @@
         self, changes: Sequence[records.Change], *, force: bool
     ) -> list[Verdict]:
         """See ``Backend``."""
-        judged = await self._changes.submit(changes, force=force)
-        return [_verdict(one) for one in judged]
+        verdicts = await self._changes.submit(changes, force=force)
+        return [_verdict(one) for one in verdicts]
 
     def operation(self, operation_id: str) -> values.HistoryEntry | None:
         """See ``Backend``."""
@@ -205,7 +205,7 @@
     async def steps(self, from_offset: int) -> AsyncIterator[Step]:
         """See ``Backend``."""
         async for item in self._changes.watch(from_offset):
-            if not item.verdict.is_accepted or item.kind not in _KINDS:
+            if not item.verdict.is_accepted or item.kind not in _RESOURCE_KINDS:
                 continue
             yield Step(
                 resources.Kind(item.kind),
@@ -220,27 +220,29 @@
         folded.set()
 
 
-def _verdict(judged: states.Verdict) -> Verdict:
-    state = _STATES.get(judged.outcome, values.OperationState.INVALID)
+def _verdict(verdict: states.Verdict) -> Verdict:
+    state = _STATE_BY_OUTCOME.get(
+        verdict.outcome, values.OperationState.INVALID
+    )
     return Verdict(
-        judged.operation_id,
+        verdict.operation_id,
         state,
-        judged.generation if judged.is_accepted else 0,
-        judged.detail,
+        verdict.generation if verdict.is_accepted else 0,
+        verdict.detail,
     )
 
 
 def _entry(item: histories.HistoryItem) -> values.HistoryEntry:
-    judged = _verdict(item.verdict)
+    verdict = _verdict(item.verdict)
     return values.HistoryEntry(
-        operation_id=judged.operation_id,
+        operation_id=verdict.operation_id,
         actor=item.actor,
         effect=_effect(item),
-        state=judged.state,
+        state=verdict.state,
         generation=item.offset + 1,
         wall_ms=item.wall_ms,
         resource=_resource(item, item.after),
-        detail=judged.detail,
+        detail=verdict.detail,
     )
 
 
@@ -256,6 +258,6 @@
 def _resource(
     item: histories.HistoryItem, body: dict[str, Any] | None
 ) -> resources.Resource | None:
-    if body is None or item.kind not in _KINDS:
+    if body is None or item.kind not in _RESOURCE_KINDS:
         return None
     return border.parse(resources.Kind(item.kind), body).ok()
--- a/src/jujubewharf/operators/calls.py
+++ b/src/jujubewharf/operators/calls.py
@@ -31,7 +31,7 @@
 _Message = TypeVar("_Message", bound=protobuf.Message)
 
 
-class _OfResource(Protocol):
+class _ResourceRequest(Protocol):
     kind: Any
     name: str
 
@@ -278,7 +278,7 @@
     return found
 
 
-def _key(request: _OfResource) -> tuple[resources.Kind, str]:
+def _key(request: _ResourceRequest) -> tuple[resources.Kind, str]:
     return _kind(request.kind), request.name
 
 
--- a/src/jujubewharf/operators/client.py
+++ b/src/jujubewharf/operators/client.py
@@ -117,7 +117,7 @@
     ) -> values.ChangeDone:
         """Deletes a resource at the expected generation."""
         request = pb.DeleteRequest(
-            kind=_number(kind),
+            kind=_kind_number(kind),
             name=name,
             expected_generation=expected_generation,
             force=force,
@@ -139,7 +139,7 @@
     ) -> values.ChangeDone:
         """Restores an earlier generation of a resource as a new change."""
         request = pb.RollbackRequest(
-            kind=_number(kind),
+            kind=_kind_number(kind),
             name=name,
             to_generation=to_generation,
             expected_generation=expected_generation,
@@ -201,7 +201,7 @@
     ) -> values.StoredResource:
         """Returns a resource."""
         request = pb.GetRequest(
-            kind=_number(kind),
+            kind=_kind_number(kind),
             name=name,
             not_before_offset=not_before_offset,
         )
@@ -220,7 +220,7 @@
     ) -> values.ListReply:
         """Returns a page of resources, sorted by name."""
         request = pb.ListRequest(
-            kind=_number(kind),
+            kind=_kind_number(kind),
             service=service,
             page_size=page_size,
             page_token=page_token,
@@ -253,7 +253,7 @@
         ``watch`` again to resume from a new snapshot.
         """
         request = pb.WatchRequest(
-            kinds=[_number(kind) for kind in kinds], service=service
+            kinds=[_kind_number(kind) for kind in kinds], service=service
         )
         await self._connections.call(
             "GetIdentity", pb.GetIdentityRequest(), values.Identity
@@ -273,7 +273,7 @@
     ) -> values.HistoryReply:
         """Returns a page of the changes of a resource, newest first."""
         request = pb.HistoryRequest(
-            kind=_number(kind),
+            kind=_kind_number(kind),
             name=name,
             page_size=page_size,
             page_token=page_token,
@@ -326,5 +326,5 @@
     return uuid.uuid4().hex
 
 
-def _number(kind: resources.Kind) -> Any:
+def _kind_number(kind: resources.Kind) -> Any:
     return pb.Kind.Value(f"KIND_{kind.name}")
--- a/src/jujubewharf/operators/connections.py
+++ b/src/jujubewharf/operators/connections.py
@@ -23,7 +23,7 @@
 
 _Value = TypeVar("_Value")
 _METHODS = {method.name: method for method in adapter.SERVICE.methods}
-_VERDICTS = frozenset(
+_REJECTION_KINDS = frozenset(
     {
         errors.ErrorKind.CONFIG_CONFLICT,
         errors.ErrorKind.CONFIG_INVALID,
@@ -32,16 +32,16 @@
 )
 # Errors that may not occur at another instance, which may be ready or able to
 # reach the log.
-_ELSEWHERE = frozenset(
+_FAILOVER_KINDS = frozenset(
     {
         errors.ErrorKind.LOG_UNAVAILABLE,
         errors.ErrorKind.NOT_READY,
         errors.ErrorKind.SHUTTING_DOWN,
     }
 )
-_CONNECT_S = 3.0
+_CONNECT_TIMEOUT_S = 3.0
 # The client retries at the next instance itself, with the same operation ID.
-_OPTIONS = (("grpc.enable_retries", 0),)
+_CHANNEL_OPTIONS = (("grpc.enable_retries", 0),)
 
 
 class Connections:
@@ -82,34 +82,34 @@
             UnreachableError: No instance was reachable.
         """
         may_have_run = False
-        refused: Exception = faults.UnreachableError("no address")
+        failure: Exception = faults.UnreachableError("no address")
         for address in tuple(self._addresses):
             try:
-                reply = await self._ask(address, name, request)
+                reply = await self._call_one(address, name, request)
             except faults.UnreachableError as error:
-                refused = error
+                failure = error
             except faults.OperatorError as error:
-                refused = error
-                if not _may_ask_next(error):
+                failure = error
+                if not _may_try_next(error):
                     break
             except _NoAnswerError as error:
-                refused = faults.UnreachableError(str(error))
+                failure = faults.UnreachableError(str(error))
                 may_have_run = may_have_run or name in guard.CHANGES
             else:
-                self._prefer(address)
+                self._move_to_front(address)
                 return messages.from_message(reply, cls)
-        if may_have_run and not _is_verdict(refused):
+        if may_have_run and not _is_rejection(failure):
             # The connection to one instance was lost after the request was
             # sent, so the change may have run there although another
             # instance answered that it did not run.
             raise faults.OperatorError(
                 errors.ErrorKind.OPERATION_UNKNOWN,
-                str(refused),
+                str(failure),
                 operation_id=getattr(request, "operation_id", ""),
             )
-        raise refused
+        raise failure
 
-    async def _ask(
+    async def _call_one(
         self, address: str, name: str, request: protobuf.Message
     ) -> protobuf.Message:
         await self._connect(address)
@@ -118,7 +118,7 @@
                 request, metadata=self._metadata, timeout=self._timeout_s
             )
         except grpc.aio.AioRpcError as error:
-            raise _failure(address, error) from error
+            raise _to_exception(address, error) from error
 
     async def _connect(self, address: str) -> None:
         """Waits for a connection before the request is sent.
@@ -130,7 +130,7 @@
         """
         channel = self._channel(address)
         try:
-            async with asyncio.timeout(_CONNECT_S):
+            async with asyncio.timeout(_CONNECT_TIMEOUT_S):
                 state = channel.get_state(try_to_connect=True)
                 while state is not grpc.ChannelConnectivity.READY:
                     if state is grpc.ChannelConnectivity.TRANSIENT_FAILURE:
@@ -141,7 +141,7 @@
             text = f"{address}: no connection in time"
             raise faults.UnreachableError(text) from error
 
-    def _prefer(self, address: str) -> None:
+    def _move_to_front(self, address: str) -> None:
         """Moves an instance that answered to the front of the list."""
         self._addresses.remove(address)
         self._addresses.insert(0, address)
@@ -149,7 +149,9 @@
     def _channel(self, address: str) -> grpc.aio.Channel:
         channel = self._channels.get(address)
         if channel is None:
-            channel = grpc.aio.insecure_channel(address, options=_OPTIONS)
+            channel = grpc.aio.insecure_channel(
+                address, options=_CHANNEL_OPTIONS
+            )
             self._channels[address] = channel
         return channel
 
@@ -181,7 +183,7 @@
             async for message in call:
                 yield messages.from_message(message, cls)
         except grpc.aio.AioRpcError as error:
-            failure = _failure(address, error)
+            failure = _to_exception(address, error)
             if isinstance(failure, _NoAnswerError):
                 failure = faults.UnreachableError(str(failure))
             raise failure from error
@@ -197,17 +199,18 @@
     return message.SerializeToString()
 
 
-def _may_ask_next(refused: faults.OperatorError) -> bool:
-    return refused.ran is errors.Ran.NO and refused.kind in _ELSEWHERE
+def _may_try_next(failure: faults.OperatorError) -> bool:
+    return failure.ran is errors.Ran.NO and failure.kind in _FAILOVER_KINDS
 
 
-def _is_verdict(refused: Exception) -> bool:
+def _is_rejection(failure: Exception) -> bool:
     return (
-        isinstance(refused, faults.OperatorError) and refused.kind in _VERDICTS
+        isinstance(failure, faults.OperatorError)
+        and failure.kind in _REJECTION_KINDS
     )
 
 
-def _failure(address: str, error: grpc.aio.AioRpcError) -> Exception:
+def _to_exception(address: str, error: grpc.aio.AioRpcError) -> Exception:
     for key, value in error.trailing_metadata() or ():
         if key == adapter.ERROR_DETAIL and isinstance(value, bytes):
             detail = pb.ErrorDetail.FromString(value)
--- a/src/jujubewharf/operators/differences.py
+++ b/src/jujubewharf/operators/differences.py
@@ -15,7 +15,7 @@
 from jujubewharf.operators import values
 
 # Referenced kinds are created before and deleted after their referrers.
-_ORDER = (
+_KIND_ORDER = (
     resources.Kind.MODEL,
     resources.Kind.SERVICE,
     resources.Kind.ENDPOINT,
@@ -57,7 +57,7 @@
         name=name,
         effect=_effect(old, after),
         generation=before.generation if before else 0,
-        fields=tuple(_fields(old, after)),
+        fields=tuple(_field_differences(old, after)),
     )
 
 
@@ -80,17 +80,17 @@
         of_resource(state.get(*key), resource)
         async for key, resource in pacing.paced(named.items())
     ]
-    async for entry in pacing.paced(_others(state, named, is_pruned)):
+    async for entry in pacing.paced(_to_prune(state, named, is_pruned)):
         found.append(of_resource(entry, None))
-    return sorted((item for item in found if item), key=_rank)
+    return sorted((item for item in found if item), key=_sort_key)
 
 
-def _others(
+def _to_prune(
     state: states.State,
     named: dict[states.Key, resources.Resource],
     is_pruned: Callable[[resources.Resource], bool],
 ) -> Iterator[states.Entry]:
-    for kind in _ORDER:
+    for kind in _KIND_ORDER:
         for entry in state.of_kind(kind):
             is_wanted = (kind, entry.resource.name) in named
             if not is_wanted and is_pruned(entry.resource):
@@ -105,32 +105,32 @@
     return values.Effect.DELETE if new is None else values.Effect.CHANGE
 
 
-def _rank(item: values.Difference) -> tuple[int, int, str]:
-    place = _ORDER.index(item.kind)
+def _sort_key(item: values.Difference) -> tuple[int, int, str]:
+    place = _KIND_ORDER.index(item.kind)
     if item.effect is values.Effect.DELETE:
         return 1, -place, item.name
     return 0, place, item.name
 
 
-def _fields(
+def _field_differences(
     old: resources.Resource | None, new: resources.Resource | None
 ) -> Iterator[values.FieldDifference]:
     dump = border.dump if old and new else explicit
-    before = dict(_leaves(dump(old))) if old else {}
-    after = dict(_leaves(dump(new))) if new else {}
+    before = dict(_flatten(dump(old))) if old else {}
+    after = dict(_flatten(dump(new))) if new else {}
     for path in list(before) + [path for path in after if path not in before]:
-        texts = _text(before.get(path)), _text(after.get(path))
+        texts = _to_json(before.get(path)), _to_json(after.get(path))
         if texts[0] != texts[1]:
             yield values.FieldDifference(".".join(path), *texts)
 
 
-def _leaves(data: object, path: _Path = ()) -> Iterator[tuple[_Path, object]]:
+def _flatten(data: object, path: _Path = ()) -> Iterator[tuple[_Path, object]]:
     if not isinstance(data, dict):
         yield path, data
         return
     for name, part in data.items():
-        yield from _leaves(part, (*path, name))
+        yield from _flatten(part, (*path, name))
 
 
-def _text(value: object) -> str:
+def _to_json(value: object) -> str:
     return "" if value is None else json.dumps(value, ensure_ascii=False)
--- a/src/jujubewharf/operators/documents.py
+++ b/src/jujubewharf/operators/documents.py
@@ -16,7 +16,7 @@
 from jujubewharf.configuration import resources
 from jujubewharf.operators import differences
 
-_LISTS = {
+_KIND_BY_LIST = {
     "models": resources.Kind.MODEL,
     "services": resources.Kind.SERVICE,
     "endpoints": resources.Kind.ENDPOINT,
@@ -39,18 +39,20 @@
     if not isinstance(data, dict):
         return result.Err(["(top): must be an object with a list a kind"])
     found: list[resources.Resource] = []
-    faults: list[str] = []
+    violations: list[str] = []
     for name, items in data.items():
-        kind = _LISTS.get(name)
+        kind = _KIND_BY_LIST.get(name)
         if kind is None:
-            faults.append(f"{name}: no such list; it may be {_known()}")
+            violations.append(
+                f"{name}: no such list; it may be {_list_names()}"
+            )
         elif not isinstance(items, list):
-            faults.append(f"{name}: must be a list")
+            violations.append(f"{name}: must be a list")
         else:
             for index, item in enumerate(items):
-                _parse_one(kind, item, f"{name}.{index}", found, faults)
-    faults.extend(_repeated(found))
-    return result.Err(faults) if faults else result.Ok(found)
+                _parse_one(kind, item, f"{name}.{index}", found, violations)
+    violations.extend(_duplicates(found))
+    return result.Err(violations) if violations else result.Ok(found)
 
 
 def dump(held: Sequence[resources.Resource]) -> str:
@@ -65,7 +67,7 @@
             for resource in by_name
             if resources.KIND_OF[type(resource)] is kind
         ]
-        for name, kind in _LISTS.items()
+        for name, kind in _KIND_BY_LIST.items()
     }
     return json.dumps(data, indent=2, ensure_ascii=False) + "\n"
 
@@ -75,16 +77,16 @@
     item: object,
     path: str,
     found: list[resources.Resource],
-    faults: list[str],
+    violations: list[str],
 ) -> None:
     parsed = border.parse(kind, item)
     if parsed.is_ok():
         found.append(parsed.unwrap())
         return
-    faults.extend(f"{path}.{line}" for line in parsed.unwrap_err())
+    violations.extend(f"{path}.{line}" for line in parsed.unwrap_err())
 
 
-def _repeated(found: Sequence[resources.Resource]) -> Iterator[str]:
+def _duplicates(found: Sequence[resources.Resource]) -> Iterator[str]:
     seen = set()
     for resource in found:
         key = differences.key_of(resource)
@@ -93,5 +95,5 @@
         seen.add(key)
 
 
-def _known() -> str:
-    return ", ".join(_LISTS)
+def _list_names() -> str:
+    return ", ".join(_KIND_BY_LIST)
--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -53,8 +53,10 @@
                 ``CONFIG_INVALID``, ``CONFIG_CONFLICT``, ``CONFIG_UNSAFE``,
                 ``LOG_UNAVAILABLE`` or ``OPERATION_UNKNOWN``.
         """
-        wish = _put(_named(operation_id), resource, 0)
-        return await self._one(identity, wish)
+        requested = _put_request(
+            _checked_operation_id(operation_id), resource, 0
+        )
+        return await self._submit_one(identity, requested)
 
     async def change(
         self,
@@ -66,9 +68,11 @@
         operation_id: str = "",
     ) -> values.ChangeDone:
         """Replaces a resource at the expected generation."""
-        _check_expected(expected_generation)
-        wish = _put(_named(operation_id), resource, expected_generation)
-        return await self._one(identity, wish, force=force)
+        _check_expected_generation(expected_generation)
+        requested = _put_request(
+            _checked_operation_id(operation_id), resource, expected_generation
+        )
+        return await self._submit_one(identity, requested, force=force)
 
     async def delete(
         self,
@@ -81,11 +85,15 @@
         operation_id: str = "",
     ) -> values.ChangeDone:
         """Deletes a resource at the expected generation."""
-        _check_expected(expected_generation)
-        wish = submission.Wish(
-            _named(operation_id), kind, name, None, expected_generation
+        _check_expected_generation(expected_generation)
+        requested = submission.Wish(
+            _checked_operation_id(operation_id),
+            kind,
+            name,
+            None,
+            expected_generation,
         )
-        return await self._one(identity, wish, force=force)
+        return await self._submit_one(identity, requested, force=force)
 
     async def rollback(
         self,
@@ -114,9 +122,11 @@
             WharfError: Also ``UNKNOWN_RESOURCE`` if that generation is no
                 longer in the history.
         """
-        resource = self._body_at(kind, name, to_generation)
-        wish = _put(_named(operation_id), resource, expected_generation)
-        return await self._one(identity, wish, force=force)
+        resource = self._resource_at(kind, name, to_generation)
+        requested = _put_request(
+            _checked_operation_id(operation_id), resource, expected_generation
+        )
+        return await self._submit_one(identity, requested, force=force)
 
     async def set_drained(
         self,
@@ -132,7 +142,7 @@
         Raises:
             WharfError: Also ``UNKNOWN_RESOURCE``.
         """
-        operation = _named(operation_id)
+        operation = _checked_operation_id(operation_id)
         entry = self._backend.state.get(resources.Kind.ENDPOINT, name)
         if entry is None or not identities.may_see(identity, entry.resource):
             raise submission.unknown(resources.Kind.ENDPOINT, name)
@@ -142,10 +152,10 @@
         if earlier is not None and earlier.resource == endpoint:
             # A retry of an operation that already changed the generation.
             return values.ChangeDone(
-                operation, earlier.generation, self._offset
+                operation, earlier.generation, self._applied_offset
             )
-        wish = _put(operation, endpoint, entry.generation)
-        return await self._one(identity, wish, force=force)
+        requested = _put_request(operation, endpoint, entry.generation)
+        return await self._submit_one(identity, requested, force=force)
 
     async def apply(
         self,
@@ -179,10 +189,10 @@
         Raises:
             WharfError: As for a single change; no change is applied.
         """
-        operation = _named(operation_id)
-        _check_names(wanted, operation)
+        operation = _checked_operation_id(operation_id)
+        _check_unique(wanted, operation)
         # Changes that are applied after this offset are conflicts.
-        offset = self._offset
+        offset = self._applied_offset
         found = await differences.of_state(
             self._backend.state,
             wanted,
@@ -193,43 +203,43 @@
         named = {differences.key_of(resource): resource for resource in wanted}
         changes: list[records.Change] = []
         async for item in pacing.paced(found):
-            wish = _wish_of(item, named, operation)
-            self._submitter.check(identity, wish)
-            self._submitter.check_seen(wish, seen_offset)
-            changes.append(self._submitter.record(identity, wish))
+            requested = _request_of(item, named, operation)
+            self._submitter.check(identity, requested)
+            self._submitter.check_seen(requested, seen_offset)
+            changes.append(self._submitter.record(identity, requested))
         await self._submitter.check_bodies(changes, operation)
         if dry_run:
             items = tuple(values.AppliedDifference(item) for item in found)
             return values.ApplyReply(operation, items, offset)
         items = await self._submitter.in_runs(found, changes, operation, force)
-        return values.ApplyReply(operation, items, self._offset)
+        return values.ApplyReply(operation, items, self._applied_offset)
 
     @property
-    def _offset(self) -> int:
+    def _applied_offset(self) -> int:
         return self._backend.state.next_offset
 
-    async def _one(
+    async def _submit_one(
         self,
         identity: values.Identity,
-        wish: submission.Wish,
+        requested: submission.Wish,
         *,
         force: bool = False,
     ) -> values.ChangeDone:
-        is_known = self._backend.operation(wish.operation_id) is not None
-        self._submitter.check(identity, wish, is_known=is_known)
-        changes = [self._submitter.record(identity, wish)]
-        await self._submitter.check_bodies(changes, wish.operation_id)
+        is_known = self._backend.operation(requested.operation_id) is not None
+        self._submitter.check(identity, requested, is_known=is_known)
+        changes = [self._submitter.record(identity, requested)]
+        await self._submitter.check_bodies(changes, requested.operation_id)
         [verdict] = await self._submitter.submit(
-            changes, wish.operation_id, force
+            changes, requested.operation_id, force
         )
         error = submission.error_of(verdict)
         if error is not None:
             raise error
         return values.ChangeDone(
-            verdict.operation_id, verdict.generation, self._offset
+            verdict.operation_id, verdict.generation, self._applied_offset
         )
 
-    def _body_at(
+    def _resource_at(
         self, kind: resources.Kind, name: str, generation: int
     ) -> resources.Resource:
         for entry in self._backend.history(kind, name):
@@ -241,14 +251,14 @@
         raise errors.WharfError(errors.ErrorKind.UNKNOWN_RESOURCE, detail)
 
 
-def _put(
+def _put_request(
     operation_id: str, resource: resources.Resource, generation: int
 ) -> submission.Wish:
     kind, name = differences.key_of(resource)
     return submission.Wish(operation_id, kind, name, resource, generation)
 
 
-def _wish_of(
+def _request_of(
     item: values.Difference,
     named: dict[states.Key, resources.Resource],
     operation_id: str,
@@ -262,7 +272,7 @@
     )
 
 
-def _named(operation_id: str) -> str:
+def _checked_operation_id(operation_id: str) -> str:
     if not operation_id:
         return uuid.uuid4().hex
     if len(operation_id) > MAX_OPERATION_ID or not operation_id.isprintable():
@@ -271,13 +281,13 @@
     return operation_id
 
 
-def _check_expected(generation: int) -> None:
+def _check_expected_generation(generation: int) -> None:
     if generation <= 0:
         detail = "expected_generation: is required"
         raise errors.WharfError(errors.ErrorKind.BAD_REQUEST, detail)
 
 
-def _check_names(
+def _check_unique(
     wanted: Sequence[resources.Resource], operation_id: str
 ) -> None:
     seen: set[states.Key] = set()
--- a/src/jujubewharf/operators/faults.py
+++ b/src/jujubewharf/operators/faults.py
@@ -54,7 +54,7 @@
     if not isinstance(error, OperatorError):
         return detail
     return values.ErrorDetail(
-        **{name: getattr(detail, name) for name in _SHARED},
+        **{name: getattr(detail, name) for name in _SHARED_FIELDS},
         operation_id=error.operation_id,
         generation=error.generation,
         violations=error.violations,
@@ -84,4 +84,11 @@
     )
 
 
-_SHARED = ("kind", "ran", "retryable", "message", "detail", "retry_after_ms")
+_SHARED_FIELDS = (
+    "kind",
+    "ran",
+    "retryable",
+    "message",
+    "detail",
+    "retry_after_ms",
+)
--- a/src/jujubewharf/operators/guard.py
+++ b/src/jujubewharf/operators/guard.py
@@ -17,7 +17,7 @@
 from jujubewharf.operators import values
 from jujubewharf.settings import models
 
-_BURST_S = 10.0
+_RATE_WINDOW_S = 10.0
 
 _calls = metrics.get_meter("jujubewharf").create_counter(
     "operators.calls",
@@ -48,7 +48,7 @@
     def __init__(self, settings: models.OperatorSettings) -> None:
         self._settings = settings
         self._limiters: dict[tuple[str, bool], aiolimiter.AsyncLimiter] = {}
-        self._watches = 0
+        self._open_watches = 0
 
     async def admit(self, identity: values.Identity, call: str) -> None:
         """Admits a call within the rate limit of its operator.
@@ -73,15 +73,15 @@
         Raises:
             WharfError: ``TOO_MANY_IN_FLIGHT`` if all slots are in use.
         """
-        if self._watches >= self._settings.max_watches:
+        if self._open_watches >= self._settings.max_watches:
             detail = "no more watches at this instance"
             kind = errors.ErrorKind.TOO_MANY_IN_FLIGHT
             raise errors.WharfError(kind, detail)
-        self._watches += 1
+        self._open_watches += 1
         try:
             yield
         finally:
-            self._watches -= 1
+            self._open_watches -= 1
 
     def count(self, call: str, outcome: str) -> None:
         """Counts a finished call by its outcome."""
@@ -91,8 +91,8 @@
         key = (name, is_change)
         limiter = self._limiters.get(key)
         if limiter is None:
-            burst = max(1.0, self._rate_per_s(is_change) * _BURST_S)
-            limiter = aiolimiter.AsyncLimiter(burst, _BURST_S)
+            burst = max(1.0, self._rate_per_s(is_change) * _RATE_WINDOW_S)
+            limiter = aiolimiter.AsyncLimiter(burst, _RATE_WINDOW_S)
             self._limiters[key] = limiter
         return limiter
 
--- a/src/jujubewharf/operators/identities.py
+++ b/src/jujubewharf/operators/identities.py
@@ -18,7 +18,7 @@
 
 BOOTSTRAP_NAME = "bootstrap"
 
-_BOOTSTRAP = values.Identity(BOOTSTRAP_NAME, resources.OperatorRole.ADMIN)
+_BOOTSTRAP_ADMIN = values.Identity(BOOTSTRAP_NAME, resources.OperatorRole.ADMIN)
 
 _RANKS = {
     resources.OperatorRole.VIEWER: 0,
@@ -42,7 +42,7 @@
         bootstrap_token_sha256: str,
     ) -> None:
         self._state = state
-        self._bootstrap = bootstrap_token_sha256.lower()
+        self._bootstrap_sha256 = bootstrap_token_sha256.lower()
 
     def of_token(self, token: str) -> values.Identity:
         """Returns the identity that a token belongs to.
@@ -53,12 +53,14 @@
         digest = bearer.digest_of(token).encode()
         found: values.Identity | None = None
         # No early exit, so that timing does not reveal which digest matched.
-        if self._bootstrap and _same(self._bootstrap, digest):
-            found = _BOOTSTRAP
+        if self._bootstrap_sha256 and _digests_equal(
+            self._bootstrap_sha256, digest
+        ):
+            found = _BOOTSTRAP_ADMIN
         for entry in self._state().of_kind(resources.Kind.OPERATOR):
             operator = entry.resource
             assert isinstance(operator, resources.Operator)
-            if _same(operator.token_sha256.lower(), digest):
+            if _digests_equal(operator.token_sha256.lower(), digest):
                 found = found or _identity(operator)
         if not token or found is None:
             raise errors.WharfError(errors.ErrorKind.UNAUTHENTICATED)
@@ -106,19 +108,19 @@
         case resources.Endpoint(service=service):
             return service in identity.services
         case resources.Account(services=services):
-            return _is_within(services, identity)
+            return _is_subset(services, identity)
         case resources.Operator(services=services):
-            return _is_within(services, identity)
+            return _is_subset(services, identity)
         case resources.Model():
             return False
 
 
-def _is_within(services: tuple[str, ...], identity: values.Identity) -> bool:
+def _is_subset(services: tuple[str, ...], identity: values.Identity) -> bool:
     # An empty tuple means all services, which exceeds any limited scope.
     return bool(services) and set(services) <= set(identity.services)
 
 
-def _same(held: str, digest: bytes) -> bool:
+def _digests_equal(held: str, digest: bytes) -> bool:
     return hmac.compare_digest(held.encode(), digest)
 
 
--- a/src/jujubewharf/operators/inspection.py
+++ b/src/jujubewharf/operators/inspection.py
@@ -45,9 +45,9 @@
             domain=settings.domain,
             applied_offset=state.next_offset,
             is_caught_up=self._backend.is_caught_up,
-            requests_in_flight=self._in_flight(),
-            refusals=_by_reason("callers.refusals", counts.refused),
-            retries=_by_reason("requests.retries", counts.retries),
+            requests_in_flight=self._requests_in_flight(),
+            refusals=_reason_counts("callers.refusals", counts.refused),
+            retries=_reason_counts("requests.retries", counts.retries),
             members=tuple(self._members()),
             resources=tuple(
                 values.ReasonCount(kind.value, len(state.of_kind(kind)))
@@ -93,7 +93,7 @@
                 found.append(self._engine(view))
         return tuple(found)
 
-    def _in_flight(self) -> int:
+    def _requests_in_flight(self) -> int:
         core = self._core
         return sum(
             core.model_limits.in_flight(entry.resource.name)
@@ -123,8 +123,8 @@
             is_suspect=view.is_suspect,
             own_slots=view.own_slots,
         )
-        report, heard_ms = view.report, view.report_received_ms
-        if report is None or heard_ms is None:
+        report, received_ms = view.report, view.report_received_ms
+        if report is None or received_ms is None:
             return status
         return dataclasses.replace(
             status,
@@ -135,11 +135,11 @@
             slots_used=report.slots_used,
             prefill_queued_tokens=report.prefill_queued_tokens,
             decode_queued=report.decode_queued,
-            report_age_ms=self._core.clock.now_ms() - heard_ms,
+            report_age_ms=self._core.clock.now_ms() - received_ms,
         )
 
 
-def _by_reason(
+def _reason_counts(
     instrument: str, of_models: collections.Counter[str]
 ) -> tuple[values.ReasonCount, ...]:
     """Returns counts by reason, sorted by reason.
--- a/src/jujubewharf/operators/messages.py
+++ b/src/jujubewharf/operators/messages.py
@@ -98,7 +98,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Plan:
+class _FieldMapping:
     """Conversion of one field between a data class and a message.
 
     Attributes:
@@ -123,22 +123,24 @@
 
 
 @functools.cache
-def _plans(cls: Any, message_class: Any) -> tuple[_Plan, ...]:
+def _field_mappings(cls: Any, message_class: Any) -> tuple[_FieldMapping, ...]:
     """Returns the cached conversions of the fields of a data class."""
     described = message_class.DESCRIPTOR.fields_by_name
     hints = typing.get_type_hints(cls)
     return tuple(
-        _plan(field, described[field.name], hints[field.name])
+        _field_mapping(field, described[field.name], hints[field.name])
         for field in dataclasses.fields(cls)
     )
 
 
-def _plans_of(cls: Any, message: Any) -> tuple[_Plan, ...]:
+def _field_mappings_of(cls: Any, message: Any) -> tuple[_FieldMapping, ...]:
     message_class: Any = type(message)
-    return _plans(cls, message_class)
+    return _field_mappings(cls, message_class)
 
 
-def _plan(field: dataclasses.Field[Any], described: Any, hint: Any) -> _Plan:
+def _field_mapping(
+    field: dataclasses.Field[Any], described: Any, hint: Any
+) -> _FieldMapping:
     element = typing.get_args(hint)[0] if described.is_repeated else hint
     cls = _without_none(element)
     members: dict[int, enum.Enum] | None = None
@@ -148,7 +150,7 @@
         found = {n: enum_of(described.enum_type, n, cls) for n in known}
         members = {n: one for n, one in found.items() if one is not None}
         numbers = {one: n for n, one in members.items()}
-    return _Plan(
+    return _FieldMapping(
         name=field.name,
         is_repeated=described.is_repeated,
         has_presence=described.has_presence,
@@ -161,21 +163,23 @@
 
 
 def _fill(message: protobuf.Message, value: Any) -> None:
-    for plan in _plans_of(type(value), message):
-        part = getattr(value, plan.name)
+    for mapping in _field_mappings_of(type(value), message):
+        part = getattr(value, mapping.name)
         if part is None:
             continue
-        if plan.is_repeated:
-            _fill_repeated(getattr(message, plan.name), plan, part)
-        elif plan.is_message:
-            _fill_message(getattr(message, plan.name), part)
+        if mapping.is_repeated:
+            _fill_repeated(getattr(message, mapping.name), mapping, part)
+        elif mapping.is_message:
+            _fill_message(getattr(message, mapping.name), part)
         else:
-            setattr(message, plan.name, _scalar(plan, part))
+            setattr(message, mapping.name, _scalar(mapping, part))
 
 
-def _fill_repeated(repeated: Any, plan: _Plan, parts: tuple[Any, ...]) -> None:
-    if not plan.is_message:
-        repeated.extend(_scalar(plan, part) for part in parts)
+def _fill_repeated(
+    repeated: Any, mapping: _FieldMapping, parts: tuple[Any, ...]
+) -> None:
+    if not mapping.is_message:
+        repeated.extend(_scalar(mapping, part) for part in parts)
         return
     for part in parts:
         _fill_message(repeated.add(), part)
@@ -191,12 +195,12 @@
 
 
 def _fill_resource(message: pb.Resource, resource: resources.Resource) -> None:
-    arm = resources.KIND_OF[type(resource)].value
-    _fill_message(getattr(message, arm), resource)
+    oneof_field = resources.KIND_OF[type(resource)].value
+    _fill_message(getattr(message, oneof_field), resource)
 
 
-def _scalar(plan: _Plan, part: Any) -> Any:
-    return part if plan.numbers is None else plan.numbers[part]
+def _scalar(mapping: _FieldMapping, part: Any) -> Any:
+    return part if mapping.numbers is None else mapping.numbers[part]
 
 
 def _prefix(enum_type: descriptors.EnumDescriptor) -> str:
@@ -216,70 +220,75 @@
         detail = f"field number {unknown.field_number} is unknown here"
         violations.append(values.Violation(path, detail))
     found: dict[str, Any] = {}
-    for plan in _plans_of(cls, message):
-        at = f"{path}.{plan.name}" if path else plan.name
-        part = _read_field(message, plan, at, violations)
+    for mapping in _field_mappings_of(cls, message):
+        field_path = f"{path}.{mapping.name}" if path else mapping.name
+        part = _read_field(message, mapping, field_path, violations)
         if part is not _MISSING:
-            found[plan.name] = part
-        elif plan.is_required and at not in [v.path for v in violations]:
-            violations.append(values.Violation(at, "is required"))
+            found[mapping.name] = part
+        elif mapping.is_required and field_path not in [
+            v.path for v in violations
+        ]:
+            violations.append(values.Violation(field_path, "is required"))
     return cls(**found) if len(violations) == before else None
 
 
 def _read_field(
     message: protobuf.Message,
-    plan: _Plan,
-    at: str,
+    mapping: _FieldMapping,
+    field_path: str,
     violations: list[values.Violation],
 ) -> Any:
-    held = getattr(message, plan.name)
-    if plan.is_repeated:
-        if not plan.is_message and plan.members is None:
+    held = getattr(message, mapping.name)
+    if mapping.is_repeated:
+        if not mapping.is_message and mapping.members is None:
             return tuple(held)
         return tuple(
-            _read_one(plan, part, f"{at}.{index}", violations)
+            _read_one(mapping, part, f"{field_path}.{index}", violations)
             for index, part in enumerate(held)
         )
-    if plan.has_presence and not message.HasField(plan.name):
+    if mapping.has_presence and not message.HasField(mapping.name):
         return _MISSING
-    return _read_one(plan, held, at, violations)
+    return _read_one(mapping, held, field_path, violations)
 
 
 def _read_one(
-    plan: _Plan, part: Any, at: str, violations: list[values.Violation]
+    mapping: _FieldMapping,
+    part: Any,
+    field_path: str,
+    violations: list[values.Violation],
 ) -> Any:
-    if plan.members is not None:
-        return _read_enum(plan.members, part, at, violations)
-    if not plan.is_message:
+    if mapping.members is not None:
+        return _read_enum(mapping.members, part, field_path, violations)
+    if not mapping.is_message:
         return part
     if isinstance(part, pb.Resource):
-        return _read_resource(part, at, violations)
-    return _read(part, plan.cls, at, violations)
+        return _read_resource(part, field_path, violations)
+    return _read(part, mapping.cls, field_path, violations)
 
 
 def _read_resource(
-    message: pb.Resource, at: str, violations: list[values.Violation]
+    message: pb.Resource, field_path: str, violations: list[values.Violation]
 ) -> resources.Resource | None:
-    arm = message.WhichOneof("resource")
-    if arm is None:
-        violations.append(values.Violation(at, "names no known kind"))
+    oneof_field = message.WhichOneof("resource")
+    if oneof_field is None:
+        violations.append(values.Violation(field_path, "names no known kind"))
         return None
-    path = f"{at}.{arm}" if at else ""
-    cls = _CLASS_OF[resources.Kind(arm)]
-    return _read(getattr(message, arm), cls, path, violations)
+    path = f"{field_path}.{oneof_field}" if field_path else ""
+    cls = _CLASS_BY_KIND[resources.Kind(oneof_field)]
+    return _read(getattr(message, oneof_field), cls, path, violations)
 
 
 def _read_enum(
     members: dict[int, enum.Enum],
     number: int,
-    at: str,
+    field_path: str,
     violations: list[values.Violation],
 ) -> Any:
     if number == 0:
         return _MISSING
     if number not in members:
         message = f"value {number} is unknown here"
-        violations.append(values.Violation(at, message))
+        violations.append(values.Violation(field_path, message))
         return _MISSING
     return members[number]
 
@@ -295,4 +304,4 @@
     return hint
 
 
-_CLASS_OF = {kind: cls for cls, kind in resources.KIND_OF.items()}
+_CLASS_BY_KIND = {kind: cls for cls, kind in resources.KIND_OF.items()}
--- a/src/jujubewharf/operators/queries.py
+++ b/src/jujubewharf/operators/queries.py
@@ -21,7 +21,7 @@
 DEFAULT_PAGE_SIZE = 100
 MAX_PAGE_SIZE = 1_000
 
-_REACH_MS = 5_000.0
+_OFFSET_TIMEOUT_MS = 5_000.0
 
 
 class Queries:
@@ -59,7 +59,7 @@
                 or the identity may not see it; ``LOG_UNAVAILABLE`` if the
                 offset is not reached in time.
         """
-        await self._reach(not_before_offset)
+        await self._wait_for_offset(not_before_offset)
         entry = self._backend.state.get(kind, name)
         if entry is None or not identities.may_see(identity, entry.resource):
             detail = f"{kind.value} {name}"
@@ -85,24 +85,26 @@
             WharfError: ``BAD_REQUEST`` if the token belongs to another
                 listing.
         """
-        await self._reach(not_before_offset)
+        await self._wait_for_offset(not_before_offset)
         listing = ["list", kind.value, service]
-        after = _parse_token(page_token, listing)
+        after = _parse_page_token(page_token, listing)
         held = self._backend.state.of_kind(kind)
         start = bisect.bisect_right(
             held, after, key=lambda entry: entry.resource.name
         )
-        scope = _Scope(identity, frozenset((kind,)), service)
+        selection = _Selection(identity, frozenset((kind,)), service)
         entries = (
-            entry for entry in held[start:] if scope.holds(entry.resource)
+            entry
+            for entry in held[start:]
+            if selection.includes(entry.resource)
         )
         size = _page_size(page_size)
         page = list(itertools.islice(entries, size))
         token = ""
         if next(entries, None) is not None:
-            token = _token(listing, page[-1].resource.name)
+            token = _page_token(listing, page[-1].resource.name)
         items = tuple(self._stored(entry) for entry in page)
-        return values.ListReply(items, token, self._offset)
+        return values.ListReply(items, token, self._applied_offset)
 
     async def watch(
         self,
@@ -118,19 +120,19 @@
                 that changes it has not seen are no longer in the history; it
                 has to start a new watch.
         """
-        scope = _Scope(identity, frozenset(kinds), service)
-        offset = self._offset
+        selection = _Selection(identity, frozenset(kinds), service)
+        offset = self._applied_offset
         held = [
             entry
             for kind in resources.Kind
             for entry in self._backend.state.of_kind(kind)
-            if scope.holds(entry.resource)
+            if selection.includes(entry.resource)
         ]
         for entry in held:
             yield _created(entry, offset)
         yield values.WatchEvent(is_snapshot_end=True, applied_offset=offset)
         async for step in self._backend.steps(offset):
-            event = scope.event(step)
+            event = selection.event(step)
             if event is not None:
                 yield event
 
@@ -150,7 +152,7 @@
                 history.
         """
         listing = ["history", kind.value, name]
-        after = _parse_token(page_token, listing)
+        after = _parse_page_token(page_token, listing)
         kept = self._backend.history(kind, name)
         if not _may_see_history(identity, kept):
             kept = []
@@ -163,8 +165,8 @@
         page = entries[:size]
         token = ""
         if len(entries) > size:
-            token = _token(listing, str(page[-1].generation))
-        return values.HistoryReply(tuple(page), token, self._offset)
+            token = _page_token(listing, str(page[-1].generation))
+        return values.HistoryReply(tuple(page), token, self._applied_offset)
 
     async def operation(
         self, identity: values.Identity, operation_id: str
@@ -180,64 +182,66 @@
         """
         entries = self._backend.operations(operation_id)
         for entry in entries:
-            _check_operation(identity, entry)
+            _check_operation_access(identity, entry)
         if not entries:
             state = values.OperationState.NOT_SEEN
             return values.Operation(
-                operation_id, state, applied_offset=self._offset
+                operation_id, state, applied_offset=self._applied_offset
             )
         accepted = [entry for entry in entries if _is_accepted(entry)]
         refused = [entry for entry in entries if not _is_accepted(entry)]
-        told = refused[0] if refused else accepted[-1]
-        detail = told.detail
-        if len(entries) > 1 or told.operation_id != operation_id:
+        reported = refused[0] if refused else accepted[-1]
+        detail = reported.detail
+        if len(entries) > 1 or reported.operation_id != operation_id:
             detail = (
                 f"{len(accepted)} of {len(entries)} judged changes are in"
-                f" force; {told.operation_id} {detail}"
+                f" force; {reported.operation_id} {detail}"
             ).strip()
         return values.Operation(
             operation_id,
-            told.state,
-            0 if refused else told.generation,
+            reported.state,
+            0 if refused else reported.generation,
             detail,
-            self._offset,
+            self._applied_offset,
         )
 
     @property
-    def _offset(self) -> int:
+    def _applied_offset(self) -> int:
         return self._backend.state.next_offset
 
-    async def _reach(self, offset: int) -> None:
-        until_ms = self._clock.now_ms() + _REACH_MS
-        while self._offset < offset:
-            left_ms = until_ms - self._clock.now_ms()
-            if left_ms <= 0:
-                detail = f"folded up to {self._offset} only, not {offset}"
+    async def _wait_for_offset(self, offset: int) -> None:
+        deadline_ms = self._clock.now_ms() + _OFFSET_TIMEOUT_MS
+        while self._applied_offset < offset:
+            remaining_ms = deadline_ms - self._clock.now_ms()
+            if remaining_ms <= 0:
+                detail = (
+                    f"folded up to {self._applied_offset} only, not {offset}"
+                )
                 kind = errors.ErrorKind.LOG_UNAVAILABLE
                 raise errors.WharfError(kind, detail)
-            await self._backend.changed(self._offset, left_ms)
+            await self._backend.changed(self._applied_offset, remaining_ms)
 
     def _stored(self, entry: states.Entry) -> values.StoredResource:
         return values.StoredResource(
-            entry.resource, entry.generation, self._offset
+            entry.resource, entry.generation, self._applied_offset
         )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Scope:
+class _Selection:
     """Resources that one caller may see and has selected."""
 
     identity: values.Identity
     kinds: frozenset[resources.Kind]
     service: str
 
-    def holds(self, resource: resources.Resource | None) -> bool:
+    def includes(self, resource: resources.Resource | None) -> bool:
         if resource is None:
             return False
         kind = resources.KIND_OF[type(resource)]
         if self.kinds and kind not in self.kinds:
             return False
-        return _belongs(resource, self.service) and identities.may_see(
+        return _matches_service(resource, self.service) and identities.may_see(
             self.identity, resource
         )
 
@@ -247,20 +251,23 @@
         A resource that leaves the scope is reported as deleted, and one that
         enters it as created.
         """
-        was_held, is_held = self.holds(step.before), self.holds(step.after)
-        if not was_held and not is_held:
+        was_included, is_included = (
+            self.includes(step.before),
+            self.includes(step.after),
+        )
+        if not was_included and not is_included:
             return None
         effect = values.Effect.CHANGE
-        if not was_held:
+        if not was_included:
             effect = values.Effect.CREATE
-        elif not is_held:
+        elif not is_included:
             effect = values.Effect.DELETE
         return values.WatchEvent(
             effect,
             step.kind,
             step.name,
             step.generation,
-            step.after if is_held else None,
+            step.after if is_included else None,
             applied_offset=step.generation,
         )
 
@@ -276,7 +283,7 @@
     )
 
 
-def _belongs(resource: resources.Resource, service: str) -> bool:
+def _matches_service(resource: resources.Resource, service: str) -> bool:
     if not service:
         return True
     match resource:
@@ -306,7 +313,7 @@
     return entry.state is values.OperationState.ACCEPTED
 
 
-def _check_operation(
+def _check_operation_access(
     identity: values.Identity, entry: values.HistoryEntry
 ) -> None:
     if entry.actor == identity.name or not identity.services:
@@ -324,12 +331,12 @@
     return min(asked or DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE)
 
 
-def _token(listing: list[str], after: str) -> str:
+def _page_token(listing: list[str], after: str) -> str:
     text = json.dumps([*listing, after])
     return base64.urlsafe_b64encode(text.encode()).decode()
 
 
-def _parse_token(token: str, listing: list[str]) -> str:
+def _parse_page_token(token: str, listing: list[str]) -> str:
     if not token:
         return ""
     try:
--- a/src/jujubewharf/operators/server.py
+++ b/src/jujubewharf/operators/server.py
@@ -18,9 +18,9 @@
 MAX_MESSAGE_BYTES = 16_000_000
 
 _GRACE_S = 2.0
-_HEALTH_MS = 500.0
-_NAMES = ("", adapter.SERVICE.full_name)
-_OPTIONS = (
+_HEALTH_INTERVAL_MS = 500.0
+_HEALTH_SERVICE_NAMES = ("", adapter.SERVICE.full_name)
+_SERVER_OPTIONS = (
     # Fails at startup if another process already listens on the port.
     ("grpc.so_reuseport", 0),
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -55,16 +55,16 @@
 
     async def on_start(self) -> None:
         """Starts listening."""
-        server = grpc.aio.server(options=_OPTIONS)
+        server = grpc.aio.server(options=_SERVER_OPTIONS)
         handler = adapter.handler(self._service, guard.Guard(self._settings))
         server.add_generic_rpc_handlers((handler,))
         health_pb2_grpc.add_HealthServicer_to_server(self._health, server)
-        reflected = (
+        reflected_services = (
             adapter.SERVICE.full_name,
             health.SERVICE_NAME,
             reflection.SERVICE_NAME,
         )
-        reflection.enable_server_reflection(reflected, server)
+        reflection.enable_server_reflection(reflected_services, server)
         address = f"{self._settings.host}:{self._settings.port}"
         self.port = server.add_insecure_port(address)
         await server.start()
@@ -77,11 +77,11 @@
             await self._server.stop(_GRACE_S)
 
     @mode.Service.task
-    async def _tell_health(self) -> None:
+    async def _publish_health(self) -> None:
         serving = health_pb2.HealthCheckResponse.SERVING
         not_serving = health_pb2.HealthCheckResponse.NOT_SERVING
         while not self.should_stop:
             status = serving if self._service.is_ready else not_serving
-            for name in _NAMES:
+            for name in _HEALTH_SERVICE_NAMES:
                 await self._health.set(name, status)
-            await self._clock.sleep_ms(_HEALTH_MS)
+            await self._clock.sleep_ms(_HEALTH_INTERVAL_MS)
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -28,12 +28,12 @@
 RUN = 50
 
 # Format of the error lines of ``configuration.validation``.
-_FAULT = re.compile(
+_VIOLATION_LINE = re.compile(
     r"changes\[(?P<index>\d+)\]\.(body\.)?(?P<path>[^:]*): (?P<message>.*)"
 )
 
 _State = values.OperationState
-_KIND_OF_STATE = {
+_ERROR_KIND_BY_STATE = {
     _State.CONFLICT: errors.ErrorKind.CONFIG_CONFLICT,
     _State.INVALID: errors.ErrorKind.CONFIG_INVALID,
     _State.UNSAFE: errors.ErrorKind.CONFIG_UNSAFE,
@@ -144,7 +144,7 @@
         violations: list[values.Violation] = []
         found = validation.find(self._backend.state, changes)
         async for lines in pacing.paced(found):
-            violations.extend(_violation(line, changes) for line in lines)
+            violations.extend(_parse_violation(line, changes) for line in lines)
         if violations:
             raise invalid(tuple(violations), operation_id)
 
@@ -163,20 +163,24 @@
         """
         items: list[values.AppliedDifference] = []
         for start in range(0, len(changes), RUN):
-            run = changes[start : start + RUN]
-            differing = found[start : start + RUN]
+            batch = changes[start : start + RUN]
+            batch_differences = found[start : start + RUN]
             try:
-                verdicts = await self.submit(run, operation_id, force)
+                verdicts = await self.submit(batch, operation_id, force)
             except faults.OperatorError as error:
                 if not items:
                     raise
-                items.extend(_failed(differing, run, error))
-                rest = start + len(run)
+                items.extend(_failed_items(batch_differences, batch, error))
+                next_start = start + len(batch)
                 items.extend(
-                    _failed(found[rest:], changes[rest:], _not_tried(error))
+                    _failed_items(
+                        found[next_start:],
+                        changes[next_start:],
+                        _not_tried_error(error),
+                    )
                 )
                 break
-            items.extend(map(_applied, differing, verdicts))
+            items.extend(map(_applied_item, batch_differences, verdicts))
         return tuple(items)
 
     async def submit(
@@ -232,10 +236,10 @@
         raise invalid((violation,), wish.operation_id)
 
 
-def _violation(
+def _parse_violation(
     line: str, changes: Sequence[records.Change]
 ) -> values.Violation:
-    found = _FAULT.fullmatch(line)
+    found = _VIOLATION_LINE.fullmatch(line)
     if found is None:
         return values.Violation("", line)
     change = changes[int(found["index"])]
@@ -257,7 +261,7 @@
     )
 
 
-def _failed(
+def _failed_items(
     found: Sequence[values.Difference],
     changes: Sequence[records.Change],
     error: faults.OperatorError,
@@ -269,7 +273,7 @@
         yield values.AppliedDifference(item, change.operation_id, error=detail)
 
 
-def _not_tried(error: faults.OperatorError) -> faults.OperatorError:
+def _not_tried_error(error: faults.OperatorError) -> faults.OperatorError:
     detail = "not tried, since an earlier run of changes failed"
     return faults.OperatorError(error.kind, detail, ran=errors.Ran.NO)
 
@@ -283,7 +287,7 @@
 
 def error_of(verdict: backends.Verdict) -> faults.OperatorError | None:
     """Returns the error for a verdict; ``None`` if it was accepted."""
-    kind = _KIND_OF_STATE.get(verdict.state)
+    kind = _ERROR_KIND_BY_STATE.get(verdict.state)
     if kind is None:
         return None
     return faults.OperatorError(
@@ -294,7 +298,7 @@
     )
 
 
-def _applied(
+def _applied_item(
     item: values.Difference, verdict: backends.Verdict
 ) -> values.AppliedDifference:
     error = error_of(verdict)
