--- a/src/jujubewharf/operators/backend.py
+++ b/src/jujubewharf/operators/backend.py
@@ -63,7 +63,7 @@
     after: resources.Resource | None
 
 
-def part_of(operation_id: str, part: str) -> str:
+def child_operation_id(operation_id: str, part: str) -> str:
     """Returns the operation ID of one change within an apply.
 
     Args:
@@ -178,7 +178,7 @@
         item = self.state.history.find(operation_id)
         if item is not None:
             return [_entry(item)]
-        prefix = part_of(operation_id, "")
+        prefix = child_operation_id(operation_id, "")
         return [
             _entry(item)
             for item in self.state.history
--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -264,7 +264,9 @@
     operation_id: str,
 ) -> submission.Wish:
     return submission.Wish(
-        backends.part_of(operation_id, f"{item.kind.value}/{item.name}"),
+        backends.child_operation_id(
+            operation_id, f"{item.kind.value}/{item.name}"
+        ),
         item.kind,
         item.name,
         named.get((item.kind, item.name)),
