--- a/src/jujubewharf/operators/backend.py
+++ b/src/jujubewharf/operators/backend.py
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Step:
+class AppliedChange:
     """One change that was applied.
 
     Attributes:
@@ -127,7 +127,7 @@
         """
         ...
 
-    def steps(self, from_offset: int) -> AsyncIterator[Step]:
+    def steps(self, from_offset: int) -> AsyncIterator[AppliedChange]:
         """Yields changes from an offset on, each as soon as it is applied.
 
         Raises:
@@ -202,12 +202,12 @@
         except TimeoutError:
             return
 
-    async def steps(self, from_offset: int) -> AsyncIterator[Step]:
+    async def steps(self, from_offset: int) -> AsyncIterator[AppliedChange]:
         """See ``Backend``."""
         async for item in self._changes.watch(from_offset):
             if not item.verdict.is_accepted or item.kind not in _RESOURCE_KINDS:
                 continue
-            yield Step(
+            yield AppliedChange(
                 resources.Kind(item.kind),
                 item.name,
                 item.verdict.generation,
--- a/src/jujubewharf/operators/queries.py
+++ b/src/jujubewharf/operators/queries.py
@@ -131,8 +131,8 @@
         for entry in held:
             yield _created(entry, offset)
         yield values.WatchEvent(is_snapshot_end=True, applied_offset=offset)
-        async for step in self._backend.steps(offset):
-            event = selection.event(step)
+        async for change in self._backend.steps(offset):
+            event = selection.event(change)
             if event is not None:
                 yield event
 
@@ -245,15 +245,15 @@
             self.identity, resource
         )
 
-    def event(self, step: backends.Step) -> values.WatchEvent | None:
+    def event(self, change: backends.AppliedChange) -> values.WatchEvent | None:
         """Returns the event for a change; ``None`` if it is out of scope.
 
         A resource that leaves the scope is reported as deleted, and one that
         enters it as created.
         """
         was_included, is_included = (
-            self.includes(step.before),
-            self.includes(step.after),
+            self.includes(change.before),
+            self.includes(change.after),
         )
         if not was_included and not is_included:
             return None
@@ -264,11 +264,11 @@
             effect = values.Effect.DELETE
         return values.WatchEvent(
             effect,
-            step.kind,
-            step.name,
-            step.generation,
-            step.after if is_included else None,
-            applied_offset=step.generation,
+            change.kind,
+            change.name,
+            change.generation,
+            change.after if is_included else None,
+            applied_offset=change.generation,
         )
 
 
