--- a/src/jujubewharf/operators/backend.py
+++ b/src/jujubewharf/operators/backend.py
@@ -127,7 +127,7 @@
         """
         ...
 
-    def steps(self, from_offset: int) -> AsyncIterator[AppliedChange]:
+    def applied_changes(self, from_offset: int) -> AsyncIterator[AppliedChange]:
         """Yields changes from an offset on, each as soon as it is applied.
 
         Raises:
@@ -202,7 +202,9 @@
         except TimeoutError:
             return
 
-    async def steps(self, from_offset: int) -> AsyncIterator[AppliedChange]:
+    async def applied_changes(
+        self, from_offset: int
+    ) -> AsyncIterator[AppliedChange]:
         """See ``Backend``."""
         async for item in self._changes.watch(from_offset):
             if not item.verdict.is_accepted or item.kind not in _RESOURCE_KINDS:
--- a/src/jujubewharf/operators/queries.py
+++ b/src/jujubewharf/operators/queries.py
@@ -131,7 +131,7 @@
         for entry in held:
             yield _created(entry, offset)
         yield values.WatchEvent(is_snapshot_end=True, applied_offset=offset)
-        async for change in self._backend.steps(offset):
+        async for change in self._backend.applied_changes(offset):
             event = selection.event(change)
             if event is not None:
                 yield event
