--- a/src/jujubewharf/operators/backend.py
+++ b/src/jujubewharf/operators/backend.py
@@ -118,7 +118,7 @@
         """Returns the changes of a resource, oldest first."""
         ...
 
-    async def changed(self, since_offset: int, wait_ms: float) -> None:
+    async def wait_past_offset(self, since_offset: int, wait_ms: float) -> None:
         """Waits until records past an offset are applied, or for ``wait_ms``.
 
         Args:
@@ -191,7 +191,7 @@
         """See ``Backend``."""
         return [_entry(item) for item in self._changes.history(kind, name)]
 
-    async def changed(self, since_offset: int, wait_ms: float) -> None:
+    async def wait_past_offset(self, since_offset: int, wait_ms: float) -> None:
         """See ``Backend``."""
         folded = self._folded
         if self.state.next_offset > since_offset:
--- a/src/jujubewharf/operators/queries.py
+++ b/src/jujubewharf/operators/queries.py
@@ -219,7 +219,9 @@
                 )
                 kind = errors.ErrorKind.LOG_UNAVAILABLE
                 raise errors.WharfError(kind, detail)
-            await self._backend.changed(self._applied_offset, remaining_ms)
+            await self._backend.wait_past_offset(
+                self._applied_offset, remaining_ms
+            )
 
     def _stored(self, entry: states.Entry) -> values.StoredResource:
         return values.StoredResource(
