--- a/src/jujubewharf/operators/differences.py
+++ b/src/jujubewharf/operators/differences.py
@@ -42,7 +42,7 @@
     return data
 
 
-def of_resource(
+def diff_resource(
     before: states.Entry | None, after: resources.Resource | None
 ) -> values.Difference | None:
     """Returns the difference of one resource; ``None`` if it is unchanged."""
@@ -77,11 +77,11 @@
     """
     named = {key_of(resource): resource for resource in wanted}
     found = [
-        of_resource(state.get(*key), resource)
+        diff_resource(state.get(*key), resource)
         async for key, resource in pacing.paced(named.items())
     ]
     async for entry in pacing.paced(_to_prune(state, named, is_pruned)):
-        found.append(of_resource(entry, None))
+        found.append(diff_resource(entry, None))
     return sorted((item for item in found if item), key=_sort_key)
 
 
