--- a/src/jujubewharf/operators/differences.py
+++ b/src/jujubewharf/operators/differences.py
@@ -61,7 +61,7 @@
     )
 
 
-async def of_state(
+async def diff_state(
     state: states.State,
     wanted: Sequence[resources.Resource],
     *,
--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -193,7 +193,7 @@
         _check_unique(wanted, operation)
         # Changes that are applied after this offset are conflicts.
         offset = self._applied_offset
-        found = await differences.of_state(
+        found = await differences.diff_state(
             self._backend.state,
             wanted,
             is_pruned=lambda resource: (
