--- a/src/jujubewharf/operators/differences.py
+++ b/src/jujubewharf/operators/differences.py
@@ -31,7 +31,7 @@
     return resources.KIND_OF[type(resource)], resource.name
 
 
-def explicit(resource: resources.Resource) -> dict[str, object]:
+def without_defaults(resource: resources.Resource) -> dict[str, object]:
     """Returns a resource as JSON data without fields at their default."""
     data = border.dump(resource)
     for field in dataclasses.fields(resource):
@@ -115,7 +115,7 @@
 def _field_differences(
     old: resources.Resource | None, new: resources.Resource | None
 ) -> Iterator[values.FieldDifference]:
-    dump = border.dump if old and new else explicit
+    dump = border.dump if old and new else without_defaults
     before = dict(_flatten(dump(old))) if old else {}
     after = dict(_flatten(dump(new))) if new else {}
     for path in list(before) + [path for path in after if path not in before]:
--- a/src/jujubewharf/operators/documents.py
+++ b/src/jujubewharf/operators/documents.py
@@ -63,7 +63,7 @@
     by_name = sorted(held, key=lambda resource: resource.name)
     data = {
         name: [
-            differences.explicit(resource)
+            differences.without_defaults(resource)
             for resource in by_name
             if resources.KIND_OF[type(resource)] is kind
         ]
