--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -86,7 +86,7 @@
     ) -> values.ChangeDone:
         """Deletes a resource at the expected generation."""
         _check_expected_generation(expected_generation)
-        requested = submission.Wish(
+        requested = submission.RequestedChange(
             _checked_operation_id(operation_id),
             kind,
             name,
@@ -221,7 +221,7 @@
     async def _submit_one(
         self,
         identity: values.Identity,
-        requested: submission.Wish,
+        requested: submission.RequestedChange,
         *,
         force: bool = False,
     ) -> values.ChangeDone:
@@ -253,17 +253,19 @@
 
 def _put_request(
     operation_id: str, resource: resources.Resource, generation: int
-) -> submission.Wish:
+) -> submission.RequestedChange:
     kind, name = differences.key_of(resource)
-    return submission.Wish(operation_id, kind, name, resource, generation)
+    return submission.RequestedChange(
+        operation_id, kind, name, resource, generation
+    )
 
 
 def _request_of(
     item: values.Difference,
     named: dict[states.Key, resources.Resource],
     operation_id: str,
-) -> submission.Wish:
-    return submission.Wish(
+) -> submission.RequestedChange:
+    return submission.RequestedChange(
         backends.child_operation_id(
             operation_id, f"{item.kind.value}/{item.name}"
         ),
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
+class RequestedChange:
     """One change requested by an operator.
 
     Attributes:
@@ -73,11 +73,13 @@
         self._backend = backend
         self._clock = clock
 
-    def check_seen(self, wish: Wish, seen_offset: int | None) -> None:
+    def check_seen(
+        self, change: RequestedChange, seen_offset: int | None
+    ) -> None:
         """Refuses a change if the resource changed after ``seen_offset``.
 
         Args:
-            wish: Requested change.
+            change: Requested change.
             seen_offset: Log offset that the operator saw; ``None`` skips the
                 check.
 
@@ -87,19 +89,19 @@
         if seen_offset is None:
             return
         # The history also covers a delete, after which no entry exists.
-        for entry in self._backend.history(wish.kind, wish.name)[-1:]:
+        for entry in self._backend.history(change.kind, change.name)[-1:]:
             if entry.generation > seen_offset:
                 raise faults.OperatorError(
                     errors.ErrorKind.CONFIG_CONFLICT,
-                    f"{entry.actor} changed {wish.kind.value} {wish.name}",
-                    operation_id=wish.operation_id,
+                    f"{entry.actor} changed {change.kind.value} {change.name}",
+                    operation_id=change.operation_id,
                     generation=entry.generation,
                 )
 
     def check(
         self,
         identity: values.Identity,
-        wish: Wish,
+        change: RequestedChange,
         *,
         is_known: bool = False,
     ) -> None:
@@ -107,31 +109,31 @@
 
         Args:
             identity: Identity of the caller.
-            wish: Requested change.
+            change: Requested change.
             is_known: Whether the operation already has a verdict.
 
         Raises:
             WharfError: ``FORBIDDEN``, ``UNKNOWN_RESOURCE`` or
                 ``CONFIG_INVALID``.
         """
-        held = self._backend.state.get(wish.kind, wish.name)
+        held = self._backend.state.get(change.kind, change.name)
         involved = [held.resource] if held else []
-        if wish.resource is not None:
-            involved.append(wish.resource)
+        if change.resource is not None:
+            involved.append(change.resource)
         # A retried delete finds no resource, but still returns its result.
         if not involved and not is_known:
-            raise unknown(wish.kind, wish.name)
+            raise unknown(change.kind, change.name)
         # Moving an endpoint requires permission for both services.
         if not all(identities.may_change(identity, one) for one in involved):
             kind = errors.ErrorKind.FORBIDDEN
-            detail = f"{identity.name} may not change {wish.kind.value}"
+            detail = f"{identity.name} may not change {change.kind.value}"
             raise faults.OperatorError(
                 kind,
-                f"{detail} {wish.name}",
-                operation_id=wish.operation_id,
+                f"{detail} {change.name}",
+                operation_id=change.operation_id,
             )
-        if isinstance(wish.resource, resources.Operator):
-            _check_operator_name(wish)
+        if isinstance(change.resource, resources.Operator):
+            _check_operator_name(change)
 
     async def check_bodies(
         self, changes: Sequence[records.Change], operation_id: str
@@ -201,18 +203,20 @@
                 retry_after_ms=error.retry_after_ms,
             ) from error
 
-    def record(self, identity: values.Identity, wish: Wish) -> records.Change:
+    def record(
+        self, identity: values.Identity, change: RequestedChange
+    ) -> records.Change:
         """Returns the log record of a requested change."""
         verb, body = records.Verb.DELETE, {}
-        if wish.resource is not None:
-            verb, body = records.Verb.PUT, self._body(wish.resource)
+        if change.resource is not None:
+            verb, body = records.Verb.PUT, self._body(change.resource)
         return records.Change(
-            operation_id=wish.operation_id,
+            operation_id=change.operation_id,
             actor=identity.name,
             verb=verb,
-            kind=wish.kind.value,
-            name=wish.name,
-            expected_generation=wish.expected_generation,
+            kind=change.kind.value,
+            name=change.name,
+            expected_generation=change.expected_generation,
             body=body,
             wall_ms=self._clock.wall_ms(),
         )
@@ -229,11 +233,11 @@
         return border.dump_whole(resource, msgpack.unpackb(held.extra_packed))
 
 
-def _check_operator_name(wish: Wish) -> None:
+def _check_operator_name(change: RequestedChange) -> None:
     # In the history it would look like the built-in admin.
-    if wish.name == identities.BOOTSTRAP_NAME:
+    if change.name == identities.BOOTSTRAP_NAME:
         violation = values.Violation("name", "is the built-in admin's")
-        raise invalid((violation,), wish.operation_id)
+        raise invalid((violation,), change.operation_id)
 
 
 def _parse_violation(
