--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -211,7 +211,9 @@
         if dry_run:
             items = tuple(values.AppliedDifference(item) for item in found)
             return values.ApplyReply(operation, items, offset)
-        items = await self._submitter.in_runs(found, changes, operation, force)
+        items = await self._submitter.submit_in_batches(
+            found, changes, operation, force
+        )
         return values.ApplyReply(operation, items, self._applied_offset)
 
     @property
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -150,7 +150,7 @@
         if violations:
             raise invalid(tuple(violations), operation_id)
 
-    async def in_runs(
+    async def submit_in_batches(
         self,
         found: Sequence[values.Difference],
         changes: Sequence[records.Change],
