--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -25,7 +25,7 @@
 
 # Changes that are appended to the log together. Every instance applies them
 # without yielding, so a larger batch would stall its streams for longer.
-RUN = 50
+BATCH_SIZE = 50
 
 # Format of the error lines of ``configuration.validation``.
 _VIOLATION_LINE = re.compile(
@@ -164,9 +164,9 @@
         batches state that they were not tried.
         """
         items: list[values.AppliedDifference] = []
-        for start in range(0, len(changes), RUN):
-            batch = changes[start : start + RUN]
-            batch_differences = found[start : start + RUN]
+        for start in range(0, len(changes), BATCH_SIZE):
+            batch = changes[start : start + BATCH_SIZE]
+            batch_differences = found[start : start + BATCH_SIZE]
             try:
                 verdicts = await self.submit(batch, operation_id, force)
             except faults.OperatorError as error:
--- a/tests/operators/test_failures.py
+++ b/tests/operators/test_failures.py
@@ -276,11 +276,11 @@
         state.listen(lambda _: setattr(log, "is_cut", True))
         reply = await client.apply(many)
         in_force = [item for item in reply.items if item.error is None]
-        assert len(in_force) == submission.RUN
+        assert len(in_force) == submission.BATCH_SIZE
         assert {item.error.ran for item in reply.failed if item.error} == {
             errors.Ran.NO
         }
-        assert len(reply.failed) == len(many) - submission.RUN
+        assert len(reply.failed) == len(many) - submission.BATCH_SIZE
 
 
 async def test_streams_go_on_while_a_large_file_is_applied():
