--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -205,7 +205,7 @@
         async for item in pacing.paced(found):
             requested = _request_of(item, named, operation)
             self._submitter.check(identity, requested)
-            self._submitter.check_seen(requested, seen_offset)
+            self._submitter.check_unchanged_since(requested, seen_offset)
             changes.append(self._submitter.record(identity, requested))
         await self._submitter.check_bodies(changes, operation)
         if dry_run:
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -73,7 +73,7 @@
         self._backend = backend
         self._clock = clock
 
-    def check_seen(
+    def check_unchanged_since(
         self, change: RequestedChange, seen_offset: int | None
     ) -> None:
         """Refuses a change if the resource changed after ``seen_offset``.
