--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -206,7 +206,7 @@
             requested = _request_of(item, named, operation)
             self._submitter.check(identity, requested)
             self._submitter.check_unchanged_since(requested, seen_offset)
-            changes.append(self._submitter.record(identity, requested))
+            changes.append(self._submitter.to_record(identity, requested))
         await self._submitter.check_bodies(changes, operation)
         if dry_run:
             items = tuple(values.AppliedDifference(item) for item in found)
@@ -229,7 +229,7 @@
     ) -> values.ChangeDone:
         is_known = self._backend.operation(requested.operation_id) is not None
         self._submitter.check(identity, requested, is_known=is_known)
-        changes = [self._submitter.record(identity, requested)]
+        changes = [self._submitter.to_record(identity, requested)]
         await self._submitter.check_bodies(changes, requested.operation_id)
         [verdict] = await self._submitter.submit(
             changes, requested.operation_id, force
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -203,7 +203,7 @@
                 retry_after_ms=error.retry_after_ms,
             ) from error
 
-    def record(
+    def to_record(
         self, identity: values.Identity, change: RequestedChange
     ) -> records.Change:
         """Returns the log record of a requested change."""
