--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -145,7 +145,9 @@
         operation = _checked_operation_id(operation_id)
         entry = self._backend.state.get(resources.Kind.ENDPOINT, name)
         if entry is None or not identities.may_see(identity, entry.resource):
-            raise submission.unknown(resources.Kind.ENDPOINT, name)
+            raise submission.unknown_resource_error(
+                resources.Kind.ENDPOINT, name
+            )
         assert isinstance(entry.resource, resources.Endpoint)
         endpoint = dataclasses.replace(entry.resource, drained=drained)
         earlier = self._backend.operation(operation)
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -122,7 +122,7 @@
             involved.append(change.resource)
         # A retried delete finds no resource, but still returns its result.
         if not involved and not is_known:
-            raise unknown(change.kind, change.name)
+            raise unknown_resource_error(change.kind, change.name)
         # Moving an endpoint requires permission for both services.
         if not all(identities.may_change(identity, one) for one in involved):
             kind = errors.ErrorKind.FORBIDDEN
@@ -282,7 +282,9 @@
     return faults.OperatorError(error.kind, detail, ran=errors.Ran.NO)
 
 
-def unknown(kind: resources.Kind, name: str) -> errors.WharfError:
+def unknown_resource_error(
+    kind: resources.Kind, name: str
+) -> errors.WharfError:
     """Returns the error for a resource that does not exist."""
     return errors.WharfError(
         errors.ErrorKind.UNKNOWN_RESOURCE, f"{kind.value} {name}"
