--- a/src/jujubewharf/operators/calls.py
+++ b/src/jujubewharf/operators/calls.py
@@ -257,7 +257,9 @@
 ) -> resources.Resource:
     read = messages.resource_from_message(request.resource)
     if read.is_err():
-        raise submission.invalid(read.unwrap_err(), request.operation_id)
+        raise submission.invalid_config_error(
+            read.unwrap_err(), request.operation_id
+        )
     return read.unwrap()
 
 
@@ -274,7 +276,9 @@
             for fault in read.unwrap_err()
         )
     if violations:
-        raise submission.invalid(tuple(violations), request.operation_id)
+        raise submission.invalid_config_error(
+            tuple(violations), request.operation_id
+        )
     return found
 
 
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -148,7 +148,7 @@
         async for lines in pacing.paced(found):
             violations.extend(_parse_violation(line, changes) for line in lines)
         if violations:
-            raise invalid(tuple(violations), operation_id)
+            raise invalid_config_error(tuple(violations), operation_id)
 
     async def submit_in_batches(
         self,
@@ -237,7 +237,7 @@
     # In the history it would look like the built-in admin.
     if change.name == identities.BOOTSTRAP_NAME:
         violation = values.Violation("name", "is the built-in admin's")
-        raise invalid((violation,), change.operation_id)
+        raise invalid_config_error((violation,), change.operation_id)
 
 
 def _parse_violation(
@@ -253,7 +253,7 @@
     return values.Violation(path, found["message"])
 
 
-def invalid(
+def invalid_config_error(
     violations: tuple[values.Violation, ...], operation_id: str
 ) -> faults.OperatorError:
     """Returns an error that lists all violations."""
