--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -236,7 +236,7 @@
         [verdict] = await self._submitter.submit(
             changes, requested.operation_id, force
         )
-        error = submission.error_of(verdict)
+        error = submission.verdict_error(verdict)
         if error is not None:
             raise error
         return values.ChangeDone(
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -291,7 +291,7 @@
     )
 
 
-def error_of(verdict: backends.Verdict) -> faults.OperatorError | None:
+def verdict_error(verdict: backends.Verdict) -> faults.OperatorError | None:
     """Returns the error for a verdict; ``None`` if it was accepted."""
     kind = _ERROR_KIND_BY_STATE.get(verdict.state)
     if kind is None:
@@ -307,7 +307,7 @@
 def _applied_item(
     item: values.Difference, verdict: backends.Verdict
 ) -> values.AppliedDifference:
-    error = error_of(verdict)
+    error = verdict_error(verdict)
     return values.AppliedDifference(
         item,
         verdict.operation_id,
