--- a/src/jujubewharf/commands/ctl_session.py
+++ b/src/jujubewharf/commands/ctl_session.py
@@ -75,7 +75,7 @@
         except faults.UnreachableError as error:
             fail(ExitCode.UNREACHABLE, str(error))
         except errors.WharfError as error:
-            fail_with(faults.detail_of(error), as_json=as_json)
+            fail_with(faults.to_detail(error), as_json=as_json)
 
     async def _run_with_client(
         self,
--- a/src/jujubewharf/operators/adapter.py
+++ b/src/jujubewharf/operators/adapter.py
@@ -168,7 +168,7 @@
             )
             error = errors.WharfError(errors.ErrorKind.INTERNAL)
         self._guard.count(name, error.kind.value)
-        detail = faults.detail_of(error)
+        detail = faults.to_detail(error)
         trailer = messages.to_message(detail, pb.ErrorDetail)
         await context.abort(
             grpc.StatusCode[error.answer.grpc_code],
--- a/src/jujubewharf/operators/faults.py
+++ b/src/jujubewharf/operators/faults.py
@@ -40,7 +40,7 @@
     """No instance was reachable; the call did not run."""
 
 
-def detail_of(error: errors.WharfError) -> values.ErrorDetail:
+def to_detail(error: errors.WharfError) -> values.ErrorDetail:
     """Returns the error detail that is sent to the client."""
     row = error.answer
     detail = values.ErrorDetail(
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -272,7 +272,7 @@
 ) -> Iterator[values.AppliedDifference]:
     for item, change in zip(found, changes, strict=True):
         detail = dataclasses.replace(
-            faults.detail_of(error), operation_id=change.operation_id
+            faults.to_detail(error), operation_id=change.operation_id
         )
         yield values.AppliedDifference(item, change.operation_id, error=detail)
 
@@ -312,5 +312,5 @@
         item,
         verdict.operation_id,
         0 if error else verdict.generation,
-        faults.detail_of(error) if error else None,
+        faults.to_detail(error) if error else None,
     )
