--- a/src/jujubewharf/operators/identities.py
+++ b/src/jujubewharf/operators/identities.py
@@ -44,7 +44,7 @@
         self._state = state
         self._bootstrap_sha256 = bootstrap_token_sha256.lower()
 
-    def of_token(self, token: str) -> values.Identity:
+    def authenticate(self, token: str) -> values.Identity:
         """Returns the identity that a token belongs to.
 
         Raises:
--- a/src/jujubewharf/operators/service.py
+++ b/src/jujubewharf/operators/service.py
@@ -52,4 +52,4 @@
             # Without a configuration every token would look invalid.
             kind = errors.ErrorKind.NOT_READY
             raise errors.WharfError(kind, retry_after_ms=_RETRY_AFTER_MS)
-        return self._identities.of_token(token)
+        return self._identities.authenticate(token)
