--- a/src/jujubewharf/operators/pacing.py
+++ b/src/jujubewharf/operators/pacing.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from typing import TypeVar
 
-PIECE = 32
+CHUNK_SIZE = 32
 
 _Item = TypeVar("_Item")
 
@@ -20,5 +20,5 @@
     """Yields the items and lets other tasks run after every few items."""
     for number, item in enumerate(items, start=1):
         yield item
-        if number % PIECE == 0:
+        if number % CHUNK_SIZE == 0:
             await asyncio.sleep(0)
--- a/tests/operators/test_failures.py
+++ b/tests/operators/test_failures.py
@@ -289,7 +289,7 @@
         operators = deployment.bench.instances["e1"].operators
         many = [
             dataclasses.replace(deployments.TILL, name=f"till-{number:04}")
-            for number in range(40 * pacing.PIECE)
+            for number in range(40 * pacing.CHUNK_SIZE)
         ]
         turns = 0
 
