--- a/src/jujubewharf/operators/adapter.py
+++ b/src/jujubewharf/operators/adapter.py
@@ -34,15 +34,15 @@
 
 
 def handler(
-    service: services.OperatorService, guard: guards.Guard
+    service: services.OperatorService, call_limiter: guards.CallLimiter
 ) -> grpc.GenericRpcHandler:
     """Returns a handler that serves every RPC of the schema.
 
     Args:
         service: Service that executes the calls.
-        guard: Limits and counts the calls of each operator.
+        call_limiter: Limits and counts the calls of each operator.
     """
-    grpc_adapter = _GrpcAdapter(service, guard)
+    grpc_adapter = _GrpcAdapter(service, call_limiter)
     return grpc.method_handlers_generic_handler(
         SERVICE.full_name,
         {
@@ -54,10 +54,12 @@
 
 class _GrpcAdapter:
     def __init__(
-        self, service: services.OperatorService, guard: guards.Guard
+        self,
+        service: services.OperatorService,
+        call_limiter: guards.CallLimiter,
     ) -> None:
         self._service = service
-        self._guard = guard
+        self._call_limiter = call_limiter
         self._logger = structlog.get_logger()
 
     def handler(self, method: Any) -> grpc.RpcMethodHandler[Any, Any]:
@@ -79,13 +81,13 @@
         ) -> protobuf.Message:
             try:
                 identity = self._identity(context)
-                await self._guard.admit(identity, name)
+                await self._call_limiter.admit(identity, name)
                 reply = await self._call_with_audit(
                     name, identity, call, request
                 )
             except Exception as error:
                 await self._abort(name, error, context)
-            self._guard.count(name, _OK)
+            self._call_limiter.count(name, _OK)
             return reply
 
         return answer
@@ -132,8 +134,8 @@
         ) -> AsyncIterator[protobuf.Message]:
             try:
                 identity = self._identity(context)
-                await self._guard.admit(identity, name)
-                with self._guard.watching():
+                await self._call_limiter.admit(identity, name)
+                with self._call_limiter.watching():
                     async for part in call(self._service, identity, request):
                         self._check_identity_unchanged(identity, context)
                         yield part
@@ -167,7 +169,7 @@
                 "operator_call_crashed", call=name, exc_info=error
             )
             error = errors.WharfError(errors.ErrorKind.INTERNAL)
-        self._guard.count(name, error.kind.value)
+        self._call_limiter.count(name, error.kind.value)
         detail = faults.to_detail(error)
         trailer = messages.to_message(detail, pb.ErrorDetail)
         await context.abort(
--- a/src/jujubewharf/operators/guard.py
+++ b/src/jujubewharf/operators/guard.py
@@ -38,7 +38,7 @@
 )
 
 
-class Guard:
+class CallLimiter:
     """Limits and counts operator calls at this instance.
 
     Args:
--- a/src/jujubewharf/operators/server.py
+++ b/src/jujubewharf/operators/server.py
@@ -56,7 +56,9 @@
     async def on_start(self) -> None:
         """Starts listening."""
         server = grpc.aio.server(options=_SERVER_OPTIONS)
-        handler = adapter.handler(self._service, guard.Guard(self._settings))
+        handler = adapter.handler(
+            self._service, guard.CallLimiter(self._settings)
+        )
         server.add_generic_rpc_handlers((handler,))
         health_pb2_grpc.add_HealthServicer_to_server(self._health, server)
         reflected_services = (
