--- a/src/jujubewharf/operators/adapter.py
+++ b/src/jujubewharf/operators/adapter.py
@@ -135,7 +135,7 @@
             try:
                 identity = self._identity(context)
                 await self._call_limiter.admit(identity, name)
-                with self._call_limiter.watching():
+                with self._call_limiter.watch_slot():
                     async for part in call(self._service, identity, request):
                         self._check_identity_unchanged(identity, context)
                         yield part
--- a/src/jujubewharf/operators/guard.py
+++ b/src/jujubewharf/operators/guard.py
@@ -67,7 +67,7 @@
         await limiter.acquire()
 
     @contextlib.contextmanager
-    def watching(self) -> Iterator[None]:
+    def watch_slot(self) -> Iterator[None]:
         """Reserves one of the watch slots for the duration of the block.
 
         Raises:
