--- a/src/jujubewharf/operators/adapter.py
+++ b/src/jujubewharf/operators/adapter.py
@@ -117,7 +117,7 @@
             raise
         finally:
             is_dry = getattr(request, "dry_run", False)
-            if name in guards.CHANGES and not is_dry:
+            if name in guards.CHANGE_CALLS and not is_dry:
                 self._logger.info(
                     "operator_change",
                     call=name,
--- a/src/jujubewharf/operators/connections.py
+++ b/src/jujubewharf/operators/connections.py
@@ -94,7 +94,7 @@
                     break
             except _NoAnswerError as error:
                 failure = faults.UnreachableError(str(error))
-                may_have_run = may_have_run or name in guard.CHANGES
+                may_have_run = may_have_run or name in guard.CHANGE_CALLS
             else:
                 self._move_to_front(address)
                 return messages.from_message(reply, cls)
--- a/src/jujubewharf/operators/guard.py
+++ b/src/jujubewharf/operators/guard.py
@@ -24,7 +24,7 @@
     description="Calls of operators, by call and outcome.",
 )
 
-CHANGES = frozenset(
+CHANGE_CALLS = frozenset(
     {
         "Create",
         "Change",
@@ -56,7 +56,7 @@
         Raises:
             WharfError: ``RATE_LIMITED`` if the limit is exceeded.
         """
-        is_change = call in CHANGES
+        is_change = call in CHANGE_CALLS
         limiter = self._limiter(identity.name, is_change)
         if not limiter.has_capacity():
             raise errors.WharfError(
