--- a/src/jujubewharf/operators/adapter.py
+++ b/src/jujubewharf/operators/adapter.py
@@ -15,9 +15,9 @@
 import structlog
 
 from jujubewharf import errors
+from jujubewharf.operators import call_limits
 from jujubewharf.operators import calls
 from jujubewharf.operators import faults
-from jujubewharf.operators import guard as guards
 from jujubewharf.operators import jujubewharf_pb2 as pb
 from jujubewharf.operators import messages
 from jujubewharf.operators import service as services
@@ -34,7 +34,7 @@
 
 
 def handler(
-    service: services.OperatorService, call_limiter: guards.CallLimiter
+    service: services.OperatorService, call_limiter: call_limits.CallLimiter
 ) -> grpc.GenericRpcHandler:
     """Returns a handler that serves every RPC of the schema.
 
@@ -56,7 +56,7 @@
     def __init__(
         self,
         service: services.OperatorService,
-        call_limiter: guards.CallLimiter,
+        call_limiter: call_limits.CallLimiter,
     ) -> None:
         self._service = service
         self._call_limiter = call_limiter
@@ -117,7 +117,7 @@
             raise
         finally:
             is_dry = getattr(request, "dry_run", False)
-            if name in guards.CHANGE_CALLS and not is_dry:
+            if name in call_limits.CHANGE_CALLS and not is_dry:
                 self._logger.info(
                     "operator_change",
                     call=name,
--- a/src/jujubewharf/operators/connections.py
+++ b/src/jujubewharf/operators/connections.py
@@ -15,8 +15,8 @@
 from jujubewharf import clock as clocks
 from jujubewharf import errors
 from jujubewharf.operators import adapter
+from jujubewharf.operators import call_limits
 from jujubewharf.operators import faults
-from jujubewharf.operators import guard
 from jujubewharf.operators import jujubewharf_pb2 as pb
 from jujubewharf.operators import messages
 from jujubewharf.operators import values
@@ -94,7 +94,7 @@
                     break
             except _NoAnswerError as error:
                 failure = faults.UnreachableError(str(error))
-                may_have_run = may_have_run or name in guard.CHANGE_CALLS
+                may_have_run = may_have_run or name in call_limits.CHANGE_CALLS
             else:
                 self._move_to_front(address)
                 return messages.from_message(reply, cls)
--- a/src/jujubewharf/operators/server.py
+++ b/src/jujubewharf/operators/server.py
@@ -11,7 +11,7 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf.operators import adapter
-from jujubewharf.operators import guard
+from jujubewharf.operators import call_limits
 from jujubewharf.operators import service as services
 from jujubewharf.settings import models
 
@@ -57,7 +57,7 @@
         """Starts listening."""
         server = grpc.aio.server(options=_SERVER_OPTIONS)
         handler = adapter.handler(
-            self._service, guard.CallLimiter(self._settings)
+            self._service, call_limits.CallLimiter(self._settings)
         )
         server.add_generic_rpc_handlers((handler,))
         health_pb2_grpc.add_HealthServicer_to_server(self._health, server)
