--- a/src/jujubewharf/commands/ctl_queries.py
+++ b/src/jujubewharf/commands/ctl_queries.py
@@ -184,7 +184,7 @@
     found: list[tuple[str, values.InstanceStatus | str]] = []
     for server in servers:
         try:
-            async with client.only(server) as one:
+            async with client.for_address(server) as one:
                 found.append((server, await one.status()))
         except faults.UnreachableError:
             found.append((server, "unreachable"))
--- a/src/jujubewharf/operators/client.py
+++ b/src/jujubewharf/operators/client.py
@@ -65,7 +65,7 @@
     ) -> None:
         await self.close()
 
-    def only(self, address: str) -> OperatorClient:
+    def for_address(self, address: str) -> OperatorClient:
         """Returns a client of one instance with the same token."""
         return OperatorClient(
             [address], self._token, timeout_ms=self._timeout_ms
