--- a/src/jujubewharf/commands/ctl_queries.py
+++ b/src/jujubewharf/commands/ctl_queries.py
@@ -54,7 +54,7 @@
         lambda client: client.list_all(kind, service=service),
         as_json=as_json,
     )
-    _show(held, ctl_tables.of_resources(kind, held), as_json=as_json)
+    _show(held, ctl_tables.resources_table(kind, held), as_json=as_json)
 
 
 def watch(
--- a/src/jujubewharf/commands/ctl_tables.py
+++ b/src/jujubewharf/commands/ctl_tables.py
@@ -74,7 +74,7 @@
     console.print(*renderables)
 
 
-def of_resources(
+def resources_table(
     kind: resources.Kind, held: Iterable[values.StoredResource]
 ) -> tables.Table:
     """Returns a table of resources of one kind, one per row."""
