--- a/src/jujubewharf/commands/ctl_queries.py
+++ b/src/jujubewharf/commands/ctl_queries.py
@@ -39,7 +39,7 @@
     """Show one resource."""
     session: ctl_session.Session = context.obj
     stored = session.run(lambda client: client.get(kind, name), as_json=as_json)
-    _show(stored, ctl_tables.of_resource(stored), as_json=as_json)
+    _show(stored, ctl_tables.resource_table(stored), as_json=as_json)
 
 
 def list_resources(
--- a/src/jujubewharf/commands/ctl_tables.py
+++ b/src/jujubewharf/commands/ctl_tables.py
@@ -87,7 +87,7 @@
     return table
 
 
-def of_resource(stored: values.StoredResource) -> tables.Table:
+def resource_table(stored: values.StoredResource) -> tables.Table:
     """Returns a table of one resource, one field per row."""
     table = _table("field", "value")
     for path, value in _flatten(border.dump(stored.resource)):
