--- a/src/jujubewharf/commands/ctl_changes.py
+++ b/src/jujubewharf/commands/ctl_changes.py
@@ -296,7 +296,7 @@
 
 def _show_plan(planned: values.ApplyReply, *, as_json: bool) -> None:
     if as_json or planned.items:
-        table = ctl_tables.of_differences(planned.items)
+        table = ctl_tables.differences_table(planned.items)
         _show(planned, table, as_json=as_json)
     else:
         print("Nothing differs.")
--- a/src/jujubewharf/commands/ctl_tables.py
+++ b/src/jujubewharf/commands/ctl_tables.py
@@ -96,7 +96,9 @@
     return table
 
 
-def of_differences(items: Sequence[values.AppliedDifference]) -> tables.Table:
+def differences_table(
+    items: Sequence[values.AppliedDifference],
+) -> tables.Table:
     """Returns a table of the differences of an apply, one field per row."""
     table = _table("effect", "kind", "name", "field", "before", "after")
     for item in items:
