--- a/src/jujubewharf/commands/ctl_changes.py
+++ b/src/jujubewharf/commands/ctl_changes.py
@@ -75,7 +75,7 @@
         ),
         as_json=as_json,
     )
-    _show(reply, ctl_tables.of_applied(reply.items), as_json=as_json)
+    _show(reply, ctl_tables.applied_table(reply.items), as_json=as_json)
     _exit_if_failed(reply)
 
 
--- a/src/jujubewharf/commands/ctl_tables.py
+++ b/src/jujubewharf/commands/ctl_tables.py
@@ -106,7 +106,7 @@
     return table
 
 
-def of_applied(items: Sequence[values.AppliedDifference]) -> tables.Table:
+def applied_table(items: Sequence[values.AppliedDifference]) -> tables.Table:
     """Returns a table of the outcomes of an apply, one resource per row."""
     table = _table("kind", "name", "effect", "generation", "outcome")
     for item in items:
