--- a/src/jujubewharf/commands/ctl_queries.py
+++ b/src/jujubewharf/commands/ctl_queries.py
@@ -94,7 +94,7 @@
         lambda client: client.history(kind, name, page_size=limit),
         as_json=as_json,
     )
-    _show(reply, ctl_tables.of_history(reply.entries), as_json=as_json)
+    _show(reply, ctl_tables.history_table(reply.entries), as_json=as_json)
 
 
 def operation(
--- a/src/jujubewharf/commands/ctl_tables.py
+++ b/src/jujubewharf/commands/ctl_tables.py
@@ -124,7 +124,7 @@
     return table
 
 
-def of_history(entries: Sequence[values.HistoryEntry]) -> tables.Table:
+def history_table(entries: Sequence[values.HistoryEntry]) -> tables.Table:
     """Returns a table of the changes of a resource, in the given order."""
     table = _table(
         "generation", "at", "actor", "effect", "state", "operation", "detail"
--- a/tests/commands/test_ctl.py
+++ b/tests/commands/test_ctl.py
@@ -296,7 +296,7 @@
         wall_ms=1_700_000_060_000,
         detail="generation is 4, not 3",
     )
-    ctl_tables.show(ctl_tables.of_history([refused, accepted]))
+    ctl_tables.show(ctl_tables.history_table([refused, accepted]))
     assert capsys.readouterr().out == snapshot
 
 
