--- a/src/jujubewharf/commands/ctl_queries.py
+++ b/src/jujubewharf/commands/ctl_queries.py
@@ -129,7 +129,7 @@
     if as_json:
         print(ctl_session.to_json(dict(statuses)))
     else:
-        ctl_tables.show(ctl_tables.of_statuses(statuses))
+        ctl_tables.show(ctl_tables.statuses_table(statuses))
     answered = [
         one for _, one in statuses if isinstance(one, values.InstanceStatus)
     ]
@@ -154,7 +154,7 @@
         raise typer.Exit(ctl_session.ExitCode.REFUSED)
     at_server = dataclasses.replace(session, servers=(server,))
     status = at_server.run(lambda client: client.accept_loss(), as_json=as_json)
-    table = ctl_tables.of_statuses([(server, status)])
+    table = ctl_tables.statuses_table([(server, status)])
     _show(status, table, as_json=as_json)
 
 
--- a/src/jujubewharf/commands/ctl_tables.py
+++ b/src/jujubewharf/commands/ctl_tables.py
@@ -142,7 +142,7 @@
     return table
 
 
-def of_statuses(
+def statuses_table(
     statuses: Sequence[tuple[str, values.InstanceStatus | str]],
 ) -> tables.Table:
     """Returns a table of instance statuses or errors, by server address."""
--- a/tests/commands/test_ctl.py
+++ b/tests/commands/test_ctl.py
@@ -255,7 +255,7 @@
         ("127.0.0.1:7103", dataclasses.replace(status, is_log_behind=True)),
         ("127.0.0.1:9", "unreachable"),
     ]
-    ctl_tables.show(ctl_tables.of_statuses(statuses))
+    ctl_tables.show(ctl_tables.statuses_table(statuses))
     members = [
         values.Member("entry-a1", "127.0.0.1:7200", "norte-a"),
         values.Member("entry-b1", "127.0.0.1:7201", "norte-b", True, True),
