--- a/src/jujubewharf/commands/ctl_queries.py
+++ b/src/jujubewharf/commands/ctl_queries.py
@@ -134,7 +134,7 @@
         one for _, one in statuses if isinstance(one, values.InstanceStatus)
     ]
     if members and answered and not as_json:
-        ctl_tables.show(ctl_tables.of_members(answered[0].members))
+        ctl_tables.show(ctl_tables.members_table(answered[0].members))
     if len(answered) < len(statuses):
         raise typer.Exit(ctl_session.ExitCode.UNREACHABLE)
 
--- a/src/jujubewharf/commands/ctl_tables.py
+++ b/src/jujubewharf/commands/ctl_tables.py
@@ -175,7 +175,7 @@
     return table
 
 
-def of_members(members: Sequence[values.Member]) -> tables.Table:
+def members_table(members: Sequence[values.Member]) -> tables.Table:
     """Returns a table of the fleet members as seen by one instance."""
     table = _table("instance", "address", "domain", "leaving", "suspected")
     for member in members:
--- a/tests/commands/test_ctl.py
+++ b/tests/commands/test_ctl.py
@@ -260,7 +260,7 @@
         values.Member("entry-a1", "127.0.0.1:7200", "norte-a"),
         values.Member("entry-b1", "127.0.0.1:7201", "norte-b", True, True),
     ]
-    ctl_tables.show(ctl_tables.of_members(members))
+    ctl_tables.show(ctl_tables.members_table(members))
     engines = [
         values.EngineStatus(
             "decode-1",
