--- a/src/jujubewharf/commands/ctl_queries.py
+++ b/src/jujubewharf/commands/ctl_queries.py
@@ -168,7 +168,7 @@
     found = session.run(
         lambda client: client.engines(service=service), as_json=as_json
     )
-    _show(found, ctl_tables.of_engines(found), as_json=as_json)
+    _show(found, ctl_tables.engines_table(found), as_json=as_json)
 
 
 def whoami(context: typer.Context, as_json: options.AsJson = False) -> None:
--- a/src/jujubewharf/commands/ctl_tables.py
+++ b/src/jujubewharf/commands/ctl_tables.py
@@ -189,7 +189,7 @@
     return table
 
 
-def of_engines(engines: Sequence[values.EngineStatus]) -> tables.Table:
+def engines_table(engines: Sequence[values.EngineStatus]) -> tables.Table:
     """Returns a table of the engines as seen by one instance."""
     table = _table(
         "engine",
--- a/tests/commands/test_ctl.py
+++ b/tests/commands/test_ctl.py
@@ -278,7 +278,7 @@
         values.EngineStatus("d2", "verdict-llm", "norte-a", is_drained=True),
         values.EngineStatus("d3", "verdict-llm", "norte-a", is_suspect=True),
     ]
-    ctl_tables.show(ctl_tables.of_engines(engines))
+    ctl_tables.show(ctl_tables.engines_table(engines))
     accepted = values.HistoryEntry(
         "op-1",
         "ana",
