--- a/src/jujubewharf/commands/ctl_changes.py
+++ b/src/jujubewharf/commands/ctl_changes.py
@@ -113,7 +113,7 @@
         lambda client: client.create(resource, operation_id=operation_id),
         as_json=as_json,
     )
-    _show(done, ctl_tables.of_fields(done), as_json=as_json)
+    _show(done, ctl_tables.fields_table(done), as_json=as_json)
 
 
 def change(
@@ -139,7 +139,7 @@
         ),
         as_json=as_json,
     )
-    _show(done, ctl_tables.of_fields(done), as_json=as_json)
+    _show(done, ctl_tables.fields_table(done), as_json=as_json)
 
 
 def delete(
@@ -165,7 +165,7 @@
         )
 
     done = session.run(call, as_json=as_json)
-    _show(done, ctl_tables.of_fields(done), as_json=as_json)
+    _show(done, ctl_tables.fields_table(done), as_json=as_json)
 
 
 def rollback(
@@ -193,7 +193,7 @@
         ),
         as_json=as_json,
     )
-    _show(done, ctl_tables.of_fields(done), as_json=as_json)
+    _show(done, ctl_tables.fields_table(done), as_json=as_json)
 
 
 def drain(
@@ -231,7 +231,7 @@
         ),
         as_json=as_json,
     )
-    _show(done, ctl_tables.of_fields(done), as_json=as_json)
+    _show(done, ctl_tables.fields_table(done), as_json=as_json)
 
 
 async def _all_resources(
--- a/src/jujubewharf/commands/ctl_queries.py
+++ b/src/jujubewharf/commands/ctl_queries.py
@@ -107,7 +107,7 @@
     found = session.run(
         lambda client: client.operation(operation_id), as_json=as_json
     )
-    _show(found, ctl_tables.of_fields(found), as_json=as_json)
+    _show(found, ctl_tables.fields_table(found), as_json=as_json)
     if found.state is values.OperationState.NOT_SEEN:
         raise typer.Exit(ctl_session.ExitCode.OUTCOME_UNKNOWN)
     if found.state is not values.OperationState.ACCEPTED:
@@ -175,7 +175,7 @@
     """Show the identity that the token belongs to."""
     session: ctl_session.Session = context.obj
     identity = session.run(lambda client: client.identity(), as_json=as_json)
-    _show(identity, ctl_tables.of_fields(identity), as_json=as_json)
+    _show(identity, ctl_tables.fields_table(identity), as_json=as_json)
 
 
 async def _statuses(
--- a/src/jujubewharf/commands/ctl_tables.py
+++ b/src/jujubewharf/commands/ctl_tables.py
@@ -221,7 +221,7 @@
     return table
 
 
-def of_fields(value: Any) -> tables.Table:
+def fields_table(value: Any) -> tables.Table:
     """Returns a table of a data class, one field per row."""
     table = _table("field", "value")
     for name in value.__dataclass_fields__:
