--- a/src/jujubewharf/commands/ctl_session.py
+++ b/src/jujubewharf/commands/ctl_session.py
@@ -117,12 +117,12 @@
     if as_json:
         print(to_json({"error": detail}), file=sys.stderr)
     else:
-        for line in lines_of(detail):
+        for line in error_lines(detail):
             print(line, file=sys.stderr)
     raise typer.Exit(exit_code_of(detail))
 
 
-def lines_of(detail: values.ErrorDetail) -> list[str]:
+def error_lines(detail: values.ErrorDetail) -> list[str]:
     """Formats an error for humans, with the operation ID for a later lookup."""
     lines = [f"{detail.kind}: {detail.message}"]
     if detail.violations:
