--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -269,7 +269,7 @@
 
 @messages.message(35)
 @dataclasses.dataclass(frozen=True, slots=True)
-class PullPlainResponse(messages.Message):
+class PlainPullRequest(messages.Message):
     """Requests the response to a non-streamed call by long polling.
 
     Attributes:
@@ -284,7 +284,7 @@
 @messages.message(36)
 @dataclasses.dataclass(frozen=True, slots=True)
 class PulledPlainResponse(messages.Message):
-    """Reply to ``PullPlainResponse``: the response if complete.
+    """Reply to ``PlainPullRequest``: the response if complete.
 
     Attributes:
         is_running: Whether the call is still running.
--- a/src/jujubewharf/requests/plain_replies.py
+++ b/src/jujubewharf/requests/plain_replies.py
@@ -133,7 +133,7 @@
         )
         self._tasks: set[asyncio.Task[None]] = set()
         self._logger = structlog.get_logger()
-        peers.handle(key_messages.PullPlainResponse, self._on_pull)
+        peers.handle(key_messages.PlainPullRequest, self._on_pull)
 
     @contextlib.asynccontextmanager
     async def run(
@@ -201,7 +201,7 @@
         Raises:
             ClaimLostError: The reply is not available.
         """
-        message = key_messages.PullPlainResponse(lost.request_id, _PULL_WAIT_MS)
+        message = key_messages.PlainPullRequest(lost.request_id, _PULL_WAIT_MS)
         failures = 0
         while self._clock.now_ms() < request.deadline_at_ms:
             try:
@@ -223,7 +223,7 @@
         raise lost
 
     async def _ask(
-        self, owner: str, message: key_messages.PullPlainResponse
+        self, owner: str, message: key_messages.PlainPullRequest
     ) -> key_messages.PulledPlainResponse:
         if owner == self._instance:
             return await self._on_pull(owner, message)
@@ -235,7 +235,7 @@
         return answer
 
     async def _on_pull(
-        self, sender: str, message: key_messages.PullPlainResponse
+        self, sender: str, message: key_messages.PlainPullRequest
     ) -> key_messages.PulledPlainResponse:
         recording = self._recordings.get(message.request_id)
         if recording is None:
