--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -283,7 +283,7 @@
 
 @messages.message(36)
 @dataclasses.dataclass(frozen=True, slots=True)
-class PulledPlainResponse(messages.Message):
+class PlainPullReply(messages.Message):
     """Reply to ``PlainPullRequest``: the response if complete.
 
     Attributes:
--- a/src/jujubewharf/requests/plain_replies.py
+++ b/src/jujubewharf/requests/plain_replies.py
@@ -224,31 +224,31 @@
 
     async def _ask(
         self, owner: str, message: key_messages.PlainPullRequest
-    ) -> key_messages.PulledPlainResponse:
+    ) -> key_messages.PlainPullReply:
         if owner == self._instance:
             return await self._on_pull(owner, message)
         answer = await self._peers.ask(
             owner, message, timeout_ms=_PULL_WAIT_MS + _PULL_SLACK_MS
         )
-        if not isinstance(answer, key_messages.PulledPlainResponse):
+        if not isinstance(answer, key_messages.PlainPullReply):
             raise network.PeerError(network.PeerFault.REFUSED, owner)
         return answer
 
     async def _on_pull(
         self, sender: str, message: key_messages.PlainPullRequest
-    ) -> key_messages.PulledPlainResponse:
+    ) -> key_messages.PlainPullReply:
         recording = self._recordings.get(message.request_id)
         if recording is None:
-            return key_messages.PulledPlainResponse()
+            return key_messages.PlainPullReply()
         try:
             async with self._clock.timeout_ms(message.wait_ms):
                 while not recording.has_ended:
                     await recording.wait_for_change()
         except TimeoutError:
-            return key_messages.PulledPlainResponse(is_running=True)
+            return key_messages.PlainPullReply(is_running=True)
         if not recording.can_be_replayed:
-            return key_messages.PulledPlainResponse()
-        return key_messages.PulledPlainResponse(
+            return key_messages.PlainPullReply()
+        return key_messages.PlainPullReply(
             is_whole=True,
             status=recording.status,
             headers=recording.headers,
