--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -69,7 +69,7 @@
         self._clock = clock
         self._timing = timing
         self._poll_ms = poll_ms
-        self._suspicion = failure_detector.FailureDetector(
+        self._failure_detector = failure_detector.FailureDetector(
             mesh, facts, domain, clock, timing=timing
         )
         self._listed: dict[str, live_list.LiveMember] = {}
@@ -159,7 +159,9 @@
             self._updated.clear()
             self._publish_presence()
             self._refresh()
-            probed = self._suspicion.next_probe(self._members, self._suspected)
+            probed = self._failure_detector.next_probe(
+                self._members, self._suspected
+            )
             if probed is not None:
                 self._mesh.probe(probed)
             await self._wait_for_update()
@@ -181,7 +183,7 @@
                 self.leave()
 
     def _on_hello(self, hello: link_messages.Hello) -> None:
-        self._suspicion.on_hello(hello.domain, self._members)
+        self._failure_detector.on_hello(hello.domain, self._members)
         self._is_stale = True
         self._updated.set()
 
@@ -248,7 +250,7 @@
             self._merged_ms = now_ms
             self._is_stale = False
             has_changed |= self._update_members()
-        suspected = self._suspicion.find_suspected(self._members)
+        suspected = self._failure_detector.find_suspected(self._members)
         if suspected != self._suspected:
             self._suspected = suspected
             self._is_stale = True
@@ -260,7 +262,7 @@
     def _update_members(self) -> bool:
         """Merges all sources again; returns whether a member changed."""
         members = self._merge()
-        self._suspicion.update_members(members)
+        self._failure_detector.update_members(members)
         if members == self._members:
             return False
         self._members = members
@@ -295,7 +297,7 @@
     ) -> view.Member | None:
         """Returns the merged member, or ``None`` if it is gone."""
         listed = self._listed.get(name)
-        is_heard = self._suspicion.is_heard(name)
+        is_heard = self._failure_detector.is_heard(name)
         presence = self._newest_presence(name, presences)
         if listed is None:
             # An unlisted instance that is silent is gone. One that is heard
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -30,10 +30,10 @@
         assert sorted(core.peers.peers_with_hello()) == ["e2", "e3"]
         assert len(core.facts.store) == 0
         assert core.facts.store.digest == 0
-        suspicion = core.membership._suspicion
-        assert sorted(suspicion._known_since_ms) == ["e2", "e3"]
-        assert not suspicion._published
-        assert not suspicion._report_due_ms
+        detector = core.membership._failure_detector
+        assert sorted(detector._known_since_ms) == ["e2", "e3"]
+        assert not detector._published
+        assert not detector._report_due_ms
         await bench.stop()
 
     virtual_time.run(run())
