--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -26,10 +26,10 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf import core as cores
-from jujubewharf.configuration import border
 from jujubewharf.configuration import changes as changes_lib
 from jujubewharf.configuration import follower as followers
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import snapshot as snapshots
 from jujubewharf.configuration import state as states
@@ -78,7 +78,7 @@
         kind=resources.KIND_OF[type(resource)].value,
         name=resource.name,
         expected_generation=None,
-        body=border.dump(resource),
+        body=resource_codec.dump(resource),
         wall_ms=1e12 + number,
     )
 
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -17,8 +17,8 @@
 import numpy as np
 
 from jujubewharf import clock as clocks
-from jujubewharf.configuration import border
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import state as states
 from jujubewharf.engines import client
@@ -80,7 +80,7 @@
             kind=resources.Kind.ENDPOINT.value,
             name=endpoint.name,
             expected_generation=None,
-            body=border.dump(endpoint),
+            body=resource_codec.dump(endpoint),
         )
         state.apply(log.LogRecord(offset, records.encode(change)))
     fleet = fleets.Fleet(lambda _: cast(client.EngineClient, None), clock)
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -20,8 +20,8 @@
 
 from benchmarks import slopes
 from jujubewharf import clock as clocks
-from jujubewharf.configuration import border
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.demo import processes
 from jujubewharf.platform import http_log
@@ -41,7 +41,7 @@
             kind=kind,
             name=resource.name,
             expected_generation=None,
-            body=border.dump(resource),
+            body=resource_codec.dump(resource),
         )
     )
 
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -14,8 +14,8 @@
 
 from benchmarks import slopes
 from jujubewharf import hashing
-from jujubewharf.configuration import border
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import state as states
 from jujubewharf.engines import client
@@ -55,7 +55,7 @@
             kind=kind,
             name=resource.name,
             expected_generation=None,
-            body=border.dump(resource),
+            body=resource_codec.dump(resource),
             wall_ms=1.7e12,
         )
     )
@@ -105,8 +105,12 @@
         "rank_us": dataclasses.asdict(rank_us()),
         "endpoint_record_bytes": len(_payload(_endpoint(1))),
         "account_record_bytes": len(_payload(_account(1))),
-        "endpoint_state_bytes": len(msgpack.packb(border.dump(_endpoint(1)))),
-        "account_state_bytes": len(msgpack.packb(border.dump(_account(1)))),
+        "endpoint_state_bytes": len(
+            msgpack.packb(resource_codec.dump(_endpoint(1)))
+        ),
+        "account_state_bytes": len(
+            msgpack.packb(resource_codec.dump(_account(1)))
+        ),
         "load_report_bytes": load_report_bytes(),
     }
     for name, value in parts.items():
--- a/src/jujubewharf/commands/ctl_changes.py
+++ b/src/jujubewharf/commands/ctl_changes.py
@@ -13,7 +13,7 @@
 from jujubewharf.commands import ctl_options as options
 from jujubewharf.commands import ctl_session
 from jujubewharf.commands import ctl_tables
-from jujubewharf.configuration import border
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.operators import client as clients
 from jujubewharf.operators import documents
@@ -129,7 +129,9 @@
     """Change fields of one resource: ctl change endpoint d1 slots=24."""
     session: ctl_session.Session = context.obj
     stored = session.run(lambda client: client.get(kind, name), as_json=as_json)
-    resource = _build_resource(kind, border.dump(stored.resource), fields or [])
+    resource = _build_resource(
+        kind, resource_codec.dump(stored.resource), fields or []
+    )
     done = session.run(
         lambda client: client.change(
             resource,
@@ -268,7 +270,7 @@
             message = f"{assignment}: must be FIELD=VALUE"
             ctl_session.fail(ctl_session.ExitCode.BAD_INPUT, message)
         _assign(data, path.split("."), _parse_value(text))
-    parsed = border.parse(kind, data)
+    parsed = resource_codec.parse(kind, data)
     if parsed.is_err():
         lines = "\n".join(parsed.unwrap_err())
         ctl_session.fail(ctl_session.ExitCode.BAD_INPUT, lines)
--- a/src/jujubewharf/commands/ctl_tables.py
+++ b/src/jujubewharf/commands/ctl_tables.py
@@ -13,7 +13,7 @@
 from rich import table as tables
 
 from jujubewharf import clock as clocks
-from jujubewharf.configuration import border
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.operators import values
 
@@ -81,7 +81,7 @@
     columns = _COLUMNS[kind]
     table = _table(*columns, "generation")
     for stored in held:
-        data = border.dump(stored.resource)
+        data = resource_codec.dump(stored.resource)
         cells = [_format_cell(data[column]) for column in columns]
         table.add_row(*cells, str(stored.generation))
     return table
@@ -90,7 +90,7 @@
 def resource_table(stored: values.StoredResource) -> tables.Table:
     """Returns a table of one resource, one field per row."""
     table = _table("field", "value")
-    for path, value in _flatten(border.dump(stored.resource)):
+    for path, value in _flatten(resource_codec.dump(stored.resource)):
         table.add_row(path, _format_cell(value))
     table.add_row("generation", str(stored.generation))
     return table
--- a/src/jujubewharf/configuration/differences.py
+++ b/src/jujubewharf/configuration/differences.py
@@ -8,7 +8,7 @@
 import enum
 from typing import Any
 
-from jujubewharf.configuration import border
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import state as states
 
@@ -85,11 +85,11 @@
 ) -> Difference | None:
     kind = resources.KIND_OF[type(resource)]
     current = state.get(kind, resource.name)
-    after = border.dump(resource)
+    after = resource_codec.dump(resource)
     if current is None:
         fields = _compare_fields({}, after)
         return Difference(kind, resource.name, Action.CREATE, 0, fields)
-    fields = _compare_fields(border.dump(current.resource), after)
+    fields = _compare_fields(resource_codec.dump(current.resource), after)
     if not fields:
         return None
     return Difference(
@@ -104,7 +104,7 @@
     kinds = {kind for kind, _ in keys}
     for (kind, name), entry in state.entries:
         if kind in kinds and (kind, name) not in keys:
-            fields = _compare_fields(border.dump(entry.resource), {})
+            fields = _compare_fields(resource_codec.dump(entry.resource), {})
             yield Difference(
                 kind, name, Action.DELETE, entry.generation, fields
             )
--- a/src/jujubewharf/configuration/entries.py
+++ b/src/jujubewharf/configuration/entries.py
@@ -9,8 +9,8 @@
 
 import msgpack
 
-from jujubewharf.configuration import border
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 
 Key = tuple[resources.Kind, str]
@@ -35,7 +35,9 @@
     extra_packed: bytes = b""
 
     @classmethod
-    def from_reading(cls, generation: int, reading: border.Reading) -> Entry:
+    def from_reading(
+        cls, generation: int, reading: resource_codec.Reading
+    ) -> Entry:
         """Creates an entry from a decoded body."""
         packed = records.pack_body(reading.extra) if reading.extra else b""
         return cls(generation, reading.resource, packed)
@@ -43,7 +45,7 @@
     def body(self) -> dict[str, Any]:
         """Returns the body, including fields of newer versions."""
         extra = msgpack.unpackb(self.extra_packed) if self.extra_packed else {}
-        return border.dump_whole(self.resource, extra)
+        return resource_codec.dump_whole(self.resource, extra)
 
     def packed_body(self) -> bytes:
         """Returns the body in its canonical encoding."""
--- a/src/jujubewharf/configuration/resources.py
+++ b/src/jujubewharf/configuration/resources.py
@@ -1,6 +1,6 @@
 """Data classes of the resources that operators declare.
 
-``configuration.border`` validates input and converts it to these classes.
+``resource_codec`` validates input and converts it to these classes.
 """
 
 from __future__ import annotations
--- a/src/jujubewharf/configuration/rules.py
+++ b/src/jujubewharf/configuration/rules.py
@@ -15,9 +15,9 @@
 
 import result
 
-from jujubewharf.configuration import border
 from jujubewharf.configuration import entries as entries_lib
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import verdicts
 
@@ -33,7 +33,7 @@
     detail: str
 
 
-Judgement = result.Result[border.Reading | None, Refusal]
+Judgement = result.Result[resource_codec.Reading | None, Refusal]
 
 
 def judge(
@@ -73,7 +73,7 @@
 def _evaluate_put(
     entries: entries_lib.Entries, kind: resources.Kind, change: records.Change
 ) -> Judgement:
-    decoded = border.read(kind, change.body)
+    decoded = resource_codec.read(kind, change.body)
     if isinstance(decoded, result.Err):
         detail = "; ".join(decoded.err_value)
         return _reject(verdicts.Outcome.INVALID, detail)
--- a/src/jujubewharf/configuration/snapshot.py
+++ b/src/jujubewharf/configuration/snapshot.py
@@ -16,10 +16,10 @@
 import msgpack
 import xxhash
 
-from jujubewharf.configuration import border
 from jujubewharf.configuration import entries as entries_lib
 from jujubewharf.configuration import history as histories
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import state as states
 from jujubewharf.configuration import verdicts
@@ -228,9 +228,9 @@
     state: states.State, kind: str, name: str, generation: int, body: bytes
 ) -> None:
     resource_kind = resources.Kind(kind)
-    reading = border.read(resource_kind, msgpack.unpackb(body)).unwrap_or_raise(
-        BrokenSnapshotError
-    )
+    reading = resource_codec.read(
+        resource_kind, msgpack.unpackb(body)
+    ).unwrap_or_raise(BrokenSnapshotError)
     entry = entries_lib.Entry.from_reading(generation, reading)
     state.entries.put((resource_kind, name), entry)
 
--- a/src/jujubewharf/configuration/validation.py
+++ b/src/jujubewharf/configuration/validation.py
@@ -9,8 +9,8 @@
 
 import result
 
-from jujubewharf.configuration import border
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import state as states
 
@@ -81,7 +81,9 @@
     def _check_body(
         self, kind: resources.Kind, change: records.Change
     ) -> Iterator[str]:
-        parsed = border.parse(kind, self._without_stored_extra(kind, change))
+        parsed = resource_codec.parse(
+            kind, self._without_stored_extra(kind, change)
+        )
         if isinstance(parsed, result.Err):
             for error in parsed.err_value:
                 yield f"body.{error}"
@@ -102,13 +104,13 @@
         or modified.
         """
         current = self._state.get(kind, change.name)
-        decoded = border.read(kind, change.body)
+        decoded = resource_codec.read(kind, change.body)
         if current is None or not current.extra_packed or decoded.is_err():
             return change.body
         reading = decoded.unwrap()
         if records.pack_body(reading.extra) != current.extra_packed:
             return change.body
-        return border.dump(reading.resource)
+        return resource_codec.dump(reading.resource)
 
     def _check_resource(self, resource: resources.Resource) -> Iterator[str]:
         match resource:
--- a/src/jujubewharf/operators/backend.py
+++ b/src/jujubewharf/operators/backend.py
@@ -10,9 +10,9 @@
 from typing import Protocol
 
 from jujubewharf import core as cores
-from jujubewharf.configuration import border
 from jujubewharf.configuration import history as histories
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import state as states
 from jujubewharf.operators import values
@@ -262,4 +262,4 @@
 ) -> resources.Resource | None:
     if body is None or item.kind not in _RESOURCE_KINDS:
         return None
-    return border.parse(resources.Kind(item.kind), body).ok()
+    return resource_codec.parse(resources.Kind(item.kind), body).ok()
--- a/src/jujubewharf/operators/differences.py
+++ b/src/jujubewharf/operators/differences.py
@@ -8,7 +8,7 @@
 import dataclasses
 import json
 
-from jujubewharf.configuration import border
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import state as states
 from jujubewharf.operators import pacing
@@ -33,7 +33,7 @@
 
 def without_defaults(resource: resources.Resource) -> dict[str, object]:
     """Returns a resource as JSON data without fields at their default."""
-    data = border.dump(resource)
+    data = resource_codec.dump(resource)
     for field in dataclasses.fields(resource):
         if field.default is dataclasses.MISSING:
             continue
@@ -115,7 +115,7 @@
 def _field_differences(
     old: resources.Resource | None, new: resources.Resource | None
 ) -> Iterator[values.FieldDifference]:
-    dump = border.dump if old and new else without_defaults
+    dump = resource_codec.dump if old and new else without_defaults
     before = dict(_flatten(dump(old))) if old else {}
     after = dict(_flatten(dump(new))) if new else {}
     for path in list(before) + [path for path in after if path not in before]:
--- a/src/jujubewharf/operators/documents.py
+++ b/src/jujubewharf/operators/documents.py
@@ -12,7 +12,7 @@
 
 import result
 
-from jujubewharf.configuration import border
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.operators import differences
 
@@ -79,7 +79,7 @@
     found: list[resources.Resource],
     violations: list[str],
 ) -> None:
-    parsed = border.parse(kind, item)
+    parsed = resource_codec.parse(kind, item)
     if parsed.is_ok():
         found.append(parsed.unwrap())
         return
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -12,8 +12,8 @@
 
 from jujubewharf import clock as clocks
 from jujubewharf import errors
-from jujubewharf.configuration import border
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import validation
 from jujubewharf.operators import backend as backends
@@ -229,8 +229,10 @@
         """
         held = self._backend.state.get(*differences.key_of(resource))
         if held is None or not held.extra_packed:
-            return border.dump(resource)
-        return border.dump_whole(resource, msgpack.unpackb(held.extra_packed))
+            return resource_codec.dump(resource)
+        return resource_codec.dump_whole(
+            resource, msgpack.unpackb(held.extra_packed)
+        )
 
 
 def _check_operator_name(change: RequestedChange) -> None:
--- a/src/jujubewharf/standins/declarations.py
+++ b/src/jujubewharf/standins/declarations.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from jujubewharf.configuration import border
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 
 
@@ -17,6 +17,6 @@
         kind=kind.value,
         name=resource.name,
         expected_generation=None,
-        body=border.dump(resource),
+        body=resource_codec.dump(resource),
     )
     return records.encode(change)
--- a/tests/configuration/making.py
+++ b/tests/configuration/making.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from jujubewharf import clock as clocks
-from jujubewharf.configuration import border
 from jujubewharf.configuration import changes as changes_lib
 from jujubewharf.configuration import follower as followers
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import state as states
 from jujubewharf.platform import log as logs
@@ -40,7 +40,7 @@
         kind=resources.KIND_OF[type(resource)].value,
         name=resource.name,
         expected_generation=fields.pop("expected_generation", None),
-        body=border.dump(resource) | fields.pop("extra", {}),
+        body=resource_codec.dump(resource) | fields.pop("extra", {}),
         **fields,
     )
 
--- a/tests/operators/test_failures.py
+++ b/tests/operators/test_failures.py
@@ -8,8 +8,8 @@
 import pytest
 
 from jujubewharf import errors
-from jujubewharf.configuration import border
 from jujubewharf.configuration import records
+from jujubewharf.configuration import resource_codec
 from jujubewharf.configuration import resources
 from jujubewharf.experiments import bench as benches
 from jujubewharf.experiments import virtual_time
@@ -313,7 +313,7 @@
     async with deployments.running("e1") as deployment:
         client = deployment.client()
         await client.create(deployments.SHOP)
-        newer = border.dump(deployments.TILL) | {"paint": "blue"}
+        newer = resource_codec.dump(deployments.TILL) | {"paint": "blue"}
         change = records.Change(
             operation_id="newer",
             actor="newer",
