--- a/src/jujubewharf/configuration/entries.py
+++ b/src/jujubewharf/configuration/entries.py
@@ -35,12 +35,14 @@
     extra_packed: bytes = b""
 
     @classmethod
-    def from_reading(
-        cls, generation: int, reading: resource_codec.Reading
+    def from_body(
+        cls, generation: int, decoded_body: resource_codec.DecodedBody
     ) -> Entry:
         """Creates an entry from a decoded body."""
-        packed = records.pack_body(reading.extra) if reading.extra else b""
-        return cls(generation, reading.resource, packed)
+        packed = (
+            records.pack_body(decoded_body.extra) if decoded_body.extra else b""
+        )
+        return cls(generation, decoded_body.resource, packed)
 
     def body(self) -> dict[str, Any]:
         """Returns the body, including fields of newer versions."""
--- a/src/jujubewharf/configuration/resource_codec.py
+++ b/src/jujubewharf/configuration/resource_codec.py
@@ -3,7 +3,7 @@
 The pydantic validators are derived from the data classes of ``resources``, so
 each field is declared only once. Unknown fields are an error in input from
 operators (``parse``). In a stored body they belong to a newer version of the
-schema and are preserved unread (``read``).
+schema and are preserved unread (``decode_body``).
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reading:
+class DecodedBody:
     """A decoded body from the log.
 
     Attributes:
@@ -77,9 +77,9 @@
     extra: dict[str, Any]
 
 
-def read(
+def decode_body(
     kind: resources.Kind, body: dict[str, Any]
-) -> result.Result[Reading, list[str]]:
+) -> result.Result[DecodedBody, list[str]]:
     """Decodes a body from the log and keeps unknown fields separate."""
     known, extra = _split_fields(body, _FIELDS[kind])
     capabilities = known.get(_CAPABILITIES)
@@ -89,7 +89,7 @@
         )
         if extra_capabilities:
             extra[_CAPABILITIES] = extra_capabilities
-    return parse(kind, known).map(lambda resource: Reading(resource, extra))
+    return parse(kind, known).map(lambda resource: DecodedBody(resource, extra))
 
 
 def dump(resource: resources.Resource) -> dict[str, Any]:
@@ -101,7 +101,7 @@
 def dump_whole(
     resource: resources.Resource, extra: dict[str, Any]
 ) -> dict[str, Any]:
-    """Converts a resource and its unknown fields to data for ``read``."""
+    """Converts a resource and its unknown fields to data for ``decode_body``."""
     body = dump(resource)
     for name, value in extra.items():
         is_nested = name == _CAPABILITIES and name in body
--- a/src/jujubewharf/configuration/rules.py
+++ b/src/jujubewharf/configuration/rules.py
@@ -33,7 +33,7 @@
     detail: str
 
 
-Judgement = result.Result[resource_codec.Reading | None, Refusal]
+Judgement = result.Result[resource_codec.DecodedBody | None, Refusal]
 
 
 def judge(
@@ -73,20 +73,22 @@
 def _evaluate_put(
     entries: entries_lib.Entries, kind: resources.Kind, change: records.Change
 ) -> Judgement:
-    decoded = resource_codec.read(kind, change.body)
+    decoded = resource_codec.decode_body(kind, change.body)
     if isinstance(decoded, result.Err):
         detail = "; ".join(decoded.err_value)
         return _reject(verdicts.Outcome.INVALID, detail)
-    reading = decoded.ok_value
-    invalid = _invalid_reason(entries, kind, change.name, reading.resource)
+    decoded_body = decoded.ok_value
+    invalid = _invalid_reason(entries, kind, change.name, decoded_body.resource)
     if invalid:
         return _reject(verdicts.Outcome.INVALID, invalid)
     current = entries.get((kind, change.name))
     if current is not None and not change.force:
-        reason = _unsafe_reason(entries, current.resource, reading.resource)
+        reason = _unsafe_reason(
+            entries, current.resource, decoded_body.resource
+        )
         if reason:
             return _reject(verdicts.Outcome.UNSAFE, reason)
-    return result.Ok(reading)
+    return result.Ok(decoded_body)
 
 
 def _reject(outcome: verdicts.Outcome, detail: str) -> result.Err[Refusal]:
--- a/src/jujubewharf/configuration/snapshot.py
+++ b/src/jujubewharf/configuration/snapshot.py
@@ -228,10 +228,10 @@
     state: states.State, kind: str, name: str, generation: int, body: bytes
 ) -> None:
     resource_kind = resources.Kind(kind)
-    reading = resource_codec.read(
+    decoded_body = resource_codec.decode_body(
         resource_kind, msgpack.unpackb(body)
     ).unwrap_or_raise(BrokenSnapshotError)
-    entry = entries_lib.Entry.from_reading(generation, reading)
+    entry = entries_lib.Entry.from_body(generation, decoded_body)
     state.entries.put((resource_kind, name), entry)
 
 
--- a/src/jujubewharf/configuration/state.py
+++ b/src/jujubewharf/configuration/state.py
@@ -191,12 +191,12 @@
             )
         key = (kind, change.name)
         before = self._entries.get(key)
-        reading = evaluation.unwrap()
+        decoded_body = evaluation.unwrap()
         after: Entry | None = None
-        if reading is None:
+        if decoded_body is None:
             self._entries.remove(key)
         else:
-            after = Entry.from_reading(offset + 1, reading)
+            after = Entry.from_body(offset + 1, decoded_body)
             self._entries.put(key, after)
         return self._add_to_history(
             _history_item(
--- a/src/jujubewharf/configuration/validation.py
+++ b/src/jujubewharf/configuration/validation.py
@@ -104,13 +104,13 @@
         or modified.
         """
         current = self._state.get(kind, change.name)
-        decoded = resource_codec.read(kind, change.body)
+        decoded = resource_codec.decode_body(kind, change.body)
         if current is None or not current.extra_packed or decoded.is_err():
             return change.body
-        reading = decoded.unwrap()
-        if records.pack_body(reading.extra) != current.extra_packed:
+        decoded_body = decoded.unwrap()
+        if records.pack_body(decoded_body.extra) != current.extra_packed:
             return change.body
-        return resource_codec.dump(reading.resource)
+        return resource_codec.dump(decoded_body.resource)
 
     def _check_resource(self, resource: resources.Resource) -> Iterator[str]:
         match resource:
