--- a/src/jujubewharf/configuration/entries.py
+++ b/src/jujubewharf/configuration/entries.py
@@ -47,7 +47,7 @@
     def body(self) -> dict[str, Any]:
         """Returns the body, including fields of newer versions."""
         extra = msgpack.unpackb(self.extra_packed) if self.extra_packed else {}
-        return resource_codec.dump_whole(self.resource, extra)
+        return resource_codec.dump_with_extra(self.resource, extra)
 
     def packed_body(self) -> bytes:
         """Returns the body in its canonical encoding."""
--- a/src/jujubewharf/configuration/resource_codec.py
+++ b/src/jujubewharf/configuration/resource_codec.py
@@ -98,7 +98,7 @@
     return _ADAPTERS[kind].dump_python(resource, mode="json")
 
 
-def dump_whole(
+def dump_with_extra(
     resource: resources.Resource, extra: dict[str, Any]
 ) -> dict[str, Any]:
     """Converts a resource and its unknown fields to data for ``decode_body``."""
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -230,7 +230,7 @@
         held = self._backend.state.get(*differences.key_of(resource))
         if held is None or not held.extra_packed:
             return resource_codec.dump(resource)
-        return resource_codec.dump_whole(
+        return resource_codec.dump_with_extra(
             resource, msgpack.unpackb(held.extra_packed)
         )
 
