--- a/src/jujubewharf/configuration/checkpointer.py
+++ b/src/jujubewharf/configuration/checkpointer.py
@@ -14,7 +14,7 @@
 from jujubewharf.platform import log
 
 if TYPE_CHECKING:
-    from jujubewharf.configuration import holding as holdings
+    from jujubewharf.configuration import replica as replicas
     from jujubewharf.membership import view
 
 # Shares of the log's retention. A checkpoint is replaced while the records
@@ -43,7 +43,7 @@
     takes over if the first is down or cut off. Concurrent writes are harmless.
 
     Args:
-        holding: Configuration of this instance.
+        replica: Configuration of this instance.
         store: Checkpoints in the log.
         clock: Time source.
         instance: Name of this instance.
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        holding: holdings.Holding,
+        replica: replicas.Replica,
         store: checkpoints.CheckpointStore,
         clock: clocks.Clock,
         *,
@@ -67,7 +67,7 @@
     ) -> None:
         super().__init__()
         self.log_first_offset = 0
-        self._holding = holding
+        self._replica = replica
         self._store = store
         self._clock = clock
         self._instance = instance
@@ -92,15 +92,15 @@
                 _writes.add(1, {"outcome": "unknown"})
 
     async def _check(self) -> None:
-        holding = self._holding
-        if not holding.caught_up.is_set() or holding.is_frozen:
+        replica = self._replica
+        if not replica.caught_up.is_set() or replica.is_frozen:
             return
-        if not holding.next_offset:
+        if not replica.next_offset:
             return
         await self._store.refresh()
         if not self._is_due():
             return
-        manifest = await self._store.write(holding.current, self._instance)
+        manifest = await self._store.write(replica.current, self._instance)
         _writes.add(1, {"outcome": "written"})
         self._logger.info(
             "checkpoint_written",
@@ -113,7 +113,7 @@
         if newest is None or newest.next_offset < self.log_first_offset:
             return self._is_urgent_write_due(newest)
         self._urgent_since_ms = None
-        is_changed = newest.next_offset < self._holding.next_offset
+        is_changed = newest.next_offset < self._replica.next_offset
         share = _CHANGED_AGE_SHARE if is_changed else _UNCHANGED_AGE_SHARE
         share += self._rank(newest) * _DELAY_SHARE_PER_RANK
         return self._age_ms(newest) >= share * self._retention_ms
--- a/src/jujubewharf/configuration/follower.py
+++ b/src/jujubewharf/configuration/follower.py
@@ -12,9 +12,9 @@
 from jujubewharf import clock as clocks
 from jujubewharf.configuration import checkpointer
 from jujubewharf.configuration import checkpoints
-from jujubewharf.configuration import holding as holdings
 from jujubewharf.configuration import records
 from jujubewharf.configuration import recovery
+from jujubewharf.configuration import replica as replicas
 from jujubewharf.configuration import spread as spreads
 from jujubewharf.configuration import state as states
 from jujubewharf.platform import log
@@ -23,7 +23,7 @@
     from jujubewharf.membership import view
     from jujubewharf.peers import network as networks
 
-Listener = holdings.Listener
+Listener = replicas.Listener
 
 DEFAULT_RETENTION_MS = 86_400_000.0
 
@@ -83,15 +83,15 @@
         self._is_log_available = True
         self._is_log_behind = False
         self._logger = structlog.get_logger()
-        self._holding = holdings.Holding(state)
+        self._replica = replicas.Replica(state)
         self._spread: spreads.PeerSpread | None = None
         if network is not None and membership is not None:
             self._spread = spreads.PeerSpread(
-                self._holding, network, membership, clock
+                self._replica, network, membership, clock
             )
         store = checkpoints.CheckpointStore(platform_log, clock)
         self._checkpointer = checkpointer.Checkpointer(
-            self._holding,
+            self._replica,
             store,
             clock,
             instance=instance,
@@ -99,23 +99,23 @@
             retention_ms=retention_ms,
         )
         self._recovery = recovery.Recovery(
-            self._holding, store, self._spread, instance=instance
+            self._replica, store, self._spread, instance=instance
         )
 
     @property
     def current(self) -> states.State:
         """Configuration in force at this instance; always the same object."""
-        return self._holding.current
+        return self._replica.current
 
     @property
     def caught_up(self) -> asyncio.Event:
         """Set once the end of the log was reached, directly or via a peer."""
-        return self._holding.caught_up
+        return self._replica.caught_up
 
     @property
     def is_frozen(self) -> bool:
         """Whether the next record requires rules unknown to this version."""
-        return self._holding.is_frozen
+        return self._replica.is_frozen
 
     @property
     def is_log_behind(self) -> bool:
@@ -136,7 +136,7 @@
 
     def listen(self, listener: Listener) -> None:
         """Adds a callback for each applied batch and each adopted state."""
-        self._holding.listen(listener)
+        self._replica.listen(listener)
 
     def accept_loss(self) -> None:
         """Accepts the loss of records that only silent members may have.
@@ -165,17 +165,17 @@
                 await self._clock.sleep_ms(_RETRY_DELAY_MS)
 
     async def _read_once(self) -> None:
-        requested_offset = self._holding.next_offset
+        requested_offset = self._replica.next_offset
         page = await self._log.read(
             records.STREAM, requested_offset, wait_ms=self._wait_ms
         )
         _reads.add(1, {"outcome": "read"})
         self._update_availability(True)
         self._recovery.is_loss_accepted = False
-        self._holding.fold(page.records)
+        self._replica.fold(page.records)
         self._checkpointer.log_first_offset = page.first_offset
         self._update_log_end(page.next_offset, requested_offset)
-        if self._holding.is_frozen:
+        if self._replica.is_frozen:
             await self._clock.sleep_ms(_RETRY_DELAY_MS)
 
     def _update_availability(
@@ -193,15 +193,15 @@
             self._logger.warning("log_unavailable", detail=detail)
 
     def _update_log_end(self, log_end: int, requested_offset: int) -> None:
-        _lag.set(max(0, log_end - self._holding.next_offset))
+        _lag.set(max(0, log_end - self._replica.next_offset))
         is_behind = log_end < requested_offset
         if is_behind and not self._is_log_behind:
             self._logger.error(
                 "log_behind", log_end=log_end, in_force=requested_offset
             )
         self._is_log_behind = is_behind
-        if not is_behind and self._holding.next_offset >= log_end:
-            self._holding.caught_up.set()
+        if not is_behind and self._replica.next_offset >= log_end:
+            self._replica.caught_up.set()
 
     async def _recover(self, first_offset: int) -> None:
         _reads.add(1, {"outcome": "truncated"})
--- a/src/jujubewharf/configuration/recovery.py
+++ b/src/jujubewharf/configuration/recovery.py
@@ -10,7 +10,7 @@
 from jujubewharf.configuration import snapshot as snapshots
 
 if TYPE_CHECKING:
-    from jujubewharf.configuration import holding as holdings
+    from jujubewharf.configuration import replica as replicas
     from jujubewharf.configuration import spread as spreads
 
 _ROUNDS_TO_CLOSE_GAP = 3
@@ -20,7 +20,7 @@
     """Finds a state to continue from, or declares records as lost.
 
     Args:
-        holding: Configuration of this instance.
+        replica: Configuration of this instance.
         store: Checkpoints in the log.
         spread: Synchronization with peers; ``None`` for a single instance.
         instance: Name of this instance.
@@ -34,13 +34,13 @@
 
     def __init__(
         self,
-        holding: holdings.Holding,
+        replica: replicas.Replica,
         store: checkpoints.CheckpointStore,
         spread: spreads.PeerSpread | None,
         *,
         instance: str,
     ) -> None:
-        self._holding = holding
+        self._replica = replica
         self._store = store
         self._spread = spread
         self._instance = instance
@@ -70,7 +70,7 @@
             return True
         await self._store.refresh()
         for manifest in self._store.usable(
-            self._holding.next_offset, first_offset
+            self._replica.next_offset, first_offset
         ):
             if await self._load(manifest):
                 return True
@@ -78,13 +78,13 @@
         return False
 
     def _can_continue(self, first_offset: int) -> bool:
-        if self._holding.next_offset < first_offset:
+        if self._replica.next_offset < first_offset:
             return False
         self._gap_rounds = 0
         return True
 
     async def _load(self, manifest: checkpoints.Manifest) -> bool:
-        rules = self._holding.current.newest_rules
+        rules = self._replica.current.newest_rules
         try:
             state = await self._store.load(manifest, newest_rules=rules)
         except snapshots.BrokenSnapshotError as error:
@@ -95,7 +95,7 @@
             )
             return False
         self._gap_rounds = 0
-        return self._holding.adopt(state, source="checkpoint")
+        return self._replica.adopt(state, source="checkpoint")
 
     async def _close_gap(self, first_offset: int) -> None:
         """Declares the records up to the first one in the log as lost.
@@ -115,15 +115,15 @@
             return
         self._logger.error(
             "records_lost",
-            from_offset=self._holding.next_offset,
+            from_offset=self._replica.next_offset,
             to_offset=first_offset,
         )
         await self._store.write(
-            self._holding.current, self._instance, continue_at=first_offset
+            self._replica.current, self._instance, continue_at=first_offset
         )
 
     async def _may_close_gap(self) -> bool:
-        own_offset = self._holding.next_offset
+        own_offset = self._replica.next_offset
         offsets = await self._spread.offsets() if self._spread else {}
         known_offsets = {
             name: offset
--- a/src/jujubewharf/configuration/holding.py
+++ b/src/jujubewharf/configuration/replica.py
@@ -32,7 +32,7 @@
 )
 
 
-class Holding:
+class Replica:
     """Applies records and adopts states; its offset never decreases.
 
     Records arrive from the log and from peers concurrently and in any order.
--- a/src/jujubewharf/configuration/spread.py
+++ b/src/jujubewharf/configuration/spread.py
@@ -23,7 +23,7 @@
 from jujubewharf.platform import log
 
 if TYPE_CHECKING:
-    from jujubewharf.configuration import holding as holdings
+    from jujubewharf.configuration import replica as replicas
     from jujubewharf.configuration import state as states
     from jujubewharf.membership import view
     from jujubewharf.peers import messages
@@ -49,7 +49,7 @@
     """Fetches missing records and states from peers, and serves theirs.
 
     Args:
-        holding: Configuration of this instance.
+        replica: Configuration of this instance.
         network: Messages to and from peers.
         membership: Instances of the fleet.
         clock: Time source.
@@ -57,13 +57,13 @@
 
     def __init__(
         self,
-        holding: holdings.Holding,
+        replica: replicas.Replica,
         network: networks.PeerNetwork,
         membership: view.MembershipView,
         clock: clocks.Clock,
     ) -> None:
         super().__init__()
-        self._holding = holding
+        self._replica = replica
         self._network = network
         self._membership = membership
         self._clock = clock
@@ -86,9 +86,9 @@
         """
         for peer in itertools.islice(self._ranked_peers(), peer_count):
             reply = await self._request_records(peer)
-            if reply is None or reply.next_offset <= self._holding.next_offset:
+            if reply is None or reply.next_offset <= self._replica.next_offset:
                 continue
-            self._holding.fold(
+            self._replica.fold(
                 log.LogRecord(one.offset, one.payload) for one in reply.records
             )
             if not reply.records:
@@ -103,8 +103,8 @@
         Otherwise requests could be served with a partial configuration, such
         as a service without the restrictions of its accounts.
         """
-        if self._holding.next_offset >= end_offset:
-            self._holding.caught_up.set()
+        if self._replica.next_offset >= end_offset:
+            self._replica.caught_up.set()
 
     async def adopt_any(self) -> bool:
         """Adopts the state of the first peer that is ahead.
@@ -124,9 +124,9 @@
         except (networks.PeerError, snapshots.BrokenSnapshotError) as error:
             self._logger.info("snapshot_not_had", peer=peer, detail=str(error))
             return False
-        if state is None or not self._holding.adopt(state, source="peer"):
+        if state is None or not self._replica.adopt(state, source="peer"):
             return False
-        self._holding.caught_up.set()
+        self._replica.caught_up.set()
         return True
 
     async def offsets(self) -> dict[str, int | None]:
@@ -163,7 +163,7 @@
         self, peer: str
     ) -> configuration_messages.RecordsReply | None:
         request = configuration_messages.RecordsRequest(
-            self._holding.next_offset, _MAX_PAGE_RECORDS
+            self._replica.next_offset, _MAX_PAGE_RECORDS
         )
         try:
             reply = await self._request(peer, request)
@@ -180,7 +180,7 @@
             PeerError: The peer did not reply.
             BrokenSnapshotError: The snapshot is incomplete or damaged.
         """
-        current = self._holding.current
+        current = self._replica.current
         request = configuration_messages.SnapshotRequest(current.next_offset)
         offer = await self._request(peer, request)
         if not isinstance(offer, configuration_messages.SnapshotOffer):
@@ -204,23 +204,23 @@
         self, _: str, request: configuration_messages.RecordsRequest
     ) -> configuration_messages.RecordsReply:
         limit = min(request.limit, _MAX_PAGE_RECORDS)
-        found = self._holding.recent(request.from_offset, limit)
+        found = self._replica.recent(request.from_offset, limit)
         return configuration_messages.RecordsReply(
-            self._holding.next_offset,
+            self._replica.next_offset,
             tuple(_limit_page(found)),
-            self._holding.caught_up.is_set(),
+            self._replica.caught_up.is_set(),
         )
 
     async def _on_snapshot(
         self, _: str, request: configuration_messages.SnapshotRequest
     ) -> configuration_messages.SnapshotOffer:
-        is_caught_up = self._holding.caught_up.is_set()
+        is_caught_up = self._replica.caught_up.is_set()
         if (
             not is_caught_up
-            or self._holding.next_offset <= request.above_offset
+            or self._replica.next_offset <= request.above_offset
         ):
             return configuration_messages.SnapshotOffer(
-                self._holding.next_offset
+                self._replica.next_offset
             )
         snapshot = await self._get_snapshot(request.above_offset)
         return configuration_messages.SnapshotOffer(
@@ -260,7 +260,7 @@
             return cached.snapshot
 
     async def _encode(self) -> snapshots.Snapshot:
-        encoder = snapshots.Encoder(self._holding.current)
+        encoder = snapshots.Encoder(self._replica.current)
         chunks: list[bytes] = []
         for chunk in encoder.chunks():
             chunks.append(chunk)
--- a/tests/configuration/test_model.py
+++ b/tests/configuration/test_model.py
@@ -16,8 +16,8 @@
 from hypothesis import strategies as st
 import pytest
 
-from jujubewharf.configuration import holding as holdings
 from jujubewharf.configuration import records
+from jujubewharf.configuration import replica as replicas
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import snapshot as snapshots
 from jujubewharf.configuration import state as states
@@ -60,9 +60,9 @@
         self.checkpoints: list[snapshots.Snapshot] = []
         self.append(records.encode(making.put(making.SERVICE)))
 
-    def make(self, index: int) -> holdings.Holding:
+    def make(self, index: int) -> replicas.Replica:
         state = states.State(newest_rules=NEWEST_RULES[index])
-        return holdings.Holding(state)
+        return replicas.Replica(state)
 
     def append(self, payload: bytes) -> None:
         offset = len(self.payloads)
@@ -131,34 +131,34 @@
         self.held[index].fold(self.held[other].recent(offset, limit))
 
     def adopt(self, index: int, snapshot: snapshots.Snapshot) -> None:
-        holding = self.held[index]
-        rules = holding.current.newest_rules
+        replica = self.held[index]
+        rules = replica.current.newest_rules
         try:
             state = snapshots.decode(snapshot, newest_rules=rules)
         except snapshots.BrokenSnapshotError:
             assert rules == 1
             return
-        holding.adopt(state, source="test")
+        replica.adopt(state, source="test")
 
     @stateful.invariant()
     def one_offset_one_state(self):
-        for index, holding in enumerate(self.held):
-            now = (holding.current, holding.next_offset)
+        for index, replica in enumerate(self.held):
+            now = (replica.current, replica.next_offset)
             if now != self.checked[index]:
                 self.checked[index] = now
-                found = snapshots.digest(holding.current)
-                assert found == self.digests[holding.next_offset]
+                found = snapshots.digest(replica.current)
+                assert found == self.digests[replica.next_offset]
 
     @stateful.invariant()
     def no_offset_goes_down(self):
-        for index, holding in enumerate(self.held):
-            assert holding.next_offset >= self.reached[index]
-            self.reached[index] = holding.next_offset
+        for index, replica in enumerate(self.held):
+            assert replica.next_offset >= self.reached[index]
+            self.reached[index] = replica.next_offset
 
     @stateful.invariant()
     def one_operation_one_verdict(self):
-        for holding in self.held:
-            for item in holding.current.history:
+        for replica in self.held:
+            for item in replica.current.history:
                 found = item.verdict
                 assert found == self.verdicts[found.operation_id]
 
@@ -178,7 +178,7 @@
     stateful.run_state_machine_as_test(Fleet, settings=_settings(150))
 
 
-class _SkipsGap(holdings.Holding):
+class _SkipsGap(replicas.Replica):
     def fold(self, found):
         found = list(found)
         if found and found[0].offset > self.next_offset:
@@ -186,14 +186,14 @@
         return super().fold(found)
 
 
-class _AdoptsOlderState(holdings.Holding):
+class _AdoptsOlderState(replicas.Replica):
     def adopt(self, state, *, source):
         del source
         self.current = state
         return True
 
 
-class _AppliesByOldRules(holdings.Holding):
+class _AppliesByOldRules(replicas.Replica):
     def fold(self, found):
         count = super().fold(found)
         if self.is_frozen:
@@ -217,7 +217,7 @@
     if weakened == "history":
         monkeypatch.setattr(snapshots, "_encode_history_item", _without_history)
     else:
-        monkeypatch.setattr(holdings, "Holding", weakened)
+        monkeypatch.setattr(replicas, "Replica", weakened)
     with pytest.raises((AssertionError, KeyError, ValueError)):
         settings = hypothesis.settings(
             _settings(600), phases=[hypothesis.Phase.generate]
