--- a/src/jujubewharf/configuration/resource_codec.py
+++ b/src/jujubewharf/configuration/resource_codec.py
@@ -101,7 +101,7 @@
 def dump_with_extra(
     resource: resources.Resource, extra: dict[str, Any]
 ) -> dict[str, Any]:
-    """Converts a resource and its unknown fields to data for ``decode_body``."""
+    """Converts a resource and its unknown fields to a body for the log."""
     body = dump(resource)
     for name, value in extra.items():
         is_nested = name == _CAPABILITIES and name in body
