--- a/src/jujubewharf/configuration/follower.py
+++ b/src/jujubewharf/configuration/follower.py
@@ -12,10 +12,10 @@
 from jujubewharf import clock as clocks
 from jujubewharf.configuration import checkpointer
 from jujubewharf.configuration import checkpoints
+from jujubewharf.configuration import peer_sync as peer_syncs
 from jujubewharf.configuration import records
 from jujubewharf.configuration import recovery
 from jujubewharf.configuration import replica as replicas
-from jujubewharf.configuration import spread as spreads
 from jujubewharf.configuration import state as states
 from jujubewharf.platform import log
 
@@ -84,9 +84,9 @@
         self._is_log_behind = False
         self._logger = structlog.get_logger()
         self._replica = replicas.Replica(state)
-        self._spread: spreads.PeerSpread | None = None
+        self._peer_sync: peer_syncs.PeerSync | None = None
         if network is not None and membership is not None:
-            self._spread = spreads.PeerSpread(
+            self._peer_sync = peer_syncs.PeerSync(
                 self._replica, network, membership, clock
             )
         store = checkpoints.CheckpointStore(platform_log, clock)
@@ -99,7 +99,7 @@
             retention_ms=retention_ms,
         )
         self._recovery = recovery.Recovery(
-            self._replica, store, self._spread, instance=instance
+            self._replica, store, self._peer_sync, instance=instance
         )
 
     @property
@@ -148,8 +148,8 @@
 
     async def on_start(self) -> None:
         """Starts the peer synchronization and the checkpointer."""
-        if self._spread is not None:
-            await self.add_runtime_dependency(self._spread)
+        if self._peer_sync is not None:
+            await self.add_runtime_dependency(self._peer_sync)
         await self.add_runtime_dependency(self._checkpointer)
 
     @mode.Service.task
@@ -220,7 +220,7 @@
         A log that answers may have been recreated and lack records. A new
         instance can only detect this by comparing with its peers.
         """
-        if self._spread is None:
+        if self._peer_sync is None:
             return
         started_ms = self._clock.now_ms()
         next_compare_ms = started_ms + _FIRST_COMPARE_DELAY_MS
@@ -236,7 +236,7 @@
                 now_ms - last_reply_ms > self._wait_ms + _SILENCE_GRACE_MS
             )
             if is_silent:
-                await self._spread.catch_up()
+                await self._peer_sync.catch_up()
             elif now_ms >= next_compare_ms:
                 next_compare_ms = now_ms + _COMPARE_INTERVAL_MS
-                await self._spread.catch_up(peer_count=1)
+                await self._peer_sync.catch_up(peer_count=1)
--- a/src/jujubewharf/configuration/spread.py
+++ b/src/jujubewharf/configuration/peer_sync.py
@@ -28,7 +28,7 @@
     from jujubewharf.membership import view
     from jujubewharf.peers import messages
 
-PEERS_A_ROUND = 2
+PEERS_PER_ROUND = 2
 
 _REQUEST_TIMEOUT_MS = 2_000.0
 _MAX_PAGE_RECORDS = 200
@@ -45,7 +45,7 @@
         self.created_ms = created_ms
 
 
-class PeerSpread(mode.Service):
+class PeerSync(mode.Service):
     """Fetches missing records and states from peers, and serves theirs.
 
     Args:
@@ -77,7 +77,7 @@
         )
         network.handle(configuration_messages.ChunkRequest, self._on_chunk)
 
-    async def catch_up(self, *, peer_count: int = PEERS_A_ROUND) -> None:
+    async def catch_up(self, *, peer_count: int = PEERS_PER_ROUND) -> None:
         """Fetches newer records, or a newer state, from a peer.
 
         Args:
@@ -112,7 +112,7 @@
         Returns:
             Whether a state was adopted.
         """
-        for peer in itertools.islice(self._ranked_peers(), PEERS_A_ROUND):
+        for peer in itertools.islice(self._ranked_peers(), PEERS_PER_ROUND):
             if await self.adopt_from(peer):
                 return True
         return False
--- a/src/jujubewharf/configuration/recovery.py
+++ b/src/jujubewharf/configuration/recovery.py
@@ -10,8 +10,8 @@
 from jujubewharf.configuration import snapshot as snapshots
 
 if TYPE_CHECKING:
+    from jujubewharf.configuration import peer_sync as peer_syncs
     from jujubewharf.configuration import replica as replicas
-    from jujubewharf.configuration import spread as spreads
 
 _ROUNDS_TO_CLOSE_GAP = 3
 
@@ -22,7 +22,7 @@
     Args:
         replica: Configuration of this instance.
         store: Checkpoints in the log.
-        spread: Synchronization with peers; ``None`` for a single instance.
+        peer_sync: Synchronization with peers; ``None`` for a single instance.
         instance: Name of this instance.
 
     Attributes:
@@ -36,13 +36,13 @@
         self,
         replica: replicas.Replica,
         store: checkpoints.CheckpointStore,
-        spread: spreads.PeerSpread | None,
+        peer_sync: peer_syncs.PeerSync | None,
         *,
         instance: str,
     ) -> None:
         self._replica = replica
         self._store = store
-        self._spread = spread
+        self._peer_sync = peer_sync
         self._instance = instance
         self.is_loss_accepted = False
         self._gap_rounds = 0
@@ -64,8 +64,8 @@
             LogUnavailableError: The log is unavailable.
             AppendUnknownError: The log did not confirm an append.
         """
-        if self._spread is not None:
-            await self._spread.adopt_any()
+        if self._peer_sync is not None:
+            await self._peer_sync.adopt_any()
         if self._can_continue(first_offset):
             return True
         await self._store.refresh()
@@ -124,7 +124,7 @@
 
     async def _may_close_gap(self) -> bool:
         own_offset = self._replica.next_offset
-        offsets = await self._spread.offsets() if self._spread else {}
+        offsets = await self._peer_sync.offsets() if self._peer_sync else {}
         known_offsets = {
             name: offset
             for name, offset in offsets.items()
