--- a/src/jujubewharf/callers/completions.py
+++ b/src/jujubewharf/callers/completions.py
@@ -93,7 +93,7 @@
         )
         accounts.check_service(account, service)
         resume_from = marks.resume_from or 0
-        wanted = model_request.ModelRequest(
+        model_call = model_request.ModelRequest(
             request_id=(request_id := self._new_id()),
             key=marks.key or request_id,
             body_digest=hashing.digest(raw),
@@ -107,18 +107,22 @@
             is_repeatable=_is_repeatable(body, marks, service),
             resume_from=resume_from,
         )
-        shape = (shapes.ChatShape if is_chat else shapes.TextShape)(wanted)
+        shape = (shapes.ChatShape if is_chat else shapes.TextShape)(model_call)
         headers = {
             caller_marks.REQUEST_HEADER: request_id,
-            caller_marks.KEY_HEADER: wanted.key,
+            caller_marks.KEY_HEADER: model_call.key,
         }
         with structlog.contextvars.bound_contextvars(request=request_id):
-            async with contextlib.aclosing(self._core.answer(wanted)) as events:
+            async with contextlib.aclosing(
+                self._core.answer(model_call)
+            ) as events:
                 if not body.stream:
-                    return await _whole(events, shape, headers, wanted)
+                    return await _complete_response(
+                        events, shape, headers, model_call
+                    )
                 prompt_tokens = None
                 if body.wants_usage:
-                    prompt_tokens = _prompt_tokens(wanted)
+                    prompt_tokens = _prompt_tokens(model_call)
                 stream = event_stream.EventStream(
                     request,
                     shape,
@@ -183,7 +187,7 @@
     return len(prefixes.tokens_of(request.prompt))
 
 
-async def _whole(
+async def _complete_response(
     events: AsyncIterator[model_request.Event],
     shape: shapes.TextShape,
     headers: Mapping[str, str],
--- a/src/jujubewharf/callers/edge.py
+++ b/src/jujubewharf/callers/edge.py
@@ -23,9 +23,9 @@
 _Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 # Requests have been drained before; any that are left are aborted.
-_STOP_S = 0.1
+_SHUTDOWN_TIMEOUT_S = 0.1
 _READY_STATUS = {True: 200, False: 503}
-_PROBES = frozenset({"/healthz", "/readyz"})
+_PROBE_PATHS = frozenset({"/healthz", "/readyz"})
 
 
 class CallerEdge(mode.Service):
@@ -63,7 +63,7 @@
         self._runner = server.JsonErrorRunner(
             self._app,
             handler_cancellation=True,
-            shutdown_timeout=_STOP_S,
+            shutdown_timeout=_SHUTDOWN_TIMEOUT_S,
             auto_decompress=False,
             access_log=None,
         )
@@ -91,7 +91,7 @@
     async def _check_readiness(
         self, request: web.Request, handler: _Handler
     ) -> web.StreamResponse:
-        if request.path not in _PROBES:
+        if request.path not in _PROBE_PATHS:
             self.readiness.check()
         return await handler(request)
 
--- a/src/jujubewharf/callers/event_stream.py
+++ b/src/jujubewharf/callers/event_stream.py
@@ -69,14 +69,14 @@
                     return self._response
                 case model_request.Failed():
                     return await self._fail(event)
-        return await self._fail(_BROKEN)
+        return await self._fail(_UNTERMINATED)
 
     async def _send_tokens(self, event: model_request.Tokens) -> None:
-        fresh = event.texts[max(0, self._next_index - event.first_index) :]
-        if not fresh:
+        new_texts = event.texts[max(0, self._next_index - event.first_index) :]
+        if not new_texts:
             return
         self._next_index = event.first_index + len(event.texts)
-        body = self._shape.chunk("".join(fresh), is_first=self._is_first)
+        body = self._shape.chunk("".join(new_texts), is_first=self._is_first)
         self._is_first = False
         await self._write(body)
 
@@ -93,10 +93,10 @@
         body = answers.error_body(event.kind, event.ran, event.detail)
         answers.count(event.kind)
         await self._response.write(b"event: error\n" + _data(body))
-        self._cut()
+        self._abort_body()
         return self._response
 
-    def _cut(self) -> None:
+    def _abort_body(self) -> None:
         """Closes the connection before the end of the body.
 
         Clients that ignore error events would take a terminated body for a
@@ -114,7 +114,7 @@
         await self._response.write(event_id + _data(body))
 
 
-_BROKEN = model_request.Failed(
+_UNTERMINATED = model_request.Failed(
     errors.ErrorKind.INTERNAL,
     errors.Ran.UNKNOWN,
     "The answer ended without an end.",
--- a/src/jujubewharf/callers/guarded_server.py
+++ b/src/jujubewharf/callers/guarded_server.py
@@ -20,31 +20,31 @@
     """
 
     head_within_ms: float = 0.0
-    _late: asyncio.TimerHandle | None = None
+    _head_timer: asyncio.TimerHandle | None = None
 
     def data_received(self, data: bytes) -> None:
         super().data_received(data)
         is_inside_head = self._current_request is None and not self._messages
         if not is_inside_head:
-            self._cancel()
-        elif self._late is None:
+            self._cancel_head_timer()
+        elif self._head_timer is None:
             within_s = self.head_within_ms / clocks.MS_PER_S
             loop = asyncio.get_running_loop()
-            self._late = loop.call_later(within_s, self._on_late)
+            self._head_timer = loop.call_later(within_s, self._on_head_timeout)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        self._cancel()
+        self._cancel_head_timer()
         super().connection_lost(exc)
 
-    def _on_late(self) -> None:
+    def _on_head_timeout(self) -> None:
         structlog.get_logger().info("slow_head_closed")
         if self.transport is not None:
             self.transport.close()
 
-    def _cancel(self) -> None:
-        if self._late is not None:
-            self._late.cancel()
-            self._late = None
+    def _cancel_head_timer(self) -> None:
+        if self._head_timer is not None:
+            self._head_timer.cancel()
+            self._head_timer = None
 
 
 class GuardedServer(web.Server):
@@ -65,6 +65,6 @@
 
     def __call__(self) -> web_protocol.RequestHandler:
         """Creates the protocol handler of a connection."""
-        made = _GuardedHandler(self, loop=self._loop, **self._kwargs)
-        made.head_within_ms = self._head_within_ms
-        return made
+        protocol = _GuardedHandler(self, loop=self._loop, **self._kwargs)
+        protocol.head_within_ms = self._head_within_ms
+        return protocol
--- a/src/jujubewharf/callers/hops.py
+++ b/src/jujubewharf/callers/hops.py
@@ -37,11 +37,11 @@
         Connection header, and ``dropped``; the order is kept.
     """
     items = tuple(pairs)
-    named = {
+    connection_tokens = {
         token.strip().lower()
         for name, value in items
         if name.lower() == "connection"
         for token in value.split(",")
     }
-    left_out = HOP_HEADERS | named | set(dropped)
-    return tuple((n, v) for n, v in items if n.lower() not in left_out)
+    removed = HOP_HEADERS | connection_tokens | set(dropped)
+    return tuple((n, v) for n, v in items if n.lower() not in removed)
--- a/src/jujubewharf/callers/marks.py
+++ b/src/jujubewharf/callers/marks.py
@@ -59,10 +59,10 @@
             resume_from=_count(headers, LAST_EVENT_HEADER),
         )
         if marks.priority is not None and marks.priority > MAX_PRIORITY:
-            raise _bad(PRIORITY_HEADER)
+            raise _invalid_header(PRIORITY_HEADER)
         if marks.deadline_ms is not None:
             if not 0 < marks.deadline_ms <= MAX_DEADLINE_MS:
-                raise _bad(DEADLINE_HEADER)
+                raise _invalid_header(DEADLINE_HEADER)
         if marks.resume_from is not None and marks.key is None:
             raise errors.WharfError(
                 errors.ErrorKind.BAD_REQUEST,
@@ -74,7 +74,7 @@
 def _key(headers: Mapping[str, str]) -> str | None:
     value = headers.get(KEY_HEADER)
     if value is not None and not _KEY_PATTERN.fullmatch(value):
-        raise _bad(KEY_HEADER)
+        raise _invalid_header(KEY_HEADER)
     return value
 
 
@@ -83,7 +83,7 @@
     if value is None:
         return None
     if not _COUNT_PATTERN.fullmatch(value):
-        raise _bad(name)
+        raise _invalid_header(name)
     return int(value)
 
 
@@ -93,9 +93,9 @@
         return None
     flag = _FLAGS.get(value.lower())
     if flag is None:
-        raise _bad(name)
+        raise _invalid_header(name)
     return flag
 
 
-def _bad(name: str) -> errors.WharfError:
+def _invalid_header(name: str) -> errors.WharfError:
     return errors.WharfError(errors.ErrorKind.BAD_REQUEST, f"header {name}")
--- a/src/jujubewharf/callers/plain.py
+++ b/src/jujubewharf/callers/plain.py
@@ -67,11 +67,13 @@
         app.router.add_route("*", "/s/{service}/{path:.*}", self._handle)
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
-        wanted = self._request(request)
-        with structlog.contextvars.bound_contextvars(request=wanted.request_id):
-            return await self._pass_on(request, wanted)
+        plain_request = self._parse_request(request)
+        with structlog.contextvars.bound_contextvars(
+            request=plain_request.request_id
+        ):
+            return await self._forward(request, plain_request)
 
-    def _request(self, request: web.Request) -> plain.PlainRequest:
+    def _parse_request(self, request: web.Request) -> plain.PlainRequest:
         arrived_ms = self._clock.now_ms()
         account = self._core.accounts.identify(request.headers)
         marks = caller_marks.Marks.from_headers(request.headers)
@@ -102,13 +104,13 @@
             is_repeatable=_is_repeatable(request.method, marks, service),
         )
 
-    async def _pass_on(
-        self, request: web.Request, wanted: plain.PlainRequest
+    async def _forward(
+        self, request: web.Request, plain_request: plain.PlainRequest
     ) -> web.StreamResponse:
         response: web.StreamResponse | None = None
         try:
-            async with self._core.call_plain(wanted) as reply:
-                response = _response(reply, wanted)
+            async with self._core.call_plain(plain_request) as reply:
+                response = _new_response(reply, plain_request)
                 await response.prepare(request)
                 async for chunk in reply.body:
                     await response.write(chunk)
@@ -133,11 +135,11 @@
     return method in _IDEMPOTENT_METHODS or service.repeatable
 
 
-def _response(
-    reply: endpoint_client.PlainReply, wanted: plain.PlainRequest
+def _new_response(
+    reply: endpoint_client.PlainReply, plain_request: plain.PlainRequest
 ) -> web.StreamResponse:
     response = web.StreamResponse(status=reply.status)
     for name, value in hops.end_to_end(reply.headers, dropped=_DROPPED):
         response.headers.add(name, value)
-    response.headers[caller_marks.REQUEST_HEADER] = wanted.request_id
+    response.headers[caller_marks.REQUEST_HEADER] = plain_request.request_id
     return response
--- a/src/jujubewharf/callers/server.py
+++ b/src/jujubewharf/callers/server.py
@@ -65,9 +65,9 @@
         self._options = options
 
     async def _make_server(self) -> web.Server:
-        made = await super()._make_server()
+        server = await super()._make_server()
         return _JsonErrorServer(
-            made.request_handler,
-            request_factory=made.request_factory,
+            server.request_handler,
+            request_factory=server.request_factory,
             **self._options,
         )
--- a/src/jujubewharf/callers/shapes.py
+++ b/src/jujubewharf/callers/shapes.py
@@ -79,14 +79,14 @@
         try:
             body = cls.model_validate_json(raw)
         except pydantic.ValidationError as error:
-            detail = "; ".join(_line(item) for item in error.errors()[:5])
-            raise _bad(detail) from None
+            detail = "; ".join(_error_line(item) for item in error.errors()[:5])
+            raise _bad_request(detail) from None
         if is_chat and not body.messages:
-            raise _bad("messages: must be given")
+            raise _bad_request("messages: must be given")
         if not is_chat and body.prompt is None:
-            raise _bad("prompt: must be given")
+            raise _bad_request("prompt: must be given")
         if isinstance(body.prompt, list) and len(body.prompt) != 1:
-            raise _bad("prompt: one prompt a request")
+            raise _bad_request("prompt: one prompt a request")
         return body
 
     def text(self, *, is_chat: bool) -> str:
@@ -146,7 +146,7 @@
 
     def chunk(self, text: str, *, is_first: bool = False) -> Json:
         """Builds a chunk with tokens of a streamed answer."""
-        choice = self._piece(text, is_first=is_first)
+        choice = self._chunk_content(text, is_first=is_first)
         choice |= {"index": 0, "finish_reason": None}
         return {**self._base, "object": self.chunk_object, "choices": [choice]}
 
@@ -165,7 +165,7 @@
         self, text: str, end: model_request.Finished, usage: Usage
     ) -> Json:
         """Builds the body of a response that is not streamed."""
-        choice = self._whole_piece(text)
+        choice = self._message_content(text)
         choice |= {"index": 0, "finish_reason": self._finish_reason(end)}
         return {
             **self._base,
@@ -175,10 +175,10 @@
             EXTENSION: self._extension(end),
         }
 
-    def _piece(self, text: str, *, is_first: bool) -> Json:
+    def _chunk_content(self, text: str, *, is_first: bool) -> Json:
         return {"text": text}
 
-    def _whole_piece(self, text: str) -> Json:
+    def _message_content(self, text: str) -> Json:
         return {"text": text}
 
     def _finish_reason(self, end: model_request.Finished) -> str:
@@ -200,12 +200,12 @@
     chunk_object = "chat.completion.chunk"
     whole_object = "chat.completion"
 
-    def _piece(self, text: str, *, is_first: bool) -> Json:
+    def _chunk_content(self, text: str, *, is_first: bool) -> Json:
         if is_first:
             return {"delta": {"role": "assistant", "content": text}}
         return {"delta": {"content": text} if text else {}}
 
-    def _whole_piece(self, text: str) -> Json:
+    def _message_content(self, text: str) -> Json:
         return {"message": {"role": "assistant", "content": text}}
 
 
@@ -214,10 +214,10 @@
     return uuid.uuid4().hex
 
 
-def _line(item: Any) -> str:
+def _error_line(item: Any) -> str:
     path = ".".join(str(part) for part in item["loc"]) or "body"
     return f"{path}: {item['msg']}"
 
 
-def _bad(detail: str) -> errors.WharfError:
+def _bad_request(detail: str) -> errors.WharfError:
     return errors.WharfError(errors.ErrorKind.BAD_REQUEST, detail)
