--- a/src/jujubewharf/bearer.py
+++ b/src/jujubewharf/bearer.py
@@ -69,20 +69,20 @@
     """
 
     def __init__(self, entries: Iterable[tuple[str, T]]) -> None:
-        self._found: dict[str, tuple[str, T]] = {}
+        self._entries: dict[str, tuple[str, T]] = {}
         self.ambiguous = 0
-        doubled: set[str] = set()
+        duplicates: set[str] = set()
         for digest, value in entries:
             digest = digest.lower()
-            if digest in self._found:
-                doubled.add(digest)
-            self._found[digest] = (digest, value)
-        for digest in doubled:
-            del self._found[digest]
-        self.ambiguous = len(doubled)
+            if digest in self._entries:
+                duplicates.add(digest)
+            self._entries[digest] = (digest, value)
+        for digest in duplicates:
+            del self._entries[digest]
+        self.ambiguous = len(duplicates)
 
     def __len__(self) -> int:
-        return len(self._found)
+        return len(self._entries)
 
     def find(self, token: str) -> T | None:
         """Returns the value of a token; ``None`` for an unknown token.
@@ -92,5 +92,5 @@
         comparison takes constant time.
         """
         digest = digest_of(token)
-        stored, value = self._found.get(digest, ("", None))
+        stored, value = self._entries.get(digest, ("", None))
         return value if hmac.compare_digest(stored, digest) else None
--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -291,7 +291,7 @@
     ) -> AsyncGenerator[model_request.Event, None]:
         """Answers a model request; see ``AnswerService.answer``."""
         deadline_at_ms = request.arrived_ms + request.deadline_ms
-        watch = goodput.Stopwatch(
+        stopwatch = goodput.Stopwatch(
             request.service, request.arrived_ms, self.clock
         )
         try:
@@ -306,15 +306,15 @@
                 contextlib.aclosing(self.answers.answer(request)) as events,
             ):
                 async for event in events:
-                    watch.see(event)
+                    stopwatch.see(event)
                     yield event
         except errors.WharfError as error:
-            watch.ended(error.kind.value)
+            stopwatch.ended(error.kind.value)
             yield model_request.Failed(
                 error.kind, error.ran, error.detail, error.retry_after_ms
             )
         except (asyncio.CancelledError, GeneratorExit):
-            watch.ended(errors.ErrorKind.CANCELLED.value)
+            stopwatch.ended(errors.ErrorKind.CANCELLED.value)
             raise
 
     @contextlib.asynccontextmanager
--- a/src/jujubewharf/telemetry/explanation.py
+++ b/src/jujubewharf/telemetry/explanation.py
@@ -10,9 +10,9 @@
 import pathlib
 
 # State changes are shown up to this long before and after the request.
-_AROUND_S = 10.0
+_CONTEXT_S = 10.0
 # Events of an instance's state rather than of a single request.
-_BELIEFS = frozenset(
+_STATE_EVENTS = frozenset(
     {
         "configuration_in_force",
         "endpoint_changed",
@@ -34,7 +34,9 @@
     }
 )
 # Fields that are shown in columns of their own, or are the same in all lines.
-_IN_COLUMNS = frozenset({"event", "instance", "level", "request", "timestamp"})
+_COLUMN_FIELDS = frozenset(
+    {"event", "instance", "level", "request", "timestamp"}
+)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -78,7 +80,7 @@
     held in memory.
     """
     story = Story(request_id, [], [])
-    for line in _lines(files, story):
+    for line in _parse_files(files, story):
         if line.fields.get("request") == request_id:
             story.lines.append(line)
     story.lines.sort(key=lambda line: line.at_s)
@@ -86,13 +88,17 @@
         return story
     engines = {str(line.fields.get("engine", "")) for line in story.lines}
     instances = {line.instance for line in story.lines}
-    first_s = story.lines[0].at_s - _AROUND_S
-    last_s = story.lines[-1].at_s + _AROUND_S
-    for line in _lines(files, None):
+    first_s = story.lines[0].at_s - _CONTEXT_S
+    last_s = story.lines[-1].at_s + _CONTEXT_S
+    for line in _parse_files(files, None):
         is_near = first_s <= line.at_s <= last_s
-        if is_near and line.event in _BELIEFS and line.instance in instances:
-            about = line.fields.get("endpoint")
-            if about is None or about in engines:
+        if (
+            is_near
+            and line.event in _STATE_EVENTS
+            and line.instance in instances
+        ):
+            endpoint = line.fields.get("endpoint")
+            if endpoint is None or endpoint in engines:
                 story.beliefs.append(line)
     return story
 
@@ -104,40 +110,40 @@
             f"no line of request {story.request_id}; "
             f"{story.skipped} lines skipped\n"
         )
-    began_s = story.lines[0].at_s
-    own = {id(line) for line in story.lines}
+    start_s = story.lines[0].at_s
+    request_line_ids = {id(line) for line in story.lines}
     rows = sorted([*story.lines, *story.beliefs], key=lambda line: line.at_s)
     text = [f"request {story.request_id}"]
     for line in rows:
-        mark = " " if id(line) in own else "~"
-        ms = (line.at_s - began_s) * 1_000.0
-        said = _said(line)
+        mark = " " if id(line) in request_line_ids else "~"
+        ms = (line.at_s - start_s) * 1_000.0
+        rest = _format_fields(line)
         text.append(
-            f"{mark} {ms:+9.0f} ms {line.instance:<24} {line.event:<24} {said}"
+            f"{mark} {ms:+9.0f} ms {line.instance:<24} {line.event:<24} {rest}"
         )
-    text.append(f"decided by: {_deciding(story.lines)}")
+    text.append(f"decided by: {_deciding_line(story.lines)}")
     if story.skipped:
         text.append(f"{story.skipped} lines skipped")
     return "\n".join(text) + "\n"
 
 
-def _deciding(lines: Sequence[Line]) -> str:
+def _deciding_line(lines: Sequence[Line]) -> str:
     """Returns the log line that decided the outcome of the request."""
     for line in reversed(lines):
         if line.event in ("request_not_placed", "retry_denied"):
-            return f"{line.event} {_said(line)}"
+            return f"{line.event} {_format_fields(line)}"
     for line in reversed(lines):
         if line.event == "engine_call_failed":
-            return f"{line.event} {_said(line)}"
+            return f"{line.event} {_format_fields(line)}"
     sent = [line for line in lines if line.event == "request_sent"]
     if sent and any(line.event == "request_failed" for line in lines):
         # The request failed before an engine responded.
         last = max(sent, key=_since_ms)
-        return f"no answer to {last.event} {_said(last)}"
+        return f"no answer to {last.event} {_format_fields(last)}"
     for line in reversed(lines):
         if line.event in ("request_refused", "request_failed"):
-            return f"{line.event} {_said(line)}"
-    return f"{lines[-1].event} {_said(lines[-1])}"
+            return f"{line.event} {_format_fields(line)}"
+    return f"{lines[-1].event} {_format_fields(lines[-1])}"
 
 
 def _since_ms(line: Line) -> float:
@@ -145,25 +151,25 @@
     return float(since_ms) if isinstance(since_ms, int | float) else 0.0
 
 
-def _said(line: Line) -> str:
-    shown = {n: v for n, v in line.fields.items() if n not in _IN_COLUMNS}
+def _format_fields(line: Line) -> str:
+    shown = {n: v for n, v in line.fields.items() if n not in _COLUMN_FIELDS}
     return " ".join(f"{name}={value}" for name, value in shown.items())
 
 
-def _lines(
+def _parse_files(
     files: Sequence[pathlib.Path], story: Story | None
 ) -> Iterator[Line]:
     for file in files:
         with file.open(encoding="utf-8", errors="replace") as text:
             for raw in text:
-                line = _line(raw)
+                line = _parse_line(raw)
                 if line is not None:
                     yield line
                 elif story is not None and raw.strip():
                     story.skipped += 1
 
 
-def _line(raw: str) -> Line | None:
+def _parse_line(raw: str) -> Line | None:
     """Parses a JSON line, which may have a prefix from a log collector."""
     _, brace, rest = raw.partition("{")
     if not brace:
--- a/src/jujubewharf/telemetry/line_writer.py
+++ b/src/jujubewharf/telemetry/line_writer.py
@@ -14,7 +14,7 @@
 
 # Maximum number of queued lines: less than 2 MB.
 MAX_WAITING_LINES = 4_000
-_CLOSE_S = 0.3
+_CLOSE_TIMEOUT_S = 0.3
 
 
 class LineWriter:
@@ -34,7 +34,7 @@
         self.dropped = 0
         self._stream = stream
         self._max_waiting = max_waiting
-        self._waiting: collections.deque[str] = collections.deque()
+        self._queue: collections.deque[str] = collections.deque()
         self._changed = threading.Condition()
         self._is_closed = False
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -47,10 +47,10 @@
             Number of characters queued; 0 for a dropped line.
         """
         with self._changed:
-            if len(self._waiting) >= self._max_waiting:
+            if len(self._queue) >= self._max_waiting:
                 self.dropped += 1
                 return 0
-            self._waiting.append(line)
+            self._queue.append(line)
             self._changed.notify()
         return len(line)
 
@@ -62,15 +62,15 @@
         with self._changed:
             self._is_closed = True
             self._changed.notify()
-        self._thread.join(_CLOSE_S)
+        self._thread.join(_CLOSE_TIMEOUT_S)
 
     def _run(self) -> None:
         while True:
             with self._changed:
-                while not self._waiting and not self._is_closed:
+                while not self._queue and not self._is_closed:
                     self._changed.wait()
-                text = "".join(self._waiting)
-                self._waiting.clear()
+                text = "".join(self._queue)
+                self._queue.clear()
                 dropped, self.dropped = self.dropped, 0
                 is_last = self._is_closed
             if dropped:
--- a/src/jujubewharf/telemetry/logs.py
+++ b/src/jujubewharf/telemetry/logs.py
@@ -25,7 +25,7 @@
 
 # Loggers limited to errors: their records repeat our own log lines and
 # metrics, or quote addresses and bodies.
-_QUIET_LOGGERS = ("aiohttp.access", "urllib3", "opentelemetry")
+_ERROR_LOGGERS = ("aiohttp.access", "urllib3", "opentelemetry")
 
 # Loggers limited to warnings: `mode` logs each start and stop of a service.
 _WARNING_LOGGERS = ("jujubewharf", "mode", "users_platform")
@@ -48,13 +48,13 @@
             disables it.
     """
     stream = stream or sys.stderr
-    bounds: list[structlog.typing.Processor] = []
+    limiters: list[structlog.typing.Processor] = []
     if max_lines_per_s is not None:
-        bounds.append(rate_bound.RateBound(max_per_s=max_lines_per_s))
-    number = logging.getLevelNamesMapping()[level.upper()]
+        limiters.append(rate_bound.RateBound(max_per_s=max_lines_per_s))
+    level_number = logging.getLevelNamesMapping()[level.upper()]
     structlog.configure(
-        processors=[*bounds, *_shared(instance), _renderer()],
-        wrapper_class=structlog.make_filtering_bound_logger(number),
+        processors=[*limiters, *_shared_processors(instance), _renderer()],
+        wrapper_class=structlog.make_filtering_bound_logger(level_number),
         logger_factory=structlog.WriteLoggerFactory(cast(TextIO, stream)),
     )
     handler = logging.StreamHandler(cast(TextIO, stream))
@@ -62,7 +62,7 @@
         structlog.stdlib.ProcessorFormatter(
             foreign_pre_chain=[
                 structlog.stdlib.add_logger_name,
-                *_shared(instance),
+                *_shared_processors(instance),
             ],
             processors=[
                 structlog.stdlib.ProcessorFormatter.remove_processors_meta,
@@ -74,8 +74,8 @@
     )
     root = logging.getLogger()
     root.handlers = [handler]
-    root.setLevel(number)
-    for name in _QUIET_LOGGERS:
+    root.setLevel(level_number)
+    for name in _ERROR_LOGGERS:
         logging.getLogger(name).setLevel(logging.ERROR)
     for name in _WARNING_LOGGERS:
         logging.getLogger(name).setLevel(logging.WARNING)
@@ -99,7 +99,7 @@
     )
 
 
-def _shared(instance: str) -> list[structlog.typing.Processor]:
+def _shared_processors(instance: str) -> list[structlog.typing.Processor]:
     def add_instance(
         logger: Any, method: str, event: structlog.typing.EventDict
     ) -> structlog.typing.EventDict:
--- a/src/jujubewharf/telemetry/rate_bound.py
+++ b/src/jujubewharf/telemetry/rate_bound.py
@@ -38,7 +38,7 @@
         self._now_s = now_s
         self._second = 0
         self._counts: collections.Counter[str] = collections.Counter()
-        self._left_out: collections.Counter[str] = collections.Counter()
+        self._dropped: collections.Counter[str] = collections.Counter()
 
     def __call__(
         self, logger: Any, method: str, event: structlog.typing.EventDict
@@ -51,9 +51,9 @@
         kind = str(event.get("event"))
         self._counts[kind] += 1
         if self._counts[kind] > self._max_per_s:
-            self._left_out[kind] += 1
+            self._dropped[kind] += 1
             raise structlog.DropEvent
-        if self._left_out:
-            event["left_out"] = dict(self._left_out)
-            self._left_out.clear()
+        if self._dropped:
+            event["left_out"] = dict(self._dropped)
+            self._dropped.clear()
         return event
--- a/src/jujubewharf/telemetry/tallies.py
+++ b/src/jujubewharf/telemetry/tallies.py
@@ -39,8 +39,8 @@
 def _points(data: Any, instrument: str) -> Iterator[Any]:
     if data is None:
         return
-    for of_resource in data.resource_metrics:
-        for scope in of_resource.scope_metrics:
+    for resource in data.resource_metrics:
+        for scope in resource.scope_metrics:
             for metric in scope.metrics:
                 if metric.name == instrument:
                     yield from metric.data.data_points
