--- a/src/jujubewharf/clock.py
+++ b/src/jujubewharf/clock.py
@@ -43,7 +43,7 @@
             return time.time() * MS_PER_S + self._skew_ms
         return self._wall_origin_ms + self.now_ms() + self._skew_ms
 
-    def awake_ms(self) -> float:
+    def boottime_ms(self) -> float:
         """Returns monotonic milliseconds that include time in suspension.
 
         Lease holders use it: ``now_ms`` may stand still while the machine is
--- a/src/jujubewharf/forwarding/lease.py
+++ b/src/jujubewharf/forwarding/lease.py
@@ -46,7 +46,7 @@
     @property
     def is_valid(self) -> bool:
         """Whether the lease is still valid."""
-        return self._clock.awake_ms() < self._expires_at_ms
+        return self._clock.boottime_ms() < self._expires_at_ms
 
     @property
     def share(self) -> groups.GroupShare:
@@ -88,7 +88,7 @@
             LogUnavailableError: The store did not answer.
         """
         self._has_left = False
-        started_ms = self._clock.awake_ms()
+        started_ms = self._clock.boottime_ms()
         share = await self._group.join(self._share.generation)
         if self._has_left:
             # The member left while the call was in flight.
