--- a/benchmarks/request_profile.py
+++ b/benchmarks/request_profile.py
@@ -170,7 +170,7 @@
 def _account(number: int) -> accounts.Account:
     name = f"account-{number}"
     quota = accounts.Quota(1e6, 1e6, accounts.QuotaUnit.TOKENS, 200.0)
-    return accounts.Account(name, (bearer.digest_of(name),), quota=quota)
+    return accounts.Account(name, (bearer.token_digest(name),), quota=quota)
 
 
 def main() -> None:
--- a/src/jujubewharf/bearer.py
+++ b/src/jujubewharf/bearer.py
@@ -21,7 +21,7 @@
 T = TypeVar("T")
 
 
-def digest_of(token: str) -> str:
+def token_digest(token: str) -> str:
     """Returns the hexadecimal SHA-256 of a token.
 
     Header bytes that are not UTF-8 arrive as lone surrogates. They are encoded
@@ -91,6 +91,6 @@
         be chosen byte by byte without knowing a matching token. The final
         comparison takes constant time.
         """
-        digest = digest_of(token)
+        digest = token_digest(token)
         stored, value = self._entries.get(digest, ("", None))
         return value if hmac.compare_digest(stored, digest) else None
--- a/src/jujubewharf/commands/ctl_tokens.py
+++ b/src/jujubewharf/commands/ctl_tokens.py
@@ -32,7 +32,7 @@
     except OSError as error:
         message = f"{file}: {error.strerror}"
         ctl_session.fail(ctl_session.ExitCode.BAD_INPUT, message)
-    print(bearer.digest_of(token))
+    print(bearer.token_digest(token))
 
 
 @app.command("hash")
@@ -43,4 +43,4 @@
     except OSError as error:
         message = f"{file}: {error.strerror}"
         ctl_session.fail(ctl_session.ExitCode.BAD_INPUT, message)
-    print(bearer.digest_of(token))
+    print(bearer.token_digest(token))
--- a/src/jujubewharf/experiments/operator_rpc.py
+++ b/src/jujubewharf/experiments/operator_rpc.py
@@ -213,7 +213,7 @@
             },
             "operators": {
                 "port": port,
-                "bootstrap_token_sha256": bearer.digest_of(_TOKEN),
+                "bootstrap_token_sha256": bearer.token_digest(_TOKEN),
                 "max_changes_per_s": _NO_BOUND_PER_S,
                 "max_reads_per_s": _NO_BOUND_PER_S,
             },
--- a/src/jujubewharf/operators/identities.py
+++ b/src/jujubewharf/operators/identities.py
@@ -50,7 +50,7 @@
         Raises:
             WharfError: ``UNAUTHENTICATED`` if no identity has this token.
         """
-        digest = bearer.digest_of(token).encode()
+        digest = bearer.token_digest(token).encode()
         found: values.Identity | None = None
         # No early exit, so that timing does not reveal which digest matched.
         if self._bootstrap_sha256 and _digests_equal(
--- a/tests/commands/test_ctl.py
+++ b/tests/commands/test_ctl.py
@@ -224,7 +224,7 @@
     path = tmp_path / "token"
     made = ctl("token", "new", str(path))
     token = path.read_text().strip()
-    assert made.output.strip() == bearer.digest_of(token)
+    assert made.output.strip() == bearer.token_digest(token)
     assert token not in made.output
     assert path.stat().st_mode & 0o777 == 0o600
     assert ctl("token", "hash", str(path)).output == made.output
--- a/tests/forwarding/test_accounts.py
+++ b/tests/forwarding/test_accounts.py
@@ -15,7 +15,7 @@
 from tests.forwarding import deployments
 
 KEY = "k1-secret"
-SHOP = accounts.Account("shop", (bearer.digest_of(KEY),))
+SHOP = accounts.Account("shop", (bearer.token_digest(KEY),))
 
 
 def _put_configuration(world, version, *found, routes=()):
--- a/tests/leadership/test_fleet_quotas.py
+++ b/tests/leadership/test_fleet_quotas.py
@@ -28,7 +28,7 @@
 
 
 def _account(name: str, quota: accounts.Quota) -> accounts.Account:
-    return accounts.Account(name, (bearer.digest_of(name),), quota=quota)
+    return accounts.Account(name, (bearer.token_digest(name),), quota=quota)
 
 
 async def _started(world, *quotas: tuple[str, accounts.Quota]) -> None:
--- a/tests/leadership/test_packing.py
+++ b/tests/leadership/test_packing.py
@@ -25,7 +25,7 @@
     accounts=tuple(
         accounts.Account(
             f"account-{n}",
-            (bearer.digest_of(f"key-{n}"),),
+            (bearer.token_digest(f"key-{n}"),),
             quota=accounts.Quota(5.0, 7.0, accounts.QuotaUnit.TOKENS, 200.0),
         )
         for n in range(16)
--- a/tests/operators/deployments.py
+++ b/tests/operators/deployments.py
@@ -34,7 +34,7 @@
     "till-1", "shop-api", "127.0.0.1:7002", "norte-a", resources.Role.PLAIN
 )
 ACCOUNT = resources.Account(
-    "shops", bearer.digest_of("shops"), services=("shop-api",)
+    "shops", bearer.token_digest("shops"), services=("shop-api",)
 )
 ALL = (MODEL, SERVICE, SHOP, ENDPOINT, TILL, ACCOUNT)
 
@@ -46,7 +46,7 @@
 ) -> resources.Operator:
     """Returns an operator whose token equals its name."""
     return resources.Operator(
-        name, bearer.digest_of(name), role, tuple(services)
+        name, bearer.token_digest(name), role, tuple(services)
     )
 
 
@@ -77,7 +77,7 @@
 
 def core_settings() -> dict[str, object]:
     """Returns settings that enable the bootstrap token."""
-    digest = bearer.digest_of(BOOTSTRAP_TOKEN)
+    digest = bearer.token_digest(BOOTSTRAP_TOKEN)
     platform = {
         "log_url": _NOWHERE,
         "live_list_url": _NOWHERE,
--- a/tests/test_bearer.py
+++ b/tests/test_bearer.py
@@ -37,14 +37,14 @@
 )
 def test_odd_tokens_are_just_unknown(token):
     """A token that is not UTF-8 leads to a 401 rather than a 500."""
-    table = bearer.DigestTable([(bearer.digest_of("known"), 1)])
+    table = bearer.DigestTable([(bearer.token_digest("known"), 1)])
     assert table.find(token) is None
     assert table.find("known") == 1
 
 
 def test_a_token_of_two_owners_finds_neither():
-    digest = bearer.digest_of("same")
-    other = bearer.digest_of("other")
+    digest = bearer.token_digest("same")
+    other = bearer.token_digest("other")
     table = bearer.DigestTable([(digest, 1), (digest.upper(), 2), (other, 3)])
     assert table.find("same") is None
     assert table.find("other") == 3
--- a/tests/users_platform/test_records.py
+++ b/tests/users_platform/test_records.py
@@ -147,7 +147,7 @@
     assert _accounts(TENANT) == (
         accounts.Account(
             "huka",
-            (bearer.digest_of("one"), bearer.digest_of("two")),
+            (bearer.token_digest("one"), bearer.token_digest("two")),
             1,
             accounts.Quota(
                 111_424.0, 50_000.0, accounts.QuotaUnit.TOKENS, 200.0
