--- a/src/jujubewharf/bearer.py
+++ b/src/jujubewharf/bearer.py
@@ -32,7 +32,7 @@
     return hashlib.sha256(raw).hexdigest()
 
 
-def token_of(values: Sequence[str]) -> str:
+def parse_token(values: Sequence[str]) -> str:
     """Parses the token of a request.
 
     Args:
--- a/src/jujubewharf/callers/accounts.py
+++ b/src/jujubewharf/callers/accounts.py
@@ -61,7 +61,7 @@
         with contextlib.suppress(errors.WharfError):
             # Callers get the same error for missing, malformed and unknown
             # tokens.
-            token = bearer.token_of(() if given is None else (given,))
+            token = bearer.parse_token(() if given is None else (given,))
             account = self._by_token.find(token)
         if account is None:
             raise errors.WharfError(errors.ErrorKind.UNAUTHENTICATED)
--- a/src/jujubewharf/forwarding/accounts.py
+++ b/src/jujubewharf/forwarding/accounts.py
@@ -133,7 +133,7 @@
         Raises:
             WharfError: ``UNAUTHENTICATED`` if no account has the key.
         """
-        account = self._by_key.find(bearer.token_of(authorizations))
+        account = self._by_key.find(bearer.parse_token(authorizations))
         if account is None:
             raise errors.WharfError(
                 errors.ErrorKind.UNAUTHENTICATED, "unknown token"
--- a/tests/test_bearer.py
+++ b/tests/test_bearer.py
@@ -22,13 +22,13 @@
 )
 def test_anything_but_one_token_is_refused(values):
     with pytest.raises(errors.WharfError) as refused:
-        bearer.token_of(values)
+        bearer.parse_token(values)
     assert refused.value.kind is errors.ErrorKind.UNAUTHENTICATED
 
 
 @pytest.mark.parametrize("scheme", ["Bearer", "bearer", "BEARER"])
 def test_the_scheme_is_read_in_any_case(scheme):
-    assert bearer.token_of((f"{scheme} abc ",)) == "abc"
+    assert bearer.parse_token((f"{scheme} abc ",)) == "abc"
 
 
 @pytest.mark.parametrize(
