--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -77,7 +77,7 @@
     endpoints: tables.Table[resources.Endpoint]
     group: groups.Group
     peers: ports.PeerAdapters | None = None
-    crashes: tables.KeptTable | None = None
+    crashes: tables.WritableTable | None = None
 
 
 class ForwardingEntry(mode.Service):
--- a/src/jujubewharf/leadership/crash_follower.py
+++ b/src/jujubewharf/leadership/crash_follower.py
@@ -32,7 +32,7 @@
 
 
 def new_crash_follower(
-    table: tables.KeptTable,
+    table: tables.WritableTable,
     fleet: fleets.Fleet,
     shared_crashes: fleet_crashes.FleetCrashes,
     clock: clocks.Clock,
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        table: tables.KeptTable,
+        table: tables.WritableTable,
         fleet: fleets.Fleet,
         clock: clocks.Clock,
     ) -> None:
--- a/src/jujubewharf/leadership/crash_services.py
+++ b/src/jujubewharf/leadership/crash_services.py
@@ -16,7 +16,7 @@
 
 
 def new_crash_services(
-    table: tables.KeptTable | None,
+    table: tables.WritableTable | None,
     fleet: fleets.Fleet,
     history: crashes.CrashHistory,
     shared_crashes: fleet_crashes.FleetCrashes,
--- a/src/jujubewharf/leadership/crash_writer.py
+++ b/src/jujubewharf/leadership/crash_writer.py
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        table: tables.KeptTable,
+        table: tables.WritableTable,
         fleet: fleets.Fleet,
         history: crashes.CrashHistory,
         shared_crashes: fleet_crashes.FleetCrashes,
--- a/src/jujubewharf/platform/tables.py
+++ b/src/jujubewharf/platform/tables.py
@@ -68,7 +68,7 @@
         ...
 
 
-class KeptTable(Table[bytes], Protocol):
+class WritableTable(Table[bytes], Protocol):
     """A table to which the router itself writes, e.g. crash records."""
 
     async def write(self, values: Mapping[str, bytes | None]) -> None:
--- a/src/jujubewharf/standins/tables.py
+++ b/src/jujubewharf/standins/tables.py
@@ -45,7 +45,7 @@
         self._records.append(tables.TableRecord(key, offset, value))
 
     async def write(self, values: Mapping[str, T | None]) -> None:
-        """Writes records; see ``tables.KeptTable``."""
+        """Writes records; see ``tables.WritableTable``."""
         self._check()
         self.writes += 1
         for key, value in values.items():
