--- a/src/jujubewharf/callers/guarded_server.py
+++ b/src/jujubewharf/callers/guarded_server.py
@@ -19,7 +19,7 @@
     use up the process's file descriptors.
     """
 
-    head_within_ms: float = 0.0
+    head_timeout_ms: float = 0.0
     _head_timer: asyncio.TimerHandle | None = None
 
     def data_received(self, data: bytes) -> None:
@@ -28,7 +28,7 @@
         if not is_inside_head:
             self._cancel_head_timer()
         elif self._head_timer is None:
-            within_s = self.head_within_ms / clocks.MS_PER_S
+            within_s = self.head_timeout_ms / clocks.MS_PER_S
             loop = asyncio.get_running_loop()
             self._head_timer = loop.call_later(within_s, self._on_head_timeout)
 
@@ -52,19 +52,19 @@
 
     Args:
         handler: Handles requests.
-        head_within_ms: Maximum time from the first to the last byte of a
+        head_timeout_ms: Maximum time from the first to the last byte of a
             request head.
         **options: Options of ``web.Server``.
     """
 
     def __init__(
-        self, handler: object, *, head_within_ms: float, **options: object
+        self, handler: object, *, head_timeout_ms: float, **options: object
     ) -> None:
         super().__init__(handler, **options)  # type: ignore[arg-type]
-        self._head_within_ms = head_within_ms
+        self._head_within_ms = head_timeout_ms
 
     def __call__(self) -> web_protocol.RequestHandler:
         """Creates the protocol handler of a connection."""
         protocol = _GuardedHandler(self, loop=self._loop, **self._kwargs)
-        protocol.head_within_ms = self._head_within_ms
+        protocol.head_timeout_ms = self._head_within_ms
         return protocol
