--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -89,7 +89,7 @@
         configuration: Follows the configuration on the log.
         changes: Applies configuration changes of operators.
         fleet: Views of the engines.
-        departures: Endpoints that are reported to be leaving.
+        departing_endpoints: Endpoints that are reported to be leaving.
         admission: Counts requests in flight; closed by a shutdown.
         leases: Leases on the log.
         orders: Reconciles engines with the configuration by orders.
@@ -163,7 +163,7 @@
             ),
             is_assigned=ownership.Ownership(self.membership).is_assigned,
         )
-        self.departures = leaving_endpoints.LeavingEndpoints(
+        self.departing_endpoints = leaving_endpoints.LeavingEndpoints(
             self.facts,
             self.membership.listed_endpoints,
             self.fleet.leaving_engines,
@@ -229,7 +229,9 @@
             for _ in range(2)
         )
         chooser = plain_endpoints.EndpointChooser(
-            settings.domain, clock, is_leaving=self.departures.is_leaving
+            settings.domain,
+            clock,
+            is_leaving=self.departing_endpoints.is_leaving,
         )
         self.configuration.listen(chooser.on_configuration)
         self.plain = plain.PlainRunner(
@@ -252,7 +254,7 @@
         await self.add_runtime_dependency(self.keeping)
         await self.add_runtime_dependency(self.key_homes)
         await self.add_runtime_dependency(self.claims)
-        await self.add_runtime_dependency(self.departures)
+        await self.add_runtime_dependency(self.departing_endpoints)
         await self.add_runtime_dependency(self.leases)
         await self.add_runtime_dependency(self.orders)
         await self.add_runtime_dependency(self.answers)
@@ -275,7 +277,7 @@
         self.membership.leave()
 
     def _is_withheld(self, engine: str) -> bool:
-        if self.departures.is_leaving(engine):
+        if self.departing_endpoints.is_leaving(engine):
             return True
         return self.orders.is_out_of_service(engine)
 
--- a/src/jujubewharf/experiments/order_costs.py
+++ b/src/jujubewharf/experiments/order_costs.py
@@ -105,7 +105,7 @@
         state=live_list.LiveState.LEAVING,
     )
     first = next(iter(bench.instances.values()))
-    first.core.departures.listed = lambda: (leaving,)
+    first.core.departing_endpoints.listed = lambda: (leaving,)
 
 
 async def _deployment(engine_count: int, instance_count: int) -> benches.Bench:
--- a/tests/scenarios/test_shutdown.py
+++ b/tests/scenarios/test_shutdown.py
@@ -224,7 +224,7 @@
         state=live_list.LiveState.LEAVING,
     )
     core = world.bench.instances["entry-b2"].core
-    core.departures.listed = lambda: (member,)
+    core.departing_endpoints.listed = lambda: (member,)
 
 
 @pytest_bdd.then("every answer came whole")
