--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -149,7 +149,7 @@
         self.changes = changes.Changes(self.configuration, adapters.log, clock)
         self.fleet = fleets.Fleet(adapters.make_engine_client, clock)
         self.configuration.listen(self.fleet.on_configuration)
-        self.keeping = slot_coordinator.SlotCoordinator(
+        self.coordinator = slot_coordinator.SlotCoordinator(
             self.fleet, self.peers, self.membership, clock
         )
         self.leases = leases.Leases(settings.instance, adapters.log, clock)
@@ -176,7 +176,7 @@
             rng = random.Random(seed)
             policy = default_policy.DefaultPolicy(clock, rng)
         if isinstance(policy, policies.AsyncPolicy):
-            self.fleet.should_poll = self.keeping.is_coordinator
+            self.fleet.should_poll = self.coordinator.is_coordinator
             policy.attach(
                 policies.PolicyContext(
                     self.fleet, self.peers, self.membership, settings.domain
@@ -251,7 +251,7 @@
         await self.add_runtime_dependency(self.membership)
         await self.add_runtime_dependency(self.configuration)
         await self.add_runtime_dependency(self.fleet)
-        await self.add_runtime_dependency(self.keeping)
+        await self.add_runtime_dependency(self.coordinator)
         await self.add_runtime_dependency(self.key_homes)
         await self.add_runtime_dependency(self.claims)
         await self.add_runtime_dependency(self.departing_endpoints)
