--- a/src/jujubewharf/platform/record_errors.py
+++ b/src/jujubewharf/platform/record_errors.py
@@ -20,7 +20,7 @@
         self._logged: dict[str, int] = {}
         self._logger = structlog.get_logger()
 
-    def note(self, key: str, offset: int, error: Exception) -> None:
+    def log_once(self, key: str, offset: int, error: Exception) -> None:
         """Logs a record that can't be decoded, unless done before.
 
         Args:
