--- a/src/jujubewharf/platform/record_errors.py
+++ b/src/jujubewharf/platform/record_errors.py
@@ -40,6 +40,6 @@
             detail=str(error)[:_MOST_DETAIL_CHARS],
         )
 
-    def readable(self, key: str) -> None:
+    def clear(self, key: str) -> None:
         """Forgets logged offsets of a key whose newest record was decoded."""
         self._logged.pop(key, None)
