--- a/src/jujubewharf/header_values.py
+++ b/src/jujubewharf/header_values.py
@@ -8,7 +8,7 @@
 _MAX_DIGITS = 15
 
 
-def amount(text: str | None) -> float | None:
+def parse_decimal(text: str | None) -> float | None:
     """Parses a non-negative decimal number; returns ``None`` otherwise."""
     if not text:
         return None
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -21,7 +21,7 @@
     ],
 )
 def test_amounts(text, amount):
-    assert header_values.amount(text) == amount
+    assert header_values.parse_decimal(text) == amount
 
 
 @pytest.mark.parametrize(
