--- a/src/jujubewharf/header_values.py
+++ b/src/jujubewharf/header_values.py
@@ -19,7 +19,7 @@
     return value if math.isfinite(value) and value >= 0.0 else None
 
 
-def whole(text: str | None) -> int | None:
+def parse_integer(text: str | None) -> int | None:
     """Parses an integer of ASCII digits; returns ``None`` otherwise."""
     text = (text or "").strip()
     is_number = text.isascii() and text.isdigit() and len(text) <= _MAX_DIGITS
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -29,4 +29,4 @@
     [("12", 12), (" 7 ", 7), ("-1", None), ("1.5", None), ("9" * 16, None)],
 )
 def test_whole_numbers(text, whole):
-    assert header_values.whole(text) == whole
+    assert header_values.parse_integer(text) == whole
