--- a/src/jujubewharf/callers/bodies.py
+++ b/src/jujubewharf/callers/bodies.py
@@ -19,7 +19,7 @@
         ...
 
 
-async def read_whole(
+async def read_body(
     content: Content,
     clock: clocks.Clock,
     *,
--- a/src/jujubewharf/callers/completions.py
+++ b/src/jujubewharf/callers/completions.py
@@ -136,7 +136,7 @@
         max_bytes = self._settings.max_body_bytes
         if (request.content_length or 0) > max_bytes:
             raise errors.WharfError(errors.ErrorKind.BODY_TOO_LARGE)
-        return await bodies.read_whole(
+        return await bodies.read_body(
             request.content,
             self._clock,
             max_bytes=max_bytes,
--- a/tests/callers/test_bodies.py
+++ b/tests/callers/test_bodies.py
@@ -28,7 +28,7 @@
     async def main() -> float:
         clock = clocks.Clock()
         with pytest.raises(errors.WharfError) as caught:
-            await bodies.read_whole(
+            await bodies.read_body(
                 _Trickle(clock, 900), clock, max_bytes=100, timeout_ms=10_000
             )
         assert caught.value.kind is errors.ErrorKind.SLOW_BODY
