--- a/src/jujubewharf/callers/bodies.py
+++ b/src/jujubewharf/callers/bodies.py
@@ -52,7 +52,7 @@
     return b"".join(parts)
 
 
-async def chunks(
+async def iter_chunks(
     content: Content,
     clock: clocks.Clock,
     *,
--- a/src/jujubewharf/callers/plain.py
+++ b/src/jujubewharf/callers/plain.py
@@ -82,7 +82,7 @@
         accounts.check_service(account, service)
         if (request.content_length or 0) > self._settings.max_plain_body_bytes:
             raise errors.WharfError(errors.ErrorKind.BODY_TOO_LARGE)
-        body = bodies.chunks(
+        body = bodies.iter_chunks(
             request.content,
             self._clock,
             max_bytes=self._settings.max_plain_body_bytes,
--- a/tests/callers/test_bodies.py
+++ b/tests/callers/test_bodies.py
@@ -43,7 +43,7 @@
         content = _Trickle(clock, pause_ms)
         passed_bytes = 0
         with pytest.raises(errors.WharfError) as caught:
-            async for chunk in bodies.chunks(
+            async for chunk in bodies.iter_chunks(
                 content, clock, max_bytes=100, timeout_ms=1_000
             ):
                 passed_bytes += len(chunk)
