--- a/src/jujubewharf/callers/accounts.py
+++ b/src/jujubewharf/callers/accounts.py
@@ -87,6 +87,6 @@
     return asked if account is None else min(asked, account.priority)
 
 
-def name_of(account: resources.Account | None) -> str:
+def account_name(account: resources.Account | None) -> str:
     """Returns the account's name; ``ANONYMOUS`` without an account."""
     return ANONYMOUS if account is None else account.name
--- a/src/jujubewharf/callers/completions.py
+++ b/src/jujubewharf/callers/completions.py
@@ -85,7 +85,7 @@
         arrived_ms = self._clock.now_ms()
         account = self._core.accounts.identify(request.headers)
         marks = caller_marks.Marks.from_headers(request.headers)
-        self._core.model_limits.check(accounts.name_of(account))
+        self._core.model_limits.check(accounts.account_name(account))
         raw = await self._read(request)
         body = shapes.Body.from_json(raw, is_chat=is_chat)
         service = services.find(
@@ -97,7 +97,7 @@
             request_id=(request_id := self._new_id()),
             key=marks.key or request_id,
             body_digest=hashing.digest(raw),
-            account=accounts.name_of(account),
+            account=accounts.account_name(account),
             service=service,
             prompt=body.text(is_chat=is_chat),
             max_tokens=body.answer_bound(),
--- a/src/jujubewharf/callers/plain.py
+++ b/src/jujubewharf/callers/plain.py
@@ -98,7 +98,7 @@
             deadline_ms=marks.deadline_ms or service.deadline_ms,
             headers=hops.end_to_end(request.headers.items(), dropped=_DROPPED),
             body=body if request.can_read_body else None,
-            account=accounts.name_of(account),
+            account=accounts.account_name(account),
             key=marks.key,
             priority=accounts.capped_priority(account, marks.priority or 0),
             is_repeatable=_is_repeatable(request.method, marks, service),
