--- a/src/jujubewharf/callers/completions.py
+++ b/src/jujubewharf/callers/completions.py
@@ -100,7 +100,7 @@
             account=accounts.account_name(account),
             service=service,
             prompt=body.text(is_chat=is_chat),
-            max_tokens=body.answer_bound(),
+            max_tokens=body.max_output_tokens(),
             arrived_ms=arrived_ms,
             deadline_ms=_deadline_ms(body, marks, service),
             priority=accounts.capped_priority(account, _priority(body, marks)),
--- a/src/jujubewharf/callers/shapes.py
+++ b/src/jujubewharf/callers/shapes.py
@@ -98,7 +98,7 @@
             return self.prompt[0]
         return self.prompt or ""
 
-    def answer_bound(self) -> int:
+    def max_output_tokens(self) -> int:
         """Returns the requested maximum number of output tokens."""
         bound = self.max_completion_tokens or self.max_tokens
         return bound or _DEFAULT_MAX_TOKENS
