--- a/tests/commands/test_ctl.py
+++ b/tests/commands/test_ctl.py
@@ -25,7 +25,7 @@
 from jujubewharf.operators import values
 from tests.operators import deployments
 
-_DEAD = "127.0.0.1:9"
+_UNREACHABLE_ADDRESS = "127.0.0.1:9"
 _EXIT = ctl_session.ExitCode
 
 Ctl = Callable[..., testing.Result]
@@ -96,10 +96,10 @@
 
 def test_tables_of_every_kind(ctl: Ctl, file: pathlib.Path, snapshot):
     ctl("apply", "-f", str(file), "--yes")
-    mate = deployments.operator(
+    team_member = deployments.operator(
         "mate", resources.OperatorRole.OPERATOR, ["shop-api"]
     )
-    hash_ = f"token_sha256={mate.token_sha256}"
+    hash_ = f"token_sha256={team_member.token_sha256}"
     ctl("create", "operator", "mate", hash_, "role=operator")
     for kind in resources.Kind:
         listed = ctl("list", kind.value)
@@ -109,7 +109,7 @@
     assert shown.output == snapshot(name="get endpoint")
 
 
-def test_an_export_is_a_file_that_apply_takes(
+def test_an_export_can_be_applied(
     ctl: Ctl, file: pathlib.Path, tmp_path: pathlib.Path
 ):
     ctl("apply", "-f", str(file), "--yes")
@@ -121,7 +121,7 @@
     assert again.output == "Nothing differs.\n"
 
 
-def test_changing_one_resource_and_back(ctl: Ctl, file: pathlib.Path):
+def test_change_and_rollback_of_one_resource(ctl: Ctl, file: pathlib.Path):
     ctl("apply", "-f", str(file), "--yes")
     done = ctl("change", "endpoint", "decode-1", "slots=24", "--json")
     assert done.exit_code == _EXIT.OK
@@ -176,7 +176,11 @@
     table = ctl("status", "--members")
     assert table.exit_code == _EXIT.OK
     half = ctl(
-        "--server", deployment.address("e1"), "--server", _DEAD, "status"
+        "--server",
+        deployment.address("e1"),
+        "--server",
+        _UNREACHABLE_ADDRESS,
+        "status",
     )
     assert half.exit_code == _EXIT.UNREACHABLE
     assert "unreachable" in half.output
@@ -207,10 +211,14 @@
     unknown = ctl("list", "service", env=stranger)
     assert unknown.exit_code == _EXIT.REFUSED
     assert "unauthenticated" in unknown.stderr
-    dead = ctl("--server", _DEAD, "list", "service")
+    dead = ctl("--server", _UNREACHABLE_ADDRESS, "list", "service")
     assert dead.exit_code == _EXIT.UNREACHABLE
     passed = ctl(
-        "--server", _DEAD, "--server", deployment.address("e2"), "whoami"
+        "--server",
+        _UNREACHABLE_ADDRESS,
+        "--server",
+        deployment.address("e2"),
+        "whoami",
     )
     assert passed.exit_code == _EXIT.OK
     assert ctl("list", "service", env={ctl_session.SERVERS_VARIABLE: ""})
@@ -218,7 +226,7 @@
     assert ctl_session.exit_code_of(lost) == _EXIT.OUTCOME_UNKNOWN
 
 
-def test_a_new_token_goes_to_a_file_and_never_to_the_output(
+def test_a_new_token_is_only_written_to_its_file(
     ctl: Ctl, tmp_path: pathlib.Path
 ):
     path = tmp_path / "token"
--- a/tests/commands/test_main.py
+++ b/tests/commands/test_main.py
@@ -67,13 +67,13 @@
     assert len(lines) == len(BAD_PATHS)
 
 
-def test_a_good_file_passes(tmp_path):
+def test_a_valid_file_passes(tmp_path):
     outcome = _run(tmp_path, json.dumps(GOOD), "settings", "check")
     assert outcome.exit_code == 0
 
 
 @pytest.mark.parametrize("text", ["{", "[]", "", '{"instance": "a"'])
-def test_what_is_no_settings_file_is_refused(tmp_path, text):
+def test_a_malformed_settings_file_is_refused(tmp_path, text):
     outcome = _run(tmp_path, text, "settings", "check")
     assert outcome.exit_code == 2
     assert outcome.stderr.strip()
@@ -86,26 +86,26 @@
     assert path in outcome.stderr
 
 
-def test_the_schema_takes_what_the_check_takes():
+def test_the_schema_covers_valid_settings():
     outcome = testing.CliRunner().invoke(main.app, ["settings", "schema"])
     schema = json.loads(outcome.stdout)
     assert schema["additionalProperties"] is False
     assert set(GOOD) <= set(schema["properties"])
 
 
-def test_settings_of_an_instance_that_forwards(tmp_path):
+def test_settings_of_a_forwarding_instance(tmp_path):
     path = tmp_path / "settings.json"
     path.write_text('{"instance": ""}')
-    told = testing.CliRunner().invoke(
+    outcome = testing.CliRunner().invoke(
         main.app, ["settings", "check", "--forwarding", str(path)]
     )
-    assert told.exit_code == 2
-    assert "stop_within_s" in told.stderr
+    assert outcome.exit_code == 2
+    assert "stop_within_s" in outcome.stderr
 
 
-def test_explain_says_that_a_request_isnt_there(tmp_path):
+def test_explain_reports_a_missing_request(tmp_path):
     path = tmp_path / "one.log"
     path.write_text("no line\n")
-    told = testing.CliRunner().invoke(main.app, ["explain", "r1", str(path)])
-    assert told.exit_code == 1
-    assert "no line of request r1" in told.stdout
+    outcome = testing.CliRunner().invoke(main.app, ["explain", "r1", str(path)])
+    assert outcome.exit_code == 1
+    assert "no line of request r1" in outcome.stdout
--- a/tests/operators/deployments.py
+++ b/tests/operators/deployments.py
@@ -15,7 +15,7 @@
 from jujubewharf.settings import models
 from jujubewharf.standins import engine as engines
 
-_NOWHERE = "http://127.0.0.1:9"
+_UNUSED_URL = "http://127.0.0.1:9"
 BOOTSTRAP_TOKEN = "bootstrap-token"
 
 SERVICE = resources.Service(
@@ -79,9 +79,9 @@
     """Returns settings that enable the bootstrap token."""
     digest = bearer.token_digest(BOOTSTRAP_TOKEN)
     platform = {
-        "log_url": _NOWHERE,
-        "live_list_url": _NOWHERE,
-        "weight_store_url": _NOWHERE,
+        "log_url": _UNUSED_URL,
+        "live_list_url": _UNUSED_URL,
+        "weight_store_url": _UNUSED_URL,
         "log_wait_ms": 50,
     }
     return {
--- a/tests/operators/test_access.py
+++ b/tests/operators/test_access.py
@@ -32,8 +32,8 @@
     TEAM_ADMIN,
 )
 
-ANYBODY = deployments.operator("anybody", _ROLE.ADMIN)
-MATE = deployments.operator("mate", _ROLE.OPERATOR, ("shop-api",))
+UNSCOPED_ADMIN = deployments.operator("anybody", _ROLE.ADMIN)
+TEAM_MEMBER = deployments.operator("mate", _ROLE.OPERATOR, ("shop-api",))
 OPEN_ACCOUNT = dataclasses.replace(deployments.ACCOUNT, services=())
 
 # One letter per identity: - no access, r read, w read and write.
@@ -45,13 +45,13 @@
     (deployments.MODEL, "r w w r r r"),
     (deployments.ACCOUNT, "r w w r w w"),
     (OPEN_ACCOUNT, "r w w - - -"),
-    (ANYBODY, "- - w - - -"),
-    (MATE, "- - w - - w"),
+    (UNSCOPED_ADMIN, "- - w - - -"),
+    (TEAM_MEMBER, "- - w - - w"),
 )
 
 
 @pytest.mark.parametrize(("resource", "row"), MATRIX)
-def test_the_matrix_of_roles_and_scopes(resource: resources.Resource, row: str):
+def test_permissions_by_role_and_scope(resource: resources.Resource, row: str):
     found = []
     for identity in IDENTITIES:
         sees = identities.may_see(identity, resource)
@@ -76,63 +76,71 @@
             assert kind is errors.ErrorKind.UNAUTHENTICATED
 
 
-async def test_a_deleted_operator_is_refused_at_once():
+async def test_a_deleted_operator_is_unauthenticated():
     async with deployments.running("e1") as deployment:
         admin = deployment.client()
         await admin.create(deployments.SHOP)
-        created = await admin.create(MATE)
-        mate = deployment.client(token="mate")
-        await mate.list_page(_KIND.SERVICE)
+        created = await admin.create(TEAM_MEMBER)
+        team_member = deployment.client(token="mate")
+        await team_member.list_page(_KIND.SERVICE)
         await admin.delete(
             _KIND.OPERATOR, "mate", expected_generation=created.generation
         )
-        kind = await _refusal(mate.list_page(_KIND.SERVICE))
+        kind = await _refusal(team_member.list_page(_KIND.SERVICE))
         assert kind is errors.ErrorKind.UNAUTHENTICATED
 
 
-async def test_a_team_sees_and_changes_only_its_own():
+async def test_a_scoped_operator_only_accesses_its_services():
     async with deployments.running("e1") as deployment:
-        await deployment.client().apply([*deployments.ALL, MATE])
-        mate = deployment.client(token="mate")
-        held = await mate.list_all(_KIND.ENDPOINT)
+        await deployment.client().apply([*deployments.ALL, TEAM_MEMBER])
+        team_member = deployment.client(token="mate")
+        held = await team_member.list_all(_KIND.ENDPOINT)
         assert [one.resource for one in held] == [deployments.TILL]
         foreign = deployments.ENDPOINT
         stolen = dataclasses.replace(foreign, service="shop-api")
         given = dataclasses.replace(deployments.TILL, service="verdict-llm")
         forbidden = errors.ErrorKind.FORBIDDEN
         unknown = errors.ErrorKind.UNKNOWN_RESOURCE
-        assert await _refusal(mate.get(_KIND.ENDPOINT, foreign.name)) is unknown
+        assert (
+            await _refusal(team_member.get(_KIND.ENDPOINT, foreign.name))
+            is unknown
+        )
         for wanted in (stolen, given):
-            call = mate.change(wanted, expected_generation=1)
+            call = team_member.change(wanted, expected_generation=1)
             assert await _refusal(call) is forbidden
-        assert await _refusal(mate.apply([foreign, stolen][1:])) is forbidden
         assert (
-            await _refusal(mate.set_drained(foreign.name, drained=True))
+            await _refusal(team_member.apply([foreign, stolen][1:]))
+            is forbidden
+        )
+        assert (
+            await _refusal(team_member.set_drained(foreign.name, drained=True))
             is unknown
         )
-        history = await mate.history(_KIND.ENDPOINT, foreign.name)
+        history = await team_member.history(_KIND.ENDPOINT, foreign.name)
         assert history.entries == ()
-        assert await mate.engines() == ()
+        assert await team_member.engines() == ()
 
 
 async def test_pruning_stays_within_the_scope():
     async with deployments.running("e1") as deployment:
         admin = deployment.client()
-        await admin.apply([*deployments.ALL, MATE])
-        mate = deployment.client(token="mate")
-        plan = await mate.apply([deployments.SHOP], prune=True, dry_run=True)
+        await admin.apply([*deployments.ALL, TEAM_MEMBER])
+        team_member = deployment.client(token="mate")
+        plan = await team_member.apply(
+            [deployments.SHOP], prune=True, dry_run=True
+        )
         names = [item.difference.name for item in plan.items]
         assert names == ["shops", "till-1"]
 
 
-async def test_an_operator_can_not_take_the_built_in_admins_name():
+async def test_the_name_of_the_built_in_admin_is_reserved():
     async with deployments.running("e1") as deployment:
         wanted = deployments.operator("bootstrap", _ROLE.VIEWER)
         kind = await _refusal(deployment.client().create(wanted))
         assert kind is errors.ErrorKind.CONFIG_INVALID
 
 
-async def test_a_viewer_writes_nothing_to_the_log():
+async def test_changes_by_a_viewer_are_not_appended():
     async with deployments.running("e1") as deployment:
         viewer = deployments.operator("viewer", _ROLE.VIEWER)
         await deployment.client().apply([*deployments.ALL, viewer])
@@ -153,37 +161,37 @@
         assert deployment.bench.log.appends.total() == before
 
 
-async def test_an_operator_that_calls_too_often_is_told_when_to_come_back():
+async def test_rate_limited_calls_return_a_retry_after():
     """Calls over the rate limit are refused with a retry-after.
 
     Other operators must not be affected.
     """
     settings = models.OperatorSettings(max_changes_per_s=0.3)
     async with deployments.running("e1", settings=settings) as deployment:
-        await deployment.client().apply([deployments.SHOP, MATE])
-        mate = deployment.client(token="mate")
+        await deployment.client().apply([deployments.SHOP, TEAM_MEMBER])
+        team_member = deployment.client(token="mate")
         for drained in (True, False, True):
             wanted = dataclasses.replace(deployments.TILL, drained=drained)
-            await mate.apply([wanted], force=True)
+            await team_member.apply([wanted], force=True)
         with pytest.raises(errors.WharfError) as refused:
-            await mate.apply([deployments.TILL])
+            await team_member.apply([deployments.TILL])
         assert refused.value.kind is errors.ErrorKind.RATE_LIMITED
         assert refused.value.ran is errors.Ran.NO
         assert refused.value.retry_after_ms == pytest.approx(1000 / 0.3)
-        await mate.list_page(_KIND.SERVICE)
+        await team_member.list_page(_KIND.SERVICE)
         await deployment.client().apply([deployments.TILL])
 
 
-async def test_a_watch_ends_when_its_operator_loses_its_rights():
+async def test_a_watch_ends_when_its_identity_changes():
     """An open watch must not leak resources after a change of scope."""
     async with deployments.running("e1") as deployment:
         admin = deployment.client()
-        await admin.apply([*deployments.ALL, MATE])
+        await admin.apply([*deployments.ALL, TEAM_MEMBER])
         events = deployment.client(token="mate").watch()
         while not (await anext(events)).is_snapshot_end:
             pass
         await admin.apply(
-            [dataclasses.replace(MATE, services=("verdict-llm",))]
+            [dataclasses.replace(TEAM_MEMBER, services=("verdict-llm",))]
         )
         await admin.set_drained("till-1", drained=True, force=True)
         with pytest.raises(errors.WharfError) as refused:
@@ -191,10 +199,10 @@
         assert refused.value.kind is errors.ErrorKind.FORBIDDEN
 
 
-async def test_a_watch_tells_of_moves_into_and_out_of_the_scope():
+async def test_a_watch_reports_moves_into_and_out_of_the_scope():
     async with deployments.running("e1") as deployment:
         admin = deployment.client()
-        await admin.apply([*deployments.ALL, MATE])
+        await admin.apply([*deployments.ALL, TEAM_MEMBER])
         events = deployment.client(token="mate").watch(kinds=[_KIND.ENDPOINT])
         while not (await anext(events)).is_snapshot_end:
             pass
@@ -208,18 +216,18 @@
         assert back.resource == deployments.TILL
 
 
-async def test_an_operation_is_told_to_its_operator_and_to_its_team():
+async def test_only_operations_in_scope_are_visible():
     async with deployments.running("e1") as deployment:
         admin = deployment.client()
-        await admin.apply([*deployments.ALL, MATE], operation_id="op-1")
-        mate = deployment.client(token="mate")
+        await admin.apply([*deployments.ALL, TEAM_MEMBER], operation_id="op-1")
+        team_member = deployment.client(token="mate")
         own = f"op-1/endpoint/{deployments.TILL.name}"
-        assert (await mate.operation(own)).generation
-        kind = await _refusal(mate.operation("op-1"))
+        assert (await team_member.operation(own)).generation
+        kind = await _refusal(team_member.operation("op-1"))
         assert kind is errors.ErrorKind.FORBIDDEN
 
 
-async def test_a_loss_is_accepted_by_an_admin_of_all_services_only():
+async def test_only_an_unscoped_admin_accepts_a_loss():
     team_admin = deployments.operator("ta", _ROLE.ADMIN, ["shop-api"])
     ben = deployments.operator("ben", _ROLE.OPERATOR)
     async with deployments.running("e1") as deployment:
@@ -231,7 +239,7 @@
         assert status.instance == "e1"
 
 
-async def test_every_change_leaves_a_line_without_the_token():
+async def test_changes_are_logged_without_the_token():
     viewer = deployments.operator("viewer", _ROLE.VIEWER)
     with testing.capture_logs() as lines:
         async with deployments.running("e1") as deployment:
@@ -254,7 +262,7 @@
     assert deployments.BOOTSTRAP_TOKEN not in str(lines)
 
 
-async def test_only_so_many_watches_are_open():
+async def test_the_number_of_open_watches_is_limited():
     settings = models.OperatorSettings(max_watches=1)
     async with deployments.running("e1", settings=settings) as deployment:
         first = deployment.client().watch()
--- a/tests/operators/test_failures.py
+++ b/tests/operators/test_failures.py
@@ -26,7 +26,7 @@
 _ADMIN = values.Identity("ana", resources.OperatorRole.ADMIN)
 
 
-async def test_racing_operators_get_one_winner_and_one_conflict():
+async def test_one_of_two_concurrent_changes_is_a_conflict():
     """Of two concurrent changes of a resource, only the first is applied.
 
     Guards against instances that disagree about the winner.
@@ -64,7 +64,7 @@
             assert stored.generation == done.generation
 
 
-async def test_a_log_that_is_down_answers_that_nothing_ran():
+async def test_a_change_fails_while_the_log_is_down():
     """A change fails with ``LOG_UNAVAILABLE`` while reads still work."""
     async with deployments.running("e1", "e2") as deployment:
         client = deployment.client()
@@ -80,7 +80,7 @@
         await client.create(deployments.MODEL, operation_id="op-1")
 
 
-async def test_an_instance_cut_off_from_the_log_is_passed_over():
+async def test_failover_from_an_instance_without_the_log():
     """The client fails over if an instance cannot reach the log."""
     async with deployments.running("e1", "e2") as deployment:
         deployment.bench.instances["e1"].log.is_cut = True
@@ -89,7 +89,7 @@
         assert done.generation == 1
 
 
-async def test_a_lost_acknowledgement_is_resolved_by_reading():
+async def test_a_lost_append_reply_is_resolved_by_reading():
     """A change must not be appended twice if the log's reply is lost."""
     async with deployments.running("e1") as deployment:
         deployment.bench.log.lose_answers = 1
@@ -99,7 +99,7 @@
         assert deployment.bench.log.appends["configuration"] == 1
 
 
-async def test_a_dead_instance_is_passed_over_and_all_dead_is_unreachable():
+async def test_failover_until_no_instance_is_reachable():
     """The client fails over and reports when no instance is reachable."""
     async with deployments.running("e1", "e2") as deployment:
         client = deployment.client("e1", "e2")
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("names", [("e1",), ("e1", "e2")])
-async def test_an_instance_lost_before_its_answer(names, monkeypatch):
+async def test_an_instance_stops_before_its_reply(names, monkeypatch):
     """An instance stops after it received a change, before its reply.
 
     The client retries at the next instance or reports an unknown outcome.
@@ -120,11 +120,11 @@
     monkeypatch.setattr(server, "_GRACE_S", 0.0)
     async with deployments.running("e1", "e2") as deployment:
         deployment.bench.log.append_ms = 400.0
-        appending = _appending(deployment.bench.instances["e1"].log)
+        append_started = _append_started(deployment.bench.instances["e1"].log)
         client = deployment.client(*names)
         call = client.create(deployments.SHOP, operation_id="op-1")
         calling = asyncio.ensure_future(call)
-        await appending.wait()
+        await append_started.wait()
         await deployment.servers["e1"].stop()
         if len(names) == 1:
             with pytest.raises(faults.OperatorError) as refused:
@@ -140,7 +140,7 @@
         assert stored.generation == again.generation
 
 
-def test_an_instance_that_knows_no_configuration_says_so():
+def test_an_instance_without_configuration_is_not_ready():
     """A valid token must not be rejected before the configuration loads."""
 
     async def scenario() -> None:
@@ -162,7 +162,7 @@
     virtual_time.run(scenario())
 
 
-def test_an_unknown_outcome_is_told_and_found_later():
+def test_an_unknown_outcome_can_be_looked_up_later():
     """A change is appended, but the log fails before it is read back.
 
     The outcome is unknown until the log recovers; a retry changes nothing.
@@ -202,7 +202,7 @@
     virtual_time.run(scenario())
 
 
-async def test_pages_stay_stable_while_others_change_things():
+async def test_pages_are_stable_under_concurrent_changes():
     """Changes between two pages must not skip or repeat other resources."""
     async with deployments.running("e1", "e2") as deployment:
         client = deployment.client("e1")
@@ -235,7 +235,7 @@
         assert refused.value.kind is errors.ErrorKind.BAD_REQUEST
 
 
-async def test_an_apply_of_many_names_every_fault_before_the_first_change():
+async def test_an_apply_validates_all_resources_first():
     """Invalid resources must not leave an apply of many half done."""
     async with deployments.running("e1") as deployment:
         many = [
@@ -259,7 +259,7 @@
         assert not reply.failed
 
 
-async def test_an_apply_of_many_tells_where_the_log_went_down():
+async def test_an_apply_reports_changes_not_tried():
     """The log fails between two batches of one apply.
 
     The items must show which changes were applied and which did not run.
@@ -283,7 +283,7 @@
         assert len(reply.failed) == len(many) - submission.BATCH_SIZE
 
 
-async def test_streams_go_on_while_a_large_file_is_applied():
+async def test_an_apply_yields_to_the_event_loop():
     """Applying a large file must not block the event loop."""
     async with deployments.running("e1") as deployment:
         operators = deployment.bench.instances["e1"].operators
@@ -308,7 +308,7 @@
         assert turns >= 3 * 39
 
 
-async def test_what_a_newer_version_set_outlives_a_change_by_an_older_one():
+async def test_a_change_keeps_fields_of_a_newer_version():
     """A change must keep resource fields that only newer versions know."""
     async with deployments.running("e1") as deployment:
         client = deployment.client()
@@ -337,15 +337,15 @@
         assert entry.body()["drained"]
 
 
-def _appending(seen_log) -> asyncio.Event:
+def _append_started(log) -> asyncio.Event:
     """Returns an event that is set when an instance starts an append."""
     started = asyncio.Event()
-    append = seen_log.append
+    append = log.append
 
     async def tell(stream, payloads):
         if stream == records.STREAM:
             started.set()
         return await append(stream, payloads)
 
-    seen_log.append = tell
+    log.append = tell
     return started
--- a/tests/operators/test_messages.py
+++ b/tests/operators/test_messages.py
@@ -96,7 +96,7 @@
     assert read.unwrap() == resource
 
 
-def test_what_is_left_out_takes_the_default():
+def test_unset_fields_take_their_default():
     message = pb.Resource(
         service=pb.Service(name="shop-api", kind=pb.SERVICE_KIND_PLAIN)
     )
@@ -106,7 +106,7 @@
     )
 
 
-def test_faults_are_named_with_their_paths():
+def test_violations_have_their_path():
     message = pb.Resource(endpoint=pb.Endpoint(name="d1", role=9))
     [unknown] = messages.resource_from_message(message).unwrap_err()
     assert str(unknown) == "role: value 9 is unknown here"
@@ -117,7 +117,7 @@
     assert fault.message == "names no known kind"
 
 
-def test_a_field_of_a_newer_version_is_refused_not_dropped():
+def test_an_unknown_field_is_rejected():
     """A change must not be accepted if one of its fields is ignored."""
     newer_field = b"\xfa\x01\x01x"  # Field 31, one byte of text.
     service = pb.Service(name="a", kind=pb.SERVICE_KIND_PLAIN)
@@ -127,7 +127,7 @@
     assert fault.message == "field number 31 is unknown here"
 
 
-def test_an_error_kind_of_a_newer_version_keeps_its_word_on_what_ran():
+def test_an_unknown_error_kind_keeps_ran():
     detail = values.ErrorDetail(
         kind="not_known_yet",
         ran=errors.Ran.UNKNOWN,
--- a/tests/operators/test_rpc.py
+++ b/tests/operators/test_rpc.py
@@ -24,7 +24,7 @@
 _EFFECT = values.Effect
 
 
-def test_every_rpc_of_the_schema_is_answered():
+def test_every_rpc_of_the_schema_is_implemented():
     names = {method.name for method in adapter.SERVICE.methods}
     assert names == set(calls.UNARY) | set(calls.STREAM)
 
@@ -55,7 +55,7 @@
         assert refused.value.kind is errors.ErrorKind.UNKNOWN_RESOURCE
 
 
-async def test_what_is_in_force_at_one_instance_is_read_at_another():
+async def test_a_change_is_readable_at_another_instance():
     async with deployments.running("e1", "e2") as deployment:
         created = await deployment.client("e1").create(deployments.SERVICE)
         elsewhere = await deployment.client("e2").get(
@@ -67,7 +67,7 @@
         assert elsewhere == here
 
 
-async def test_apply_tells_the_differences_and_then_makes_them():
+async def test_apply_with_and_without_dry_run():
     async with deployments.running("e1") as deployment:
         client = deployment.client()
         plan = await client.apply(deployments.ALL, dry_run=True)
@@ -106,7 +106,7 @@
         ] == ["shop-api", "till-1"]
 
 
-async def test_an_apply_refuses_what_changed_since_the_dry_run():
+async def test_an_apply_conflicts_with_changes_since_the_dry_run():
     async with deployments.running("e1") as deployment:
         client = deployment.client()
         await client.apply(deployments.ALL)
@@ -119,7 +119,7 @@
         assert "bootstrap changed endpoint till-1" in refused.value.detail
 
 
-async def test_draining_and_back():
+async def test_drain_and_undrain():
     async with deployments.running("e1") as deployment:
         client = deployment.client()
         await client.apply(deployments.ALL)
@@ -131,7 +131,7 @@
         assert stored.resource == deployments.ENDPOINT
 
 
-async def test_history_names_the_actor_and_rollback_brings_a_body_back():
+async def test_history_and_rollback():
     async with deployments.running("e1") as deployment:
         admin = deployment.client()
         ana = deployments.operator("ana", resources.OperatorRole.OPERATOR)
@@ -163,7 +163,7 @@
         assert rest.next_page_token == ""
 
 
-async def test_a_watch_tells_the_state_and_then_each_change():
+async def test_a_watch_yields_the_state_and_then_changes():
     async with deployments.running("e1", "e2") as deployment:
         writer, reader = deployment.client("e1"), deployment.client("e2")
         created = await writer.create(deployments.SHOP)
@@ -186,7 +186,7 @@
         await events.aclose()
 
 
-async def test_an_operation_sent_again_elsewhere_takes_effect_once():
+async def test_an_operation_retried_elsewhere_takes_effect_once():
     async with deployments.running("e1", "e2") as deployment:
         one, two = deployment.client("e1"), deployment.client("e2")
         first = await one.create(deployments.SHOP, operation_id="op-1")
@@ -212,7 +212,7 @@
         assert repeated.generation == deleted.generation
 
 
-async def test_the_operation_of_an_apply_tells_of_its_changes():
+async def test_the_operation_of_an_apply_summarizes_its_changes():
     async with deployments.running("e1") as deployment:
         client = deployment.client()
         await client.apply(deployments.ALL, operation_id="op-1")
@@ -262,7 +262,7 @@
             assert adapter.SERVICE.full_name in names
 
 
-async def test_a_fault_is_named_with_its_path():
+async def test_an_invalid_field_is_reported_with_its_path():
     async with deployments.running("e1") as deployment:
         wanted = dataclasses.replace(deployments.SHOP, name="")
         with pytest.raises(faults.OperatorError) as refused:
