--- a/src/jujubewharf/commands/experiment.py
+++ b/src/jujubewharf/commands/experiment.py
@@ -126,7 +126,10 @@
     for name in names:
         if name not in catalog.NAMES:
             known = ", ".join(catalog.NAMES)
-            print(f"no policy {name!r}; one of {known}", file=sys.stderr)
+            print(
+                f"unknown policy {name!r}; must be one of {known}",
+                file=sys.stderr,
+            )
             raise typer.Exit(_EXIT_BAD_FILE)
 
 
--- a/src/jujubewharf/operators/connections.py
+++ b/src/jujubewharf/operators/connections.py
@@ -57,7 +57,7 @@
         self, addresses: Sequence[str], token: str, *, timeout_ms: float
     ) -> None:
         if not addresses:
-            raise ValueError("no address")
+            raise ValueError("no addresses given")
         self._addresses = list(addresses)
         self._metadata = ((adapter.AUTHORIZATION, f"Bearer {token}"),)
         self._timeout_s = timeout_ms / clocks.MS_PER_S
@@ -82,7 +82,7 @@
             UnreachableError: No instance was reachable.
         """
         may_have_run = False
-        failure: Exception = faults.UnreachableError("no address")
+        failure: Exception = faults.UnreachableError("no addresses given")
         for address in tuple(self._addresses):
             try:
                 reply = await self._call_one(address, name, request)
@@ -138,7 +138,7 @@
                     await channel.wait_for_state_change(state)
                     state = channel.get_state(try_to_connect=True)
         except TimeoutError as error:
-            text = f"{address}: no connection in time"
+            text = f"{address}: connection timed out"
             raise faults.UnreachableError(text) from error
 
     def _move_to_front(self, address: str) -> None:
--- a/src/jujubewharf/operators/documents.py
+++ b/src/jujubewharf/operators/documents.py
@@ -37,7 +37,7 @@
     except ValueError as error:
         return result.Err([f"(top): not JSON: {error}"])
     if not isinstance(data, dict):
-        return result.Err(["(top): must be an object with a list a kind"])
+        return result.Err(["(top): must be an object with one list per kind"])
     found: list[resources.Resource] = []
     violations: list[str] = []
     for name, items in data.items():
@@ -91,7 +91,7 @@
     for resource in found:
         key = differences.key_of(resource)
         if key in seen:
-            yield f"{key[0].value} {key[1]}: comes twice"
+            yield f"{key[0].value} {key[1]}: is listed twice"
         seen.add(key)
 
 
