--- a/src/jujubewharf/commands/ctl_queries.py
+++ b/src/jujubewharf/commands/ctl_queries.py
@@ -12,8 +12,8 @@
 from jujubewharf.commands import ctl_options as options
 from jujubewharf.commands import ctl_session
 from jujubewharf.commands import ctl_tables
+from jujubewharf.operators import call_errors
 from jujubewharf.operators import client as clients
-from jujubewharf.operators import faults
 from jujubewharf.operators import values
 
 
@@ -186,7 +186,7 @@
         try:
             async with client.for_address(server) as one:
                 found.append((server, await one.status()))
-        except faults.UnreachableError:
+        except call_errors.UnreachableError:
             found.append((server, "unreachable"))
         except errors.WharfError as error:
             if error.kind is errors.ErrorKind.UNAUTHENTICATED:
--- a/src/jujubewharf/commands/ctl_session.py
+++ b/src/jujubewharf/commands/ctl_session.py
@@ -19,8 +19,8 @@
 import typer
 
 from jujubewharf import errors
+from jujubewharf.operators import call_errors
 from jujubewharf.operators import client as clients
-from jujubewharf.operators import faults
 from jujubewharf.operators import values
 
 TOKEN_VARIABLE = "JUJUBEWHARF_TOKEN"
@@ -72,10 +72,10 @@
         token = self._token()
         try:
             return asyncio.run(self._run_with_client(token, call))
-        except faults.UnreachableError as error:
+        except call_errors.UnreachableError as error:
             fail(ExitCode.UNREACHABLE, str(error))
         except errors.WharfError as error:
-            fail_with(faults.to_detail(error), as_json=as_json)
+            fail_with(call_errors.to_detail(error), as_json=as_json)
 
     async def _run_with_client(
         self,
--- a/src/jujubewharf/demo/show.py
+++ b/src/jujubewharf/demo/show.py
@@ -17,8 +17,8 @@
 from jujubewharf.demo import deployment as deployments
 from jujubewharf.demo import load
 from jujubewharf.demo import processes
+from jujubewharf.operators import call_errors
 from jujubewharf.operators import client as operator_client
-from jujubewharf.operators import faults
 
 _TIME_LIMIT_S = 55.0
 
@@ -38,8 +38,8 @@
         except (
             processes.StartError,
             aiohttp.ClientError,
-            faults.OperatorError,
-            faults.UnreachableError,
+            call_errors.OperatorError,
+            call_errors.UnreachableError,
             TimeoutError,
         ) as error:
             found = [f"{type(error).__name__}: {error}"]
--- a/src/jujubewharf/experiments/operator_rpc.py
+++ b/src/jujubewharf/experiments/operator_rpc.py
@@ -29,8 +29,8 @@
 from jujubewharf import clock as clocks
 from jujubewharf.configuration import resources
 from jujubewharf.demo import processes
+from jujubewharf.operators import call_errors
 from jujubewharf.operators import client as clients
-from jujubewharf.operators import faults
 
 _TOKEN = "measuring"
 _NO_BOUND_PER_S = 1e6
@@ -232,7 +232,7 @@
             try:
                 await client.status()
                 return
-            except (faults.OperatorError, faults.UnreachableError):
+            except (call_errors.OperatorError, call_errors.UnreachableError):
                 await asyncio.sleep(0.1)
 
 
--- a/src/jujubewharf/operators/adapter.py
+++ b/src/jujubewharf/operators/adapter.py
@@ -15,9 +15,9 @@
 import structlog
 
 from jujubewharf import errors
+from jujubewharf.operators import call_errors
 from jujubewharf.operators import call_limits
 from jujubewharf.operators import calls
-from jujubewharf.operators import faults
 from jujubewharf.operators import jujubewharf_pb2 as pb
 from jujubewharf.operators import messages
 from jujubewharf.operators import service as services
@@ -170,7 +170,7 @@
             )
             error = errors.WharfError(errors.ErrorKind.INTERNAL)
         self._call_limiter.count(name, error.kind.value)
-        detail = faults.to_detail(error)
+        detail = call_errors.to_detail(error)
         trailer = messages.to_message(detail, pb.ErrorDetail)
         await context.abort(
             grpc.StatusCode[error.answer.grpc_code],
--- a/src/jujubewharf/operators/client.py
+++ b/src/jujubewharf/operators/client.py
@@ -27,9 +27,9 @@
     """Calls the operator interface of a fleet.
 
     Use it as ``async with OperatorClient(addresses, token) as client``. All
-    calls raise ``faults.OperatorError`` if the call was refused or its
-    outcome is unknown, and ``faults.UnreachableError`` if no instance was
-    reachable.
+    calls raise ``call_errors.OperatorError`` if the call was refused or its
+    outcome is unknown, and ``call_errors.UnreachableError`` if no instance
+    was reachable.
 
     Args:
         addresses: ``IP:PORT`` of instances, in order of preference.
--- a/src/jujubewharf/operators/connections.py
+++ b/src/jujubewharf/operators/connections.py
@@ -15,8 +15,8 @@
 from jujubewharf import clock as clocks
 from jujubewharf import errors
 from jujubewharf.operators import adapter
+from jujubewharf.operators import call_errors
 from jujubewharf.operators import call_limits
-from jujubewharf.operators import faults
 from jujubewharf.operators import jujubewharf_pb2 as pb
 from jujubewharf.operators import messages
 from jujubewharf.operators import values
@@ -82,18 +82,18 @@
             UnreachableError: No instance was reachable.
         """
         may_have_run = False
-        failure: Exception = faults.UnreachableError("no addresses given")
+        failure: Exception = call_errors.UnreachableError("no addresses given")
         for address in tuple(self._addresses):
             try:
                 reply = await self._call_one(address, name, request)
-            except faults.UnreachableError as error:
+            except call_errors.UnreachableError as error:
                 failure = error
-            except faults.OperatorError as error:
+            except call_errors.OperatorError as error:
                 failure = error
                 if not _may_try_next(error):
                     break
             except _NoAnswerError as error:
-                failure = faults.UnreachableError(str(error))
+                failure = call_errors.UnreachableError(str(error))
                 may_have_run = may_have_run or name in call_limits.CHANGE_CALLS
             else:
                 self._move_to_front(address)
@@ -102,7 +102,7 @@
             # The connection to one instance was lost after the request was
             # sent, so the change may have run there although another
             # instance answered that it did not run.
-            raise faults.OperatorError(
+            raise call_errors.OperatorError(
                 errors.ErrorKind.OPERATION_UNKNOWN,
                 str(failure),
                 operation_id=getattr(request, "operation_id", ""),
@@ -134,12 +134,14 @@
                 state = channel.get_state(try_to_connect=True)
                 while state is not grpc.ChannelConnectivity.READY:
                     if state is grpc.ChannelConnectivity.TRANSIENT_FAILURE:
-                        raise faults.UnreachableError(f"{address}: unreachable")
+                        raise call_errors.UnreachableError(
+                            f"{address}: unreachable"
+                        )
                     await channel.wait_for_state_change(state)
                     state = channel.get_state(try_to_connect=True)
         except TimeoutError as error:
             text = f"{address}: connection timed out"
-            raise faults.UnreachableError(text) from error
+            raise call_errors.UnreachableError(text) from error
 
     def _move_to_front(self, address: str) -> None:
         """Moves an instance that answered to the front of the list."""
@@ -185,7 +187,7 @@
         except grpc.aio.AioRpcError as error:
             failure = _to_exception(address, error)
             if isinstance(failure, _NoAnswerError):
-                failure = faults.UnreachableError(str(failure))
+                failure = call_errors.UnreachableError(str(failure))
             raise failure from error
         finally:
             call.cancel()
@@ -199,13 +201,13 @@
     return message.SerializeToString()
 
 
-def _may_try_next(failure: faults.OperatorError) -> bool:
+def _may_try_next(failure: call_errors.OperatorError) -> bool:
     return failure.ran is errors.Ran.NO and failure.kind in _FAILOVER_KINDS
 
 
 def _is_rejection(failure: Exception) -> bool:
     return (
-        isinstance(failure, faults.OperatorError)
+        isinstance(failure, call_errors.OperatorError)
         and failure.kind in _REJECTION_KINDS
     )
 
@@ -215,5 +217,5 @@
         if key == adapter.ERROR_DETAIL and isinstance(value, bytes):
             detail = pb.ErrorDetail.FromString(value)
             read = messages.from_message(detail, values.ErrorDetail)
-            return faults.from_detail(read)
+            return call_errors.from_detail(read)
     return _NoAnswerError(f"{address}: {error.code().name}: {error.details()}")
--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -12,8 +12,8 @@
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import state as states
 from jujubewharf.operators import backend as backends
+from jujubewharf.operators import call_errors
 from jujubewharf.operators import differences
-from jujubewharf.operators import faults
 from jujubewharf.operators import identities
 from jujubewharf.operators import pacing
 from jujubewharf.operators import submission
@@ -303,7 +303,7 @@
         key = differences.key_of(resource)
         if key in seen:
             detail = f"resources.{index}: {key[0].value} {key[1]} comes twice"
-            raise faults.OperatorError(
+            raise call_errors.OperatorError(
                 errors.ErrorKind.CONFIG_INVALID,
                 detail,
                 operation_id=operation_id,
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -17,8 +17,8 @@
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import validation
 from jujubewharf.operators import backend as backends
+from jujubewharf.operators import call_errors
 from jujubewharf.operators import differences
-from jujubewharf.operators import faults
 from jujubewharf.operators import identities
 from jujubewharf.operators import pacing
 from jujubewharf.operators import values
@@ -91,7 +91,7 @@
         # The history also covers a delete, after which no entry exists.
         for entry in self._backend.history(change.kind, change.name)[-1:]:
             if entry.generation > seen_offset:
-                raise faults.OperatorError(
+                raise call_errors.OperatorError(
                     errors.ErrorKind.CONFIG_CONFLICT,
                     f"{entry.actor} changed {change.kind.value} {change.name}",
                     operation_id=change.operation_id,
@@ -127,7 +127,7 @@
         if not all(identities.may_change(identity, one) for one in involved):
             kind = errors.ErrorKind.FORBIDDEN
             detail = f"{identity.name} may not change {change.kind.value}"
-            raise faults.OperatorError(
+            raise call_errors.OperatorError(
                 kind,
                 f"{detail} {change.name}",
                 operation_id=change.operation_id,
@@ -169,7 +169,7 @@
             batch_differences = found[start : start + BATCH_SIZE]
             try:
                 verdicts = await self.submit(batch, operation_id, force)
-            except faults.OperatorError as error:
+            except call_errors.OperatorError as error:
                 if not items:
                     raise
                 items.extend(_failed_items(batch_differences, batch, error))
@@ -195,7 +195,7 @@
         try:
             return await self._backend.submit(changes, force=force)
         except errors.WharfError as error:
-            raise faults.OperatorError(
+            raise call_errors.OperatorError(
                 error.kind,
                 error.detail,
                 ran=error.ran,
@@ -257,9 +257,9 @@
 
 def invalid_config_error(
     violations: tuple[values.Violation, ...], operation_id: str
-) -> faults.OperatorError:
+) -> call_errors.OperatorError:
     """Returns an error that lists all violations."""
-    return faults.OperatorError(
+    return call_errors.OperatorError(
         errors.ErrorKind.CONFIG_INVALID,
         "; ".join(str(violation) for violation in violations),
         operation_id=operation_id,
@@ -270,18 +270,20 @@
 def _failed_items(
     found: Sequence[values.Difference],
     changes: Sequence[records.Change],
-    error: faults.OperatorError,
+    error: call_errors.OperatorError,
 ) -> Iterator[values.AppliedDifference]:
     for item, change in zip(found, changes, strict=True):
         detail = dataclasses.replace(
-            faults.to_detail(error), operation_id=change.operation_id
+            call_errors.to_detail(error), operation_id=change.operation_id
         )
         yield values.AppliedDifference(item, change.operation_id, error=detail)
 
 
-def _not_tried_error(error: faults.OperatorError) -> faults.OperatorError:
+def _not_tried_error(
+    error: call_errors.OperatorError,
+) -> call_errors.OperatorError:
     detail = "not tried, since an earlier run of changes failed"
-    return faults.OperatorError(error.kind, detail, ran=errors.Ran.NO)
+    return call_errors.OperatorError(error.kind, detail, ran=errors.Ran.NO)
 
 
 def unknown_resource_error(
@@ -293,12 +295,14 @@
     )
 
 
-def verdict_error(verdict: backends.Verdict) -> faults.OperatorError | None:
+def verdict_error(
+    verdict: backends.Verdict,
+) -> call_errors.OperatorError | None:
     """Returns the error for a verdict; ``None`` if it was accepted."""
     kind = _ERROR_KIND_BY_STATE.get(verdict.state)
     if kind is None:
         return None
-    return faults.OperatorError(
+    return call_errors.OperatorError(
         kind,
         verdict.detail,
         operation_id=verdict.operation_id,
@@ -314,5 +318,5 @@
         item,
         verdict.operation_id,
         0 if error else verdict.generation,
-        faults.to_detail(error) if error else None,
+        call_errors.to_detail(error) if error else None,
     )
--- a/tests/operators/test_failures.py
+++ b/tests/operators/test_failures.py
@@ -13,7 +13,7 @@
 from jujubewharf.configuration import resources
 from jujubewharf.experiments import bench as benches
 from jujubewharf.experiments import virtual_time
-from jujubewharf.operators import faults
+from jujubewharf.operators import call_errors
 from jujubewharf.operators import identities
 from jujubewharf.operators import pacing
 from jujubewharf.operators import server
@@ -50,7 +50,7 @@
         )
         [refused] = [r for r in results if isinstance(r, Exception)]
         [done] = [r for r in results if isinstance(r, values.ChangeDone)]
-        assert isinstance(refused, faults.OperatorError)
+        assert isinstance(refused, call_errors.OperatorError)
         assert refused.kind is errors.ErrorKind.CONFIG_CONFLICT
         assert refused.ran is errors.Ran.NO
         winner = wanted[results.index(done)]
@@ -70,7 +70,7 @@
         client = deployment.client()
         await client.create(deployments.SHOP)
         deployment.bench.log.is_down = True
-        with pytest.raises(faults.OperatorError) as refused:
+        with pytest.raises(call_errors.OperatorError) as refused:
             await client.create(deployments.MODEL, operation_id="op-1")
         assert refused.value.kind is errors.ErrorKind.LOG_UNAVAILABLE
         assert refused.value.ran is errors.Ran.NO
@@ -107,7 +107,7 @@
         await deployment.servers["e1"].stop()
         assert (await client.status()).instance == "e2"
         await deployment.servers["e2"].stop()
-        with pytest.raises(faults.UnreachableError):
+        with pytest.raises(call_errors.UnreachableError):
             await client.create(deployments.MODEL)
 
 
@@ -127,7 +127,7 @@
         await append_started.wait()
         await deployment.servers["e1"].stop()
         if len(names) == 1:
-            with pytest.raises(faults.OperatorError) as refused:
+            with pytest.raises(call_errors.OperatorError) as refused:
                 await calling
             assert refused.value.ran is errors.Ran.UNKNOWN
             assert refused.value.operation_id == "op-1"
@@ -181,7 +181,7 @@
             bench.log.is_down = True
 
         downed = asyncio.ensure_future(go_down())
-        with pytest.raises(faults.OperatorError) as refused:
+        with pytest.raises(call_errors.OperatorError) as refused:
             await operators.editor.create(
                 _ADMIN, deployments.SHOP, operation_id="op-1"
             )
@@ -245,7 +245,7 @@
         bad = dataclasses.replace(many[-1], slots=0, service="none")
         client = deployment.client()
         for dry_run in (True, False):
-            with pytest.raises(faults.OperatorError) as refused:
+            with pytest.raises(call_errors.OperatorError) as refused:
                 await client.apply(
                     [deployments.SHOP, *many[:-1], bad], dry_run=dry_run
                 )
--- a/tests/operators/test_messages.py
+++ b/tests/operators/test_messages.py
@@ -12,7 +12,7 @@
 
 from jujubewharf import errors
 from jujubewharf.configuration import resources
-from jujubewharf.operators import faults
+from jujubewharf.operators import call_errors
 from jujubewharf.operators import jujubewharf_pb2 as pb
 from jujubewharf.operators import messages
 from jujubewharf.operators import values
@@ -133,7 +133,7 @@
         ran=errors.Ran.UNKNOWN,
         operation_id="op-1",
     )
-    error = faults.from_detail(detail)
+    error = call_errors.from_detail(detail)
     assert error.ran is errors.Ran.UNKNOWN
     assert error.operation_id == "op-1"
     assert "not_known_yet" in error.detail
--- a/tests/operators/test_rpc.py
+++ b/tests/operators/test_rpc.py
@@ -15,8 +15,8 @@
 from jujubewharf import errors
 from jujubewharf.configuration import resources
 from jujubewharf.operators import adapter
+from jujubewharf.operators import call_errors
 from jujubewharf.operators import calls
-from jujubewharf.operators import faults
 from jujubewharf.operators import values
 from tests.operators import deployments
 
@@ -265,7 +265,7 @@
 async def test_an_invalid_field_is_reported_with_its_path():
     async with deployments.running("e1") as deployment:
         wanted = dataclasses.replace(deployments.SHOP, name="")
-        with pytest.raises(faults.OperatorError) as refused:
+        with pytest.raises(call_errors.OperatorError) as refused:
             await deployment.client().create(wanted, operation_id="op-9")
         assert refused.value.kind is errors.ErrorKind.CONFIG_INVALID
         assert refused.value.ran is errors.Ran.NO
