--- a/src/jujubewharf/telemetry/rate_bound.py
+++ b/src/jujubewharf/telemetry/log_rate_limiter.py
@@ -17,7 +17,7 @@
 MAX_LINES_PER_S = 200
 
 
-class RateBound:
+class LogRateLimiter:
     """A structlog processor that drops lines of too frequent events.
 
     The next line that is written, of any event, has the number of dropped
--- a/src/jujubewharf/telemetry/logs.py
+++ b/src/jujubewharf/telemetry/logs.py
@@ -19,7 +19,7 @@
 import structlog
 
 from jujubewharf.telemetry import line_writer
-from jujubewharf.telemetry import rate_bound
+from jujubewharf.telemetry import log_rate_limiter
 
 _MAX_FRAMES = 12
 
@@ -50,7 +50,9 @@
     stream = stream or sys.stderr
     limiters: list[structlog.typing.Processor] = []
     if max_lines_per_s is not None:
-        limiters.append(rate_bound.RateBound(max_per_s=max_lines_per_s))
+        limiters.append(
+            log_rate_limiter.LogRateLimiter(max_per_s=max_lines_per_s)
+        )
     level_number = logging.getLevelNamesMapping()[level.upper()]
     structlog.configure(
         processors=[*limiters, *_shared_processors(instance), _renderer()],
--- a/tests/telemetry/test_rate_bound.py
+++ b/tests/telemetry/test_log_rate_limiter.py
@@ -5,7 +5,7 @@
 import pytest
 import structlog
 
-from jujubewharf.telemetry import rate_bound
+from jujubewharf.telemetry import log_rate_limiter
 
 
 def _written(bound, event: str) -> dict | None:
@@ -17,7 +17,7 @@
 
 def test_a_storm_is_cut_and_counted():
     now_s = [0.0]
-    bound = rate_bound.RateBound(max_per_s=3, now_s=lambda: now_s[0])
+    bound = log_rate_limiter.LogRateLimiter(max_per_s=3, now_s=lambda: now_s[0])
     storm = [_written(bound, "refused") for _ in range(10)]
     assert [line is not None for line in storm] == [True] * 3 + [False] * 7
     assert _written(bound, "other") == {
@@ -30,5 +30,5 @@
 
 @pytest.mark.parametrize("count", [1, 200])
 def test_what_is_within_the_bound_is_all_written(count):
-    bound = rate_bound.RateBound(now_s=lambda: 0.0)
+    bound = log_rate_limiter.LogRateLimiter(now_s=lambda: 0.0)
     assert all(_written(bound, "refused") for _ in range(count))
