--- a/src/jujubewharf/operators/inspection.py
+++ b/src/jujubewharf/operators/inspection.py
@@ -15,7 +15,7 @@
 from jujubewharf.operators import identities
 from jujubewharf.operators import values
 from jujubewharf.routing import fleet as fleets
-from jujubewharf.telemetry import tallies
+from jujubewharf.telemetry import counter_totals
 
 
 class Inspector:
@@ -148,7 +148,7 @@
         instrument: Metric instrument to read the counts from.
         of_models: Counts of model requests, used when metrics are off.
     """
-    found = tallies.by_reason(instrument)
+    found = counter_totals.by_reason(instrument)
     counter = of_models if found is None else found
     return tuple(
         values.ReasonCount(reason, counter[reason])
--- a/src/jujubewharf/telemetry/metrics.py
+++ b/src/jujubewharf/telemetry/metrics.py
@@ -20,7 +20,7 @@
 from prometheus_client import exposition
 
 from jujubewharf.settings import models
-from jujubewharf.telemetry import tallies
+from jujubewharf.telemetry import counter_totals
 
 PREFIX = "jujubewharf"
 
@@ -100,7 +100,7 @@
     if telemetry.otlp_url is not None:
         readers.append(_otlp_reader(telemetry))
     if readers:
-        readers.append(tallies.make_reader())
+        readers.append(counter_totals.make_reader())
         metrics.set_meter_provider(_provider(identity, readers))
     return edge
 
--- a/tests/telemetry/test_tallies.py
+++ b/tests/telemetry/test_counter_totals.py
@@ -4,20 +4,20 @@
 
 from opentelemetry.sdk import metrics as sdk_metrics
 
-from jujubewharf.telemetry import tallies
+from jujubewharf.telemetry import counter_totals
 
 
 def test_totals_are_by_reason_over_all_other_attributes(monkeypatch):
-    monkeypatch.setattr(tallies, "_readers", [])
-    assert tallies.by_reason("callers.refusals") is None
-    provider = sdk_metrics.MeterProvider([tallies.make_reader()])
+    monkeypatch.setattr(counter_totals, "_readers", [])
+    assert counter_totals.by_reason("callers.refusals") is None
+    provider = sdk_metrics.MeterProvider([counter_totals.make_reader()])
     counter = provider.get_meter("m").create_counter("callers.refusals")
-    assert tallies.by_reason("callers.refusals") == {}
+    assert counter_totals.by_reason("callers.refusals") == {}
     counter.add(2, {"reason": "queue_full", "service": "a"})
     counter.add(1, {"reason": "queue_full", "service": "b"})
     counter.add(4, {"reason": "rate_limited"})
     counter.add(9, {"outcome": "ok"})
     expected = {"queue_full": 3, "rate_limited": 4}
-    assert tallies.by_reason("callers.refusals") == expected
-    assert tallies.by_reason("callers.refusals") == expected
+    assert counter_totals.by_reason("callers.refusals") == expected
+    assert counter_totals.by_reason("callers.refusals") == expected
     provider.shutdown()
