--- a/src/jujubewharf/entry.py
+++ b/src/jujubewharf/entry.py
@@ -60,7 +60,7 @@
         self.core = cores.EntryCore(
             self._settings, self._clock, self._adapters(transport)
         )
-        gauges.watch(self.core)
+        gauges.register_gauges(self.core)
         callers = self._settings.callers
         self.callers = edge.CallerEdge(
             callers,
--- a/src/jujubewharf/telemetry/gauges.py
+++ b/src/jujubewharf/telemetry/gauges.py
@@ -13,7 +13,7 @@
     from jujubewharf import core as cores
 
 
-def watch(core: cores.EntryCore) -> None:
+def register_gauges(core: cores.EntryCore) -> None:
     """Registers the gauges of a core; called once per process."""
     meter = metrics.get_meter("jujubewharf")
 
