--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -81,7 +81,7 @@
         requests: How many.
     """
     counted = _CountedLines()
-    writer = line_writer.LineWriter(counted, max_waiting=requests * 10)
+    writer = line_writer.LineWriter(counted, max_queued=requests * 10)
     logs.configure(
         "info" if has_lines else "critical",
         instance="e1",
--- a/src/jujubewharf/telemetry/line_writer.py
+++ b/src/jujubewharf/telemetry/line_writer.py
@@ -13,7 +13,7 @@
 from typing import TextIO
 
 # Maximum number of queued lines: less than 2 MB.
-MAX_WAITING_LINES = 4_000
+MAX_QUEUED_LINES = 4_000
 _CLOSE_TIMEOUT_S = 0.3
 
 
@@ -22,18 +22,18 @@
 
     Args:
         stream: The stream that the background thread writes to.
-        max_waiting: Maximum number of queued lines.
+        max_queued: Maximum number of queued lines.
 
     Attributes:
         dropped: Number of dropped lines that has not been logged yet.
     """
 
     def __init__(
-        self, stream: TextIO, *, max_waiting: int = MAX_WAITING_LINES
+        self, stream: TextIO, *, max_queued: int = MAX_QUEUED_LINES
     ) -> None:
         self.dropped = 0
         self._stream = stream
-        self._max_waiting = max_waiting
+        self._max_waiting = max_queued
         self._queue: collections.deque[str] = collections.deque()
         self._changed = threading.Condition()
         self._is_closed = False
--- a/tests/telemetry/test_line_writer.py
+++ b/tests/telemetry/test_line_writer.py
@@ -35,7 +35,7 @@
     The number of dropped lines is logged once the reader continues.
     """
     stream = Stalled()
-    writer = line_writer.LineWriter(stream, max_waiting=10)
+    writer = line_writer.LineWriter(stream, max_queued=10)
     for number in range(1_000):
         writer.write(f"{number}\n")
     stream.go_on.set()
