--- a/src/jujubewharf/commands/main.py
+++ b/src/jujubewharf/commands/main.py
@@ -62,7 +62,7 @@
 @app.command("errors")
 def error_page() -> None:
     """Print the table of all errors in the format of docs/ERRORS.md."""
-    print(error_pages.page(), end="")
+    print(error_pages.render(), end="")
 
 
 @app.command()
--- a/src/jujubewharf/telemetry/error_page.py
+++ b/src/jujubewharf/telemetry/error_page.py
@@ -21,7 +21,7 @@
 """
 
 
-def page() -> str:
+def render() -> str:
     """Returns the page in Markdown."""
     rows = [_row(kind, answer) for kind, answer in errors.TABLE.items()]
     return _HEAD + "".join(rows)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -20,4 +20,4 @@
 
 
 def test_the_page_is_what_the_command_prints():
-    assert PAGE.read_text() == error_page.page()
+    assert PAGE.read_text() == error_page.render()
