--- a/src/jujubewharf/commands/main.py
+++ b/src/jujubewharf/commands/main.py
@@ -75,7 +75,7 @@
     Exit codes: 0 found, 1 no log line of the request in any file.
     """
     story = explanation.read(request_id, files)
-    print(explanation.page(story), end="")
+    print(explanation.render(story), end="")
     raise typer.Exit(0 if story.lines else 1)
 
 
--- a/src/jujubewharf/telemetry/explanation.py
+++ b/src/jujubewharf/telemetry/explanation.py
@@ -57,39 +57,39 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Story:
+class RequestHistory:
     """Log lines that concern one request.
 
     Attributes:
         request_id: Id of the request.
         lines: Lines of the request, oldest first.
-        beliefs: State changes of its instances around that time.
+        state_changes: State changes of its instances around that time.
         skipped: Number of lines that could not be parsed.
     """
 
     request_id: str
     lines: list[Line]
-    beliefs: list[Line]
+    state_changes: list[Line]
     skipped: int = 0
 
 
-def read(request_id: str, files: Sequence[pathlib.Path]) -> Story:
+def read(request_id: str, files: Sequence[pathlib.Path]) -> RequestHistory:
     """Collects the lines of a request from log files.
 
     Each file is read line by line in two passes, so that large files are not
     held in memory.
     """
-    story = Story(request_id, [], [])
-    for line in _parse_files(files, story):
+    history = RequestHistory(request_id, [], [])
+    for line in _parse_files(files, history):
         if line.fields.get("request") == request_id:
-            story.lines.append(line)
-    story.lines.sort(key=lambda line: line.at_s)
-    if not story.lines:
-        return story
-    engines = {str(line.fields.get("engine", "")) for line in story.lines}
-    instances = {line.instance for line in story.lines}
-    first_s = story.lines[0].at_s - _CONTEXT_S
-    last_s = story.lines[-1].at_s + _CONTEXT_S
+            history.lines.append(line)
+    history.lines.sort(key=lambda line: line.at_s)
+    if not history.lines:
+        return history
+    engines = {str(line.fields.get("engine", "")) for line in history.lines}
+    instances = {line.instance for line in history.lines}
+    first_s = history.lines[0].at_s - _CONTEXT_S
+    last_s = history.lines[-1].at_s + _CONTEXT_S
     for line in _parse_files(files, None):
         is_near = first_s <= line.at_s <= last_s
         if (
@@ -99,21 +99,23 @@
         ):
             endpoint = line.fields.get("endpoint")
             if endpoint is None or endpoint in engines:
-                story.beliefs.append(line)
-    return story
+                history.state_changes.append(line)
+    return history
 
 
-def page(story: Story) -> str:
+def render(history: RequestHistory) -> str:
     """Renders the history as text, oldest line first."""
-    if not story.lines:
+    if not history.lines:
         return (
-            f"no line of request {story.request_id}; "
-            f"{story.skipped} lines skipped\n"
+            f"no line of request {history.request_id}; "
+            f"{history.skipped} lines skipped\n"
         )
-    start_s = story.lines[0].at_s
-    request_line_ids = {id(line) for line in story.lines}
-    rows = sorted([*story.lines, *story.beliefs], key=lambda line: line.at_s)
-    text = [f"request {story.request_id}"]
+    start_s = history.lines[0].at_s
+    request_line_ids = {id(line) for line in history.lines}
+    rows = sorted(
+        [*history.lines, *history.state_changes], key=lambda line: line.at_s
+    )
+    text = [f"request {history.request_id}"]
     for line in rows:
         mark = " " if id(line) in request_line_ids else "~"
         ms = (line.at_s - start_s) * 1_000.0
@@ -121,9 +123,9 @@
         text.append(
             f"{mark} {ms:+9.0f} ms {line.instance:<24} {line.event:<24} {rest}"
         )
-    text.append(f"decided by: {_deciding_line(story.lines)}")
-    if story.skipped:
-        text.append(f"{story.skipped} lines skipped")
+    text.append(f"decided by: {_deciding_line(history.lines)}")
+    if history.skipped:
+        text.append(f"{history.skipped} lines skipped")
     return "\n".join(text) + "\n"
 
 
@@ -157,7 +159,7 @@
 
 
 def _parse_files(
-    files: Sequence[pathlib.Path], story: Story | None
+    files: Sequence[pathlib.Path], history: RequestHistory | None
 ) -> Iterator[Line]:
     for file in files:
         with file.open(encoding="utf-8", errors="replace") as text:
@@ -165,8 +167,8 @@
                 line = _parse_line(raw)
                 if line is not None:
                     yield line
-                elif story is not None and raw.strip():
-                    story.skipped += 1
+                elif history is not None and raw.strip():
+                    history.skipped += 1
 
 
 def _parse_line(raw: str) -> Line | None:
--- a/tests/telemetry/test_explanation.py
+++ b/tests/telemetry/test_explanation.py
@@ -37,13 +37,15 @@
         ),
         _line(19.0, "store_lost", instance="e2"),
     )
-    story = explanation.read("r1", files)
-    assert [line.event for line in story.lines] == [
+    history = explanation.read("r1", files)
+    assert [line.event for line in history.lines] == [
         "engine_call_failed",
         "retry_denied",
     ]
-    assert [line.event for line in story.beliefs] == ["endpoint_changed"]
-    text = explanation.page(story)
+    assert [line.event for line in history.state_changes] == [
+        "endpoint_changed"
+    ]
+    text = explanation.render(history)
     assert "decided by: retry_denied reason=lost" in text
     assert "-2000 ms" in text
 
@@ -58,16 +60,16 @@
         + _line(3.0, "request_refused", request="r1")
         + "\n[1, 2]\n\n",
     )
-    story = explanation.read("r1", files)
-    assert len(story.lines) == 1
-    assert story.skipped == 3
-    assert "3 lines skipped" in explanation.page(story)
+    history = explanation.read("r1", files)
+    assert len(history.lines) == 1
+    assert history.skipped == 3
+    assert "3 lines skipped" in explanation.render(history)
 
 
 def test_a_request_that_isnt_there_says_so(tmp_path):
-    story = explanation.read("r9", _files(tmp_path, _line(1.0, "x")))
-    assert not story.lines
-    assert explanation.page(story).startswith("no line of request r9")
+    history = explanation.read("r9", _files(tmp_path, _line(1.0, "x")))
+    assert not history.lines
+    assert explanation.render(history).startswith("no line of request r9")
 
 
 def test_a_silent_endpoint_is_named(tmp_path):
@@ -81,5 +83,5 @@
             ]
         ),
     )
-    text = explanation.page(explanation.read("r1", files))
+    text = explanation.render(explanation.read("r1", files))
     assert "decided by: no answer to request_sent engine=s1" in text
--- a/tests/telemetry/test_walks.py
+++ b/tests/telemetry/test_walks.py
@@ -29,8 +29,8 @@
     ],
 )
 def test_the_id_leads_to_the_cause(name, request_id, decided, snapshot):
-    story = explanation.read(request_id, [WALKS / f"{name}.log"])
-    page = explanation.page(story)
+    history = explanation.read(request_id, [WALKS / f"{name}.log"])
+    page = explanation.render(history)
     assert f"decided by: {decided}" in page
     assert f"explain {request_id}" in PAGE.read_text()
     assert page == snapshot
