--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -308,15 +308,15 @@
                 contextlib.aclosing(self.answers.answer(request)) as events,
             ):
                 async for event in events:
-                    stopwatch.see(event)
+                    stopwatch.observe(event)
                     yield event
         except errors.WharfError as error:
-            stopwatch.ended(error.kind.value)
+            stopwatch.record_outcome(error.kind.value)
             yield model_request.Failed(
                 error.kind, error.ran, error.detail, error.retry_after_ms
             )
         except (asyncio.CancelledError, GeneratorExit):
-            stopwatch.ended(errors.ErrorKind.CANCELLED.value)
+            stopwatch.record_outcome(errors.ErrorKind.CANCELLED.value)
             raise
 
     @contextlib.asynccontextmanager
--- a/src/jujubewharf/requests/plain.py
+++ b/src/jujubewharf/requests/plain.py
@@ -154,22 +154,22 @@
             async with self._clock.timeout_ms(left_ms):
                 async with contextlib.AsyncExitStack() as stack:
                     reply = await self._start(stack, request, progress)
-                    stopwatch.first()
+                    stopwatch.record_first_output()
                     yield reply
         except errors.WharfError as error:
-            stopwatch.ended(error.kind.value)
+            stopwatch.record_outcome(error.kind.value)
             raise
         except client.EngineError as error:
             failure = _failure_error(request, error, progress)
-            stopwatch.ended(failure.kind.value)
+            stopwatch.record_outcome(failure.kind.value)
             raise failure from error
         except TimeoutError as error:
             failure = _deadline_error(request, progress)
-            stopwatch.ended(failure.kind.value)
+            stopwatch.record_outcome(failure.kind.value)
             raise failure from error
         except BaseException:
             # The caller disconnected.
-            stopwatch.ended(errors.ErrorKind.CANCELLED.value)
+            stopwatch.record_outcome(errors.ErrorKind.CANCELLED.value)
             raise
         finally:
             if progress.is_claimed and not progress.may_have_run:
@@ -177,7 +177,7 @@
                 # be usable again.
                 assert self.claims is not None
                 self.claims.abandon(request.request_id)
-        stopwatch.finished()
+        stopwatch.record_completion()
 
     async def _start(
         self,
--- a/src/jujubewharf/telemetry/goodput.py
+++ b/src/jujubewharf/telemetry/goodput.py
@@ -51,26 +51,26 @@
         self._clock = clock
         self._first_ms: float | None = None
 
-    def see(self, event: model_request.Event) -> None:
+    def observe(self, event: model_request.Event) -> None:
         """Updates the metrics for an event of a model request."""
         match event:
             case model_request.Tokens():
-                self.first()
+                self.record_first_output()
             case model_request.Finished():
-                self.finished()
+                self.record_completion()
             case model_request.Failed():
-                self.ended(event.kind.value)
+                self.record_outcome(event.kind.value)
 
-    def first(self) -> None:
+    def record_first_output(self) -> None:
         """Records the time to the first token or byte, once per request."""
         if self._first_ms is None:
             self._first_ms = self._clock.now_ms() - self._arrived_ms
             attributes = {"service": self._service.name}
             _first_answer_ms.record(self._first_ms, attributes)
 
-    def finished(self) -> None:
+    def record_completion(self) -> None:
         """Records that the answer was completed."""
-        self.first()
+        self.record_first_output()
         assert self._first_ms is not None
         took_ms = self._clock.now_ms() - self._arrived_ms
         service = self._service
@@ -81,9 +81,9 @@
             and took_ms <= service.completion_target_ms
         ):
             _goodput.add(1, attributes)
-        self.ended(FINISHED)
+        self.record_outcome(FINISHED)
 
-    def ended(self, outcome: str) -> None:
+    def record_outcome(self, outcome: str) -> None:
         """Counts the request by outcome.
 
         Args:
