--- a/src/jujubewharf/configuration/follower.py
+++ b/src/jujubewharf/configuration/follower.py
@@ -172,7 +172,7 @@
         _reads.add(1, {"outcome": "read"})
         self._update_availability(True)
         self._recovery.is_loss_accepted = False
-        self._replica.fold(page.records)
+        self._replica.apply_records(page.records)
         self._checkpointer.log_first_offset = page.first_offset
         self._update_log_end(page.next_offset, requested_offset)
         if self._replica.is_frozen:
--- a/src/jujubewharf/configuration/peer_sync.py
+++ b/src/jujubewharf/configuration/peer_sync.py
@@ -88,7 +88,7 @@
             reply = await self._request_records(peer)
             if reply is None or reply.next_offset <= self._replica.next_offset:
                 continue
-            self._replica.fold(
+            self._replica.apply_records(
                 log.LogRecord(one.offset, one.payload) for one in reply.records
             )
             if not reply.records:
@@ -204,7 +204,7 @@
         self, _: str, request: configuration_messages.RecordsRequest
     ) -> configuration_messages.RecordsReply:
         limit = min(request.limit, _MAX_PAGE_RECORDS)
-        found = self._replica.recent(request.from_offset, limit)
+        found = self._replica.recent_records(request.from_offset, limit)
         return configuration_messages.RecordsReply(
             self._replica.next_offset,
             tuple(_limit_page(found)),
--- a/src/jujubewharf/configuration/replica.py
+++ b/src/jujubewharf/configuration/replica.py
@@ -69,13 +69,13 @@
         """Adds a callback for each applied batch and each adopted state."""
         self._listeners.append(listener)
 
-    def fold(self, found: Iterable[log.LogRecord]) -> int:
+    def apply_records(self, records: Iterable[log.LogRecord]) -> int:
         """Applies the records that come next, and ignores all others.
 
         Returns:
             Number of applied records.
         """
-        count = sum(1 for record in found if self._apply_one(record))
+        count = sum(1 for record in records if self._apply_one(record))
         if count:
             self._notify_listeners()
         return count
@@ -100,7 +100,9 @@
         self._notify_listeners()
         return True
 
-    def recent(self, from_offset: int, limit: int) -> list[log.LogRecord]:
+    def recent_records(
+        self, from_offset: int, limit: int
+    ) -> list[log.LogRecord]:
         """Returns recently applied records from an offset on.
 
         Returns:
--- a/tests/configuration/test_model.py
+++ b/tests/configuration/test_model.py
@@ -102,7 +102,7 @@
             for place, payload in enumerate(self.payloads[: start + limit])
             if place >= start
         ]
-        self.held[index].fold(page)
+        self.held[index].apply_records(page)
 
     @stateful.rule(index=INSTANCE)
     def restarts(self, index):
@@ -128,7 +128,9 @@
     @stateful.rule(index=INSTANCE, other=INSTANCE, limit=st.integers(1, 6))
     def takes_peers_records(self, index, other, limit):
         offset = self.held[index].next_offset
-        self.held[index].fold(self.held[other].recent(offset, limit))
+        self.held[index].apply_records(
+            self.held[other].recent_records(offset, limit)
+        )
 
     def adopt(self, index: int, snapshot: snapshots.Snapshot) -> None:
         replica = self.held[index]
@@ -179,11 +181,11 @@
 
 
 class _SkipsGap(replicas.Replica):
-    def fold(self, found):
+    def apply_records(self, found):
         found = list(found)
         if found and found[0].offset > self.next_offset:
             self.current.next_offset = found[0].offset
-        return super().fold(found)
+        return super().apply_records(found)
 
 
 class _AdoptsOlderState(replicas.Replica):
@@ -194,8 +196,8 @@
 
 
 class _AppliesByOldRules(replicas.Replica):
-    def fold(self, found):
-        count = super().fold(found)
+    def apply_records(self, found):
+        count = super().apply_records(found)
         if self.is_frozen:
             self.is_frozen = False
             self.current.next_offset += 1
