--- a/src/jujubewharf/configuration/replica.py
+++ b/src/jujubewharf/configuration/replica.py
@@ -94,7 +94,7 @@
             from_offset=self.next_offset,
             to_offset=state.next_offset,
         )
-        self.current.take_over(state)
+        self.current.replace_with(state)
         self._recent_records.clear()
         _adopted.add(1, {"source": source})
         self._notify_listeners()
--- a/src/jujubewharf/configuration/state.py
+++ b/src/jujubewharf/configuration/state.py
@@ -113,7 +113,7 @@
         self.next_offset = record.offset + 1
         return verdict
 
-    def take_over(self, other: State) -> None:
+    def replace_with(self, other: State) -> None:
         """Replaces this state by the content of another one.
 
         Raises:
