--- a/src/jujubewharf/configuration/rules.py
+++ b/src/jujubewharf/configuration/rules.py
@@ -26,21 +26,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Refusal:
+class Rejection:
     """Reason why a change is rejected."""
 
     outcome: verdicts.Outcome
     detail: str
 
 
-Judgement = result.Result[resource_codec.DecodedBody | None, Refusal]
+Evaluation = result.Result[resource_codec.DecodedBody | None, Rejection]
 
 
-def judge(
+def evaluate(
     entries: entries_lib.Entries,
     kind: resources.Kind,
     change: records.Change,
-) -> Judgement:
+) -> Evaluation:
     """Checks the generation, the body and the safety of a change, in order.
 
     Returns:
@@ -60,7 +60,7 @@
 
 def _evaluate_delete(
     entries: entries_lib.Entries, kind: resources.Kind, change: records.Change
-) -> Judgement:
+) -> Evaluation:
     current = entries.get((kind, change.name))
     if current is None or change.force:
         return result.Ok(None)
@@ -72,7 +72,7 @@
 
 def _evaluate_put(
     entries: entries_lib.Entries, kind: resources.Kind, change: records.Change
-) -> Judgement:
+) -> Evaluation:
     decoded = resource_codec.decode_body(kind, change.body)
     if isinstance(decoded, result.Err):
         detail = "; ".join(decoded.err_value)
@@ -91,8 +91,8 @@
     return result.Ok(decoded_body)
 
 
-def _reject(outcome: verdicts.Outcome, detail: str) -> result.Err[Refusal]:
-    return result.Err(Refusal(outcome, detail))
+def _reject(outcome: verdicts.Outcome, detail: str) -> result.Err[Rejection]:
+    return result.Err(Rejection(outcome, detail))
 
 
 def _invalid_reason(
--- a/src/jujubewharf/configuration/state.py
+++ b/src/jujubewharf/configuration/state.py
@@ -181,7 +181,7 @@
     def _apply_change(
         self, offset: int, kind: resources.Kind, change: records.Change
     ) -> Verdict:
-        evaluation = rules.judge(self._entries, kind, change)
+        evaluation = rules.evaluate(self._entries, kind, change)
         if evaluation.is_err():
             rejection = evaluation.unwrap_err()
             return self._add_to_history(
