--- a/src/jujubewharf/configuration/snapshot.py
+++ b/src/jujubewharf/configuration/snapshot.py
@@ -79,7 +79,7 @@
         self.next_offset = next_offset
         self._header = [_HEADER, FORMAT, next_offset, state.rules_version]
         self._entries = list(state.entries)
-        self._unknown = list(state.unknown)
+        self._unknown = list(state.unknown_records)
         self._history = list(state.history)
         self._hash = xxhash.xxh3_128()
 
@@ -181,7 +181,9 @@
             case [_, kind, name, generation, body] if item[0] == _ENTRY:
                 _put_entry(self._state, kind, name, generation, body)
             case [_, offset, payload] if item[0] == _UNKNOWN:
-                self._state.unknown.append(log.LogRecord(offset, payload))
+                self._state.unknown_records.append(
+                    log.LogRecord(offset, payload)
+                )
             case [_, *fields] if item[0] == _HISTORY:
                 self._state.history.add(_decode_history_item(fields))
             case _:
--- a/src/jujubewharf/configuration/state.py
+++ b/src/jujubewharf/configuration/state.py
@@ -41,14 +41,14 @@
         next_offset: Offset of the next record to apply; never decreases.
         rules_version: Version of the rules in force.
         history: The latest changes and their verdicts.
-        unknown: Unknown records, kept until newer rules are in force.
+        unknown_records: Records kept until newer rules are in force.
     """
 
     def __init__(self, *, newest_rules: int = rules.NEWEST_VERSION) -> None:
         self.next_offset = 0
         self.rules_version = rules.FIRST_VERSION
         self.history = histories.History()
-        self.unknown: list[log.LogRecord] = []
+        self.unknown_records: list[log.LogRecord] = []
         self._newest_rules = newest_rules
         self._entries = entries_lib.Entries()
 
@@ -124,7 +124,7 @@
         self.next_offset = other.next_offset
         self.rules_version = other.rules_version
         self.history = other.history
-        self.unknown = other.unknown
+        self.unknown_records = other.unknown_records
         self._entries = other.entries
 
     @property
@@ -152,7 +152,7 @@
         return self._apply_change(offset, resources.Kind(change.kind), change)
 
     def _keep_unknown(self, record: log.LogRecord, detail: str) -> Verdict:
-        self.unknown.append(record)
+        self.unknown_records.append(record)
         return Verdict("", record.offset, Outcome.UNKNOWN_RECORD, detail)
 
     def _change_rules(self, offset: int, change: records.Change) -> Verdict:
@@ -174,7 +174,7 @@
         return verdict
 
     def _apply_kept(self) -> None:
-        kept, self.unknown = self.unknown, []
+        kept, self.unknown_records = self.unknown_records, []
         for record in kept:
             self._apply_record(record)
 
--- a/tests/configuration/test_snapshot.py
+++ b/tests/configuration/test_snapshot.py
@@ -36,7 +36,7 @@
     copy = _read(snapshots.encode(state))
     assert snapshots.digest(copy) == snapshots.digest(state)
     assert copy.next_offset == state.next_offset
-    assert copy.unknown == state.unknown
+    assert copy.unknown_records == state.unknown_records
     assert list(copy.history) == list(state.history)
     kind = resources.Kind.ENDPOINT
     assert copy.get(kind, "e1") == state.get(kind, "e1")
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -143,11 +143,11 @@
     for payload in (kind, newer):
         verdict = making.fold_bytes(pool, payload)
         assert verdict.outcome is states.Outcome.UNKNOWN_RECORD
-    assert [record.payload for record in pool.unknown] == [kind, newer]
+    assert [record.payload for record in pool.unknown_records] == [kind, newer]
     for payload in (b"", b"\xc1", msgpack.packb([1]), msgpack.packb({})):
         verdict = making.fold_bytes(pool, payload)
         assert verdict.outcome is states.Outcome.MALFORMED
-    assert len(pool.unknown) == 2
+    assert len(pool.unknown_records) == 2
 
 
 def test_record_with_unsupported_rules_is_not_applied(pool):
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -359,7 +359,7 @@
 @pytest_bdd.then("all keep the newer record whole")
 def kept_whole(fleet):
     for name in fleet.names:
-        kept = [record.payload for record in fleet.state(name).unknown]
+        kept = [record.payload for record in fleet.state(name).unknown_records]
         assert kept == [NEWER]
 
 
