--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -147,7 +147,9 @@
         f"snapshot: {raw} B, {total} B compressed,"
         f" {len(encoded.chunks)} chunks, made in {took_ms:.0f} ms"
     )
-    _, took_ms = _timed(lambda: snapshots.decode(encoded, newest_rules=1))
+    _, took_ms = _timed(
+        lambda: snapshots.decode(encoded, newest_rules_version=1)
+    )
     typer.echo(f"snapshot: read in {took_ms:.0f} ms")
     record = records.encode(_change(_endpoint(1), 1))
     typer.echo(f"record: {len(record)} B")
--- a/src/jujubewharf/configuration/checkpoints.py
+++ b/src/jujubewharf/configuration/checkpoints.py
@@ -160,7 +160,7 @@
         return manifest
 
     async def load(
-        self, manifest: Manifest, *, newest_rules: int
+        self, manifest: Manifest, *, newest_rules_version: int
     ) -> states.State:
         """Reads the state of a checkpoint.
 
@@ -169,7 +169,7 @@
                 newer version.
             LogUnavailableError: The log is unavailable.
         """
-        decoder = snapshots.Decoder(newest_rules=newest_rules)
+        decoder = snapshots.Decoder(newest_rules_version=newest_rules_version)
         wanted = list(manifest.chunk_offsets)
         while wanted:
             fed_count = await self._feed(decoder, wanted)
--- a/src/jujubewharf/configuration/peer_sync.py
+++ b/src/jujubewharf/configuration/peer_sync.py
@@ -187,7 +187,9 @@
             return None
         if not offer.digest:
             return None
-        decoder = snapshots.Decoder(newest_rules=current.newest_rules)
+        decoder = snapshots.Decoder(
+            newest_rules_version=current.newest_rules_version
+        )
         for index in range(offer.chunk_count):
             chunk_request = configuration_messages.ChunkRequest(
                 offer.digest, index
--- a/src/jujubewharf/configuration/recovery.py
+++ b/src/jujubewharf/configuration/recovery.py
@@ -84,9 +84,9 @@
         return True
 
     async def _load(self, manifest: checkpoints.Manifest) -> bool:
-        rules = self._replica.current.newest_rules
+        rules = self._replica.current.newest_rules_version
         try:
-            state = await self._store.load(manifest, newest_rules=rules)
+            state = await self._store.load(manifest, newest_rules_version=rules)
         except snapshots.BrokenSnapshotError as error:
             self._logger.error(
                 "checkpoint_broken",
--- a/src/jujubewharf/configuration/snapshot.py
+++ b/src/jujubewharf/configuration/snapshot.py
@@ -135,11 +135,11 @@
     """Decodes a snapshot chunk by chunk.
 
     Args:
-        newest_rules: Newest rules version that this program supports.
+        newest_rules_version: Newest rules version that this program supports.
     """
 
-    def __init__(self, *, newest_rules: int) -> None:
-        self._newest_rules = newest_rules
+    def __init__(self, *, newest_rules_version: int) -> None:
+        self._newest_rules_version = newest_rules_version
         self._state: states.State | None = None
         self._hash = xxhash.xxh3_128()
 
@@ -193,23 +193,23 @@
         _, version, next_offset, rules_version = item
         if version != FORMAT:
             raise BrokenSnapshotError(f"unknown snapshot format {version}")
-        if rules_version > self._newest_rules:
+        if rules_version > self._newest_rules_version:
             raise BrokenSnapshotError(
                 f"snapshot requires rules version {rules_version}"
             )
-        state = states.State(newest_rules=self._newest_rules)
+        state = states.State(newest_rules_version=self._newest_rules_version)
         state.next_offset = next_offset
         state.rules_version = rules_version
         return state
 
 
-def decode(snapshot: Snapshot, *, newest_rules: int) -> states.State:
+def decode(snapshot: Snapshot, *, newest_rules_version: int) -> states.State:
     """Decodes a whole snapshot.
 
     Raises:
         BrokenSnapshotError: The snapshot is damaged or from a newer version.
     """
-    decoder = Decoder(newest_rules=newest_rules)
+    decoder = Decoder(newest_rules_version=newest_rules_version)
     for chunk in snapshot.chunks:
         decoder.feed(chunk)
     return decoder.finish(snapshot.digest)
--- a/src/jujubewharf/configuration/state.py
+++ b/src/jujubewharf/configuration/state.py
@@ -35,7 +35,7 @@
     """Configuration at one offset of the log.
 
     Args:
-        newest_rules: Newest rules version that this program supports.
+        newest_rules_version: Newest rules version that this program supports.
 
     Attributes:
         next_offset: Offset of the next record to apply; never decreases.
@@ -44,12 +44,14 @@
         unknown_records: Records kept until newer rules are in force.
     """
 
-    def __init__(self, *, newest_rules: int = rules.NEWEST_VERSION) -> None:
+    def __init__(
+        self, *, newest_rules_version: int = rules.NEWEST_VERSION
+    ) -> None:
         self.next_offset = 0
         self.rules_version = rules.FIRST_VERSION
         self.history = histories.History()
         self.unknown_records: list[log.LogRecord] = []
-        self._newest_rules = newest_rules
+        self._newest_rules_version = newest_rules_version
         self._entries = entries_lib.Entries()
 
     def __repr__(self) -> str:
@@ -128,9 +130,9 @@
         self._entries = other.entries
 
     @property
-    def newest_rules(self) -> int:
+    def newest_rules_version(self) -> int:
         """Newest rules version that this program supports."""
-        return self._newest_rules
+        return self._newest_rules_version
 
     def _apply_record(self, record: log.LogRecord) -> Verdict:
         offset = record.offset
@@ -162,7 +164,7 @@
             return self._add_to_history(
                 _history_item(offset, change, Outcome.CONFLICT, detail=detail)
             )
-        if wanted > self._newest_rules:
+        if wanted > self._newest_rules_version:
             raise RulesTooNewError(
                 f"rules version {wanted} required by record at offset {offset}"
             )
--- a/tests/configuration/test_model.py
+++ b/tests/configuration/test_model.py
@@ -51,7 +51,7 @@
         super().__init__()
         self.payloads: list[bytes] = []
         self.first_offset = 0
-        self.reference = states.State(newest_rules=2)
+        self.reference = states.State(newest_rules_version=2)
         self.digests = {0: snapshots.digest(self.reference)}
         self.verdicts: dict[str, states.Verdict] = {}
         self.held = [self.make(index) for index in INSTANCES]
@@ -61,7 +61,7 @@
         self.append(records.encode(making.put(making.SERVICE)))
 
     def make(self, index: int) -> replicas.Replica:
-        state = states.State(newest_rules=NEWEST_RULES[index])
+        state = states.State(newest_rules_version=NEWEST_RULES[index])
         return replicas.Replica(state)
 
     def append(self, payload: bytes) -> None:
@@ -134,9 +134,9 @@
 
     def adopt(self, index: int, snapshot: snapshots.Snapshot) -> None:
         replica = self.held[index]
-        rules = replica.current.newest_rules
+        rules = replica.current.newest_rules_version
         try:
-            state = snapshots.decode(snapshot, newest_rules=rules)
+            state = snapshots.decode(snapshot, newest_rules_version=rules)
         except snapshots.BrokenSnapshotError:
             assert rules == 1
             return
@@ -278,7 +278,9 @@
                     state, making.put(one, operation_id=f"made-{index}")
                 )
             verdicts = making.fold(state, *changes[:cut])
-            state = snapshots.decode(snapshots.encode(state), newest_rules=1)
+            state = snapshots.decode(
+                snapshots.encode(state), newest_rules_version=1
+            )
             verdicts += making.fold(state, *changes[cut:])
             digests.add(snapshots.digest(state))
             winners = [
--- a/tests/configuration/test_snapshot.py
+++ b/tests/configuration/test_snapshot.py
@@ -28,7 +28,7 @@
 
 
 def _read(snapshot: snapshots.Snapshot) -> states.State:
-    return snapshots.decode(snapshot, newest_rules=1)
+    return snapshots.decode(snapshot, newest_rules_version=1)
 
 
 def test_decoded_snapshot_equals_the_state():
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -169,7 +169,7 @@
 
 def test_duplicate_rules_change_gets_the_first_verdict():
     """A duplicate must not be rejected because its rules are in force."""
-    state = states.State(newest_rules=2)
+    state = states.State(newest_rules_version=2)
     change = making.rules(2)
     first, again = making.fold(state, change, change)
     assert first.outcome is ACCEPTED
