--- a/src/jujubewharf/configuration/changes.py
+++ b/src/jujubewharf/configuration/changes.py
@@ -110,7 +110,7 @@
         """Returns applied changes, oldest first, of one resource or all."""
         if kind is None:
             return list(self._state.history)
-        return self._state.history.of(kind.value, name)
+        return self._state.history.of_resource(kind.value, name)
 
     def diff(
         self, wanted: Sequence[resources.Resource], *, prune: bool = False
@@ -179,10 +179,11 @@
         while True:
             applied = self._applied
             history = self._state.history
-            if cursor + 1 < history.dropped_below:
+            if cursor + 1 < history.complete_from_offset:
                 raise errors.WharfError(
                     errors.ErrorKind.UNKNOWN_RESOURCE,
-                    f"the history starts at offset {history.dropped_below}",
+                    "the history starts at offset"
+                    f" {history.complete_from_offset}",
                 )
             items = history.newer_than(cursor)
             for item in items:
--- a/src/jujubewharf/configuration/history.py
+++ b/src/jujubewharf/configuration/history.py
@@ -98,7 +98,7 @@
         """Returns the item of an operation; ``None`` if not in the history."""
         return self._items.get(operation_id)
 
-    def of(self, kind: str, name: str) -> list[HistoryItem]:
+    def of_resource(self, kind: str, name: str) -> list[HistoryItem]:
         """Returns the items of one resource, oldest first."""
         return [
             item
@@ -114,7 +114,7 @@
         return list(newest_first)[::-1]
 
     @property
-    def dropped_below(self) -> int:
+    def complete_from_offset(self) -> int:
         """Lowest offset from which on the history is complete."""
         if len(self._items) < self._kept_items:
             return 0
