--- a/src/jujubewharf/configuration/history.py
+++ b/src/jujubewharf/configuration/history.py
@@ -18,7 +18,7 @@
 from jujubewharf.configuration import records
 from jujubewharf.configuration import verdicts
 
-KEPT_ITEMS = 2_048
+MAX_ITEMS = 2_048
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -75,11 +75,11 @@
     """The latest items in log order.
 
     Args:
-        kept_items: Maximum number of items; the oldest are evicted first.
+        max_items: Maximum number of items; the oldest are evicted first.
     """
 
-    def __init__(self, *, kept_items: int = KEPT_ITEMS) -> None:
-        self._kept_items = kept_items
+    def __init__(self, *, max_items: int = MAX_ITEMS) -> None:
+        self._max_items = max_items
         self._items: dict[str, HistoryItem] = {}
 
     def __len__(self) -> int:
@@ -91,7 +91,7 @@
     def add(self, item: HistoryItem) -> None:
         """Appends an item, and evicts the oldest one if necessary."""
         self._items[item.verdict.operation_id] = item
-        if len(self._items) > self._kept_items:
+        if len(self._items) > self._max_items:
             del self._items[next(iter(self._items))]
 
     def find(self, operation_id: str) -> HistoryItem | None:
@@ -116,6 +116,6 @@
     @property
     def complete_from_offset(self) -> int:
         """Lowest offset from which on the history is complete."""
-        if len(self._items) < self._kept_items:
+        if len(self._items) < self._max_items:
             return 0
         return next(iter(self._items.values())).offset
