--- a/src/jujubewharf/configuration/replica.py
+++ b/src/jujubewharf/configuration/replica.py
@@ -15,7 +15,7 @@
 
 Listener = Callable[[states.State], None]
 
-RECENT_RECORDS = 512
+MAX_RECENT_RECORDS = 512
 
 _meter = metrics.get_meter("jujubewharf")
 _applied = _meter.create_counter(
@@ -55,7 +55,7 @@
         self.caught_up = asyncio.Event()
         self.is_frozen = False
         self._recent_records: collections.deque[log.LogRecord] = (
-            collections.deque(maxlen=RECENT_RECORDS)
+            collections.deque(maxlen=MAX_RECENT_RECORDS)
         )
         self._listeners: list[Listener] = []
         self._logger = structlog.get_logger()
