--- a/src/jujubewharf/configuration/checkpointer.py
+++ b/src/jujubewharf/configuration/checkpointer.py
@@ -138,7 +138,7 @@
         is written; if it is ahead, the time since this instance first read
         the manifest is a lower bound of its age.
         """
-        seen_for_ms = self._clock.now_ms() - self._store.seen_ms
+        seen_for_ms = self._clock.now_ms() - self._store.newest_seen_ms
         return max(self._clock.wall_ms() - manifest.wall_ms, seen_for_ms)
 
     def _rank(self, newest: checkpoints.Manifest | None) -> int:
--- a/src/jujubewharf/configuration/checkpoints.py
+++ b/src/jujubewharf/configuration/checkpoints.py
@@ -59,15 +59,15 @@
 
     Attributes:
         manifests: The newest manifests that were read, oldest first.
-        seen_ms: Local clock time in milliseconds at which the newest manifest
-            was read.
+        newest_seen_ms: Local clock time in milliseconds at which the newest
+            manifest was read.
     """
 
     _MAX_MANIFESTS = 8
 
     def __init__(self, platform_log: log.Log, clock: clocks.Clock) -> None:
         self.manifests: list[Manifest] = []
-        self.seen_ms = 0.0
+        self.newest_seen_ms = 0.0
         self._log = platform_log
         self._clock = clock
         self._cursor = 0
@@ -92,7 +92,9 @@
                 self._add_manifest(record)
             self._cursor = page.records[-1].offset + 1
 
-    def usable(self, from_offset: int, first_offset: int) -> list[Manifest]:
+    def usable_manifests(
+        self, from_offset: int, first_offset: int
+    ) -> list[Manifest]:
         """Returns manifests to recover from, in order of preference.
 
         Args:
@@ -209,7 +211,7 @@
             return
         self.manifests.append(manifest)
         del self.manifests[: -self._MAX_MANIFESTS]
-        self.seen_ms = self._clock.now_ms()
+        self.newest_seen_ms = self._clock.now_ms()
 
 
 def _encode(manifest: Manifest) -> bytes:
--- a/src/jujubewharf/configuration/recovery.py
+++ b/src/jujubewharf/configuration/recovery.py
@@ -69,7 +69,7 @@
         if self._can_continue(first_offset):
             return True
         await self._store.refresh()
-        for manifest in self._store.usable(
+        for manifest in self._store.usable_manifests(
             self._replica.next_offset, first_offset
         ):
             if await self._load(manifest):
