--- a/src/jujubewharf/configuration/validation.py
+++ b/src/jujubewharf/configuration/validation.py
@@ -31,10 +31,10 @@
     """
     if len(changes) > MAX_CHANGES:
         return [f"changes: at most {MAX_CHANGES} at once"]
-    return [line for lines in find(state, changes) for line in lines]
+    return [line for lines in check_each(state, changes) for line in lines]
 
 
-def find(
+def check_each(
     state: states.State, changes: Sequence[records.Change]
 ) -> Iterator[list[str]]:
     """Finds all errors in any number of changes.
--- a/src/jujubewharf/operators/submission.py
+++ b/src/jujubewharf/operators/submission.py
@@ -144,7 +144,7 @@
             OperatorError: ``CONFIG_INVALID`` with all violations.
         """
         violations: list[values.Violation] = []
-        found = validation.find(self._backend.state, changes)
+        found = validation.check_each(self._backend.state, changes)
         async for lines in pacing.paced(found):
             violations.extend(_parse_violation(line, changes) for line in lines)
         if violations:
