--- a/src/jujubewharf/operators/backend.py
+++ b/src/jujubewharf/operators/backend.py
@@ -148,7 +148,7 @@
         self._follower = core.configuration
         self._changes = core.changes
         self._clock = core.clock
-        self._folded = asyncio.Event()
+        self._state_changed = asyncio.Event()
         self._follower.listen(self._on_state)
 
     @property
@@ -193,12 +193,12 @@
 
     async def wait_past_offset(self, since_offset: int, wait_ms: float) -> None:
         """See ``Backend``."""
-        folded = self._folded
+        state_changed = self._state_changed
         if self.state.next_offset > since_offset:
             return
         try:
             async with self._clock.timeout_ms(wait_ms):
-                await folded.wait()
+                await state_changed.wait()
         except TimeoutError:
             return
 
@@ -218,8 +218,11 @@
             )
 
     def _on_state(self, _: states.State) -> None:
-        folded, self._folded = self._folded, asyncio.Event()
-        folded.set()
+        state_changed, self._state_changed = (
+            self._state_changed,
+            asyncio.Event(),
+        )
+        state_changed.set()
 
 
 def _verdict(verdict: states.Verdict) -> Verdict:
--- a/src/jujubewharf/operators/differences.py
+++ b/src/jujubewharf/operators/differences.py
@@ -75,24 +75,26 @@
         is_pruned: Returns whether to delete a resource that is not in
             ``wanted``.
     """
-    named = {key_of(resource): resource for resource in wanted}
-    found = [
+    desired_by_key = {key_of(resource): resource for resource in wanted}
+    differing = [
         diff_resource(state.get(*key), resource)
-        async for key, resource in pacing.paced(named.items())
+        async for key, resource in pacing.paced(desired_by_key.items())
     ]
-    async for entry in pacing.paced(_to_prune(state, named, is_pruned)):
-        found.append(diff_resource(entry, None))
-    return sorted((item for item in found if item), key=_sort_key)
+    async for entry in pacing.paced(
+        _to_prune(state, desired_by_key, is_pruned)
+    ):
+        differing.append(diff_resource(entry, None))
+    return sorted((item for item in differing if item), key=_sort_key)
 
 
 def _to_prune(
     state: states.State,
-    named: dict[states.Key, resources.Resource],
+    desired_by_key: dict[states.Key, resources.Resource],
     is_pruned: Callable[[resources.Resource], bool],
 ) -> Iterator[states.Entry]:
     for kind in _KIND_ORDER:
         for entry in state.of_kind(kind):
-            is_wanted = (kind, entry.resource.name) in named
+            is_wanted = (kind, entry.resource.name) in desired_by_key
             if not is_wanted and is_pruned(entry.resource):
                 yield entry
 
--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -195,26 +195,28 @@
         _check_unique(wanted, operation)
         # Changes that are applied after this offset are conflicts.
         offset = self._applied_offset
-        found = await differences.diff_state(
+        differing = await differences.diff_state(
             self._backend.state,
             wanted,
             is_pruned=lambda resource: (
                 prune and identities.may_change(identity, resource)
             ),
         )
-        named = {differences.key_of(resource): resource for resource in wanted}
+        desired_by_key = {
+            differences.key_of(resource): resource for resource in wanted
+        }
         changes: list[records.Change] = []
-        async for item in pacing.paced(found):
-            requested = _request_of(item, named, operation)
+        async for item in pacing.paced(differing):
+            requested = _request_of(item, desired_by_key, operation)
             self._submitter.check(identity, requested)
             self._submitter.check_unchanged_since(requested, seen_offset)
             changes.append(self._submitter.to_record(identity, requested))
         await self._submitter.check_bodies(changes, operation)
         if dry_run:
-            items = tuple(values.AppliedDifference(item) for item in found)
+            items = tuple(values.AppliedDifference(item) for item in differing)
             return values.ApplyReply(operation, items, offset)
         items = await self._submitter.submit_in_batches(
-            found, changes, operation, force
+            differing, changes, operation, force
         )
         return values.ApplyReply(operation, items, self._applied_offset)
 
@@ -266,7 +268,7 @@
 
 def _request_of(
     item: values.Difference,
-    named: dict[states.Key, resources.Resource],
+    desired_by_key: dict[states.Key, resources.Resource],
     operation_id: str,
 ) -> submission.RequestedChange:
     return submission.RequestedChange(
@@ -275,7 +277,7 @@
         ),
         item.kind,
         item.name,
-        named.get((item.kind, item.name)),
+        desired_by_key.get((item.kind, item.name)),
         item.generation,
     )
 
--- a/src/jujubewharf/operators/queries.py
+++ b/src/jujubewharf/operators/queries.py
@@ -153,12 +153,12 @@
         """
         listing = ["history", kind.value, name]
         after = _parse_page_token(page_token, listing)
-        kept = self._backend.history(kind, name)
-        if not _may_see_history(identity, kept):
-            kept = []
+        retained = self._backend.history(kind, name)
+        if not _may_see_history(identity, retained):
+            retained = []
         entries = [
             entry
-            for entry in reversed(kept)
+            for entry in reversed(retained)
             if not after or entry.generation < int(after)
         ]
         size = _page_size(page_size)
@@ -326,11 +326,11 @@
         raise errors.WharfError(errors.ErrorKind.FORBIDDEN, detail)
 
 
-def _page_size(asked: int) -> int:
-    if asked < 0:
+def _page_size(requested_size: int) -> int:
+    if requested_size < 0:
         detail = "page_size: is below zero"
         raise errors.WharfError(errors.ErrorKind.BAD_REQUEST, detail)
-    return min(asked or DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE)
+    return min(requested_size or DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE)
 
 
 def _page_token(listing: list[str], after: str) -> str:
--- a/src/jujubewharf/operators/server.py
+++ b/src/jujubewharf/operators/server.py
@@ -17,7 +17,7 @@
 
 MAX_MESSAGE_BYTES = 16_000_000
 
-_GRACE_S = 2.0
+_SHUTDOWN_GRACE_S = 2.0
 _HEALTH_INTERVAL_MS = 500.0
 _HEALTH_SERVICE_NAMES = ("", adapter.SERVICE.full_name)
 _SERVER_OPTIONS = (
@@ -76,7 +76,7 @@
         """Stops listening; active calls get a grace period to finish."""
         if self._server is not None:
             await self._health.enter_graceful_shutdown()
-            await self._server.stop(_GRACE_S)
+            await self._server.stop(_SHUTDOWN_GRACE_S)
 
     @mode.Service.task
     async def _publish_health(self) -> None:
--- a/tests/operators/test_failures.py
+++ b/tests/operators/test_failures.py
@@ -117,7 +117,7 @@
 
     The client retries at the next instance or reports an unknown outcome.
     """
-    monkeypatch.setattr(server, "_GRACE_S", 0.0)
+    monkeypatch.setattr(server, "_SHUTDOWN_GRACE_S", 0.0)
     async with deployments.running("e1", "e2") as deployment:
         deployment.bench.log.append_ms = 400.0
         append_started = _append_started(deployment.bench.instances["e1"].log)
@@ -342,10 +342,10 @@
     started = asyncio.Event()
     append = log.append
 
-    async def tell(stream, payloads):
+    async def record_append(stream, payloads):
         if stream == records.STREAM:
             started.set()
         return await append(stream, payloads)
 
-    log.append = tell
+    log.append = record_append
     return started
