--- a/src/jujubewharf/commands/ctl_changes.py
+++ b/src/jujubewharf/commands/ctl_changes.py
@@ -53,9 +53,9 @@
 ) -> None:
     """Apply a configuration file after showing the differences."""
     session: ctl_session.Session = context.obj
-    wanted = _read_file(file)
+    desired = _read_file(file)
     planned = session.run(
-        lambda client: client.apply(wanted, prune=prune, dry_run=True),
+        lambda client: client.apply(desired, prune=prune, dry_run=True),
         as_json=as_json,
     )
     if dry_run or not planned.items:
@@ -67,7 +67,7 @@
             raise typer.Exit(ctl_session.ExitCode.REFUSED)
     reply = session.run(
         lambda client: client.apply(
-            wanted,
+            desired,
             prune=prune,
             force=force,
             operation_id=operation_id,
--- a/src/jujubewharf/operators/client.py
+++ b/src/jujubewharf/operators/client.py
@@ -169,7 +169,7 @@
 
     async def apply(
         self,
-        wanted: Sequence[resources.Resource],
+        desired: Sequence[resources.Resource],
         *,
         prune: bool = False,
         force: bool = False,
@@ -183,7 +183,7 @@
         ``failed`` items of the reply.
         """
         request = pb.ApplyRequest(
-            resources=[messages.resource_to_message(one) for one in wanted],
+            resources=[messages.resource_to_message(one) for one in desired],
             prune=prune,
             force=force,
             dry_run=dry_run,
--- a/src/jujubewharf/operators/differences.py
+++ b/src/jujubewharf/operators/differences.py
@@ -63,7 +63,7 @@
 
 async def diff_state(
     state: states.State,
-    wanted: Sequence[resources.Resource],
+    desired: Sequence[resources.Resource],
     *,
     is_pruned: Callable[[resources.Resource], bool],
 ) -> list[values.Difference]:
@@ -71,11 +71,11 @@
 
     Args:
         state: Current configuration.
-        wanted: Desired resources.
+        desired: Desired resources.
         is_pruned: Returns whether to delete a resource that is not in
-            ``wanted``.
+            ``desired``.
     """
-    desired_by_key = {key_of(resource): resource for resource in wanted}
+    desired_by_key = {key_of(resource): resource for resource in desired}
     differing = [
         diff_resource(state.get(*key), resource)
         async for key, resource in pacing.paced(desired_by_key.items())
@@ -94,8 +94,8 @@
 ) -> Iterator[states.Entry]:
     for kind in _KIND_ORDER:
         for entry in state.of_kind(kind):
-            is_wanted = (kind, entry.resource.name) in desired_by_key
-            if not is_wanted and is_pruned(entry.resource):
+            is_desired = (kind, entry.resource.name) in desired_by_key
+            if not is_desired and is_pruned(entry.resource):
                 yield entry
 
 
--- a/src/jujubewharf/operators/editing.py
+++ b/src/jujubewharf/operators/editing.py
@@ -162,7 +162,7 @@
     async def apply(
         self,
         identity: values.Identity,
-        wanted: Sequence[resources.Resource],
+        desired: Sequence[resources.Resource],
         *,
         prune: bool = False,
         force: bool = False,
@@ -178,8 +178,8 @@
 
         Args:
             identity: Identity of the caller.
-            wanted: Desired resources; each kind and name only once.
-            prune: Deletes resources that are not in ``wanted`` and that the
+            desired: Desired resources; each kind and name only once.
+            prune: Deletes resources that are not in ``desired`` and that the
                 identity may change.
             force: Allows changes that leave a pool in use empty.
             dry_run: Only computes the differences.
@@ -192,18 +192,18 @@
             WharfError: As for a single change; no change is applied.
         """
         operation = _checked_operation_id(operation_id)
-        _check_unique(wanted, operation)
+        _check_unique(desired, operation)
         # Changes that are applied after this offset are conflicts.
         offset = self._applied_offset
         differing = await differences.diff_state(
             self._backend.state,
-            wanted,
+            desired,
             is_pruned=lambda resource: (
                 prune and identities.may_change(identity, resource)
             ),
         )
         desired_by_key = {
-            differences.key_of(resource): resource for resource in wanted
+            differences.key_of(resource): resource for resource in desired
         }
         changes: list[records.Change] = []
         async for item in pacing.paced(differing):
@@ -298,10 +298,10 @@
 
 
 def _check_unique(
-    wanted: Sequence[resources.Resource], operation_id: str
+    desired: Sequence[resources.Resource], operation_id: str
 ) -> None:
     seen: set[states.Key] = set()
-    for index, resource in enumerate(wanted):
+    for index, resource in enumerate(desired):
         key = differences.key_of(resource)
         if key in seen:
             detail = f"resources.{index}: {key[0].value} {key[1]} comes twice"
