--- a/src/jujubewharf/callers/completions.py
+++ b/src/jujubewharf/callers/completions.py
@@ -18,7 +18,7 @@
 from jujubewharf.callers import answers
 from jujubewharf.callers import bodies
 from jujubewharf.callers import event_stream
-from jujubewharf.callers import marks as caller_marks
+from jujubewharf.callers import request_options
 from jujubewharf.callers import services
 from jujubewharf.callers import shapes
 from jujubewharf.configuration import resources
@@ -84,7 +84,7 @@
         # Checks that don't need the body are made before it is read.
         arrived_ms = self._clock.now_ms()
         account = self._core.accounts.identify(request.headers)
-        marks = caller_marks.Marks.from_headers(request.headers)
+        options = request_options.RequestOptions.from_headers(request.headers)
         self._core.model_limits.check(accounts.account_name(account))
         raw = await self._read(request)
         body = shapes.Body.from_json(raw, is_chat=is_chat)
@@ -92,25 +92,27 @@
             self._core, body.model, resources.ServiceKind.MODEL
         )
         accounts.check_service(account, service)
-        resume_from = marks.resume_from or 0
+        resume_from = options.resume_from or 0
         model_call = model_request.ModelRequest(
             request_id=(request_id := self._new_id()),
-            key=marks.key or request_id,
+            key=options.key or request_id,
             body_digest=hashing.digest(raw),
             account=accounts.account_name(account),
             service=service,
             prompt=body.text(is_chat=is_chat),
             max_tokens=body.max_output_tokens(),
             arrived_ms=arrived_ms,
-            deadline_ms=_deadline_ms(body, marks, service),
-            priority=accounts.capped_priority(account, _priority(body, marks)),
-            is_repeatable=_is_repeatable(body, marks, service),
+            deadline_ms=_deadline_ms(body, options, service),
+            priority=accounts.capped_priority(
+                account, _priority(body, options)
+            ),
+            is_repeatable=_is_repeatable(body, options, service),
             resume_from=resume_from,
         )
         shape = (shapes.ChatShape if is_chat else shapes.TextShape)(model_call)
         headers = {
-            caller_marks.REQUEST_HEADER: request_id,
-            caller_marks.KEY_HEADER: model_call.key,
+            request_options.REQUEST_HEADER: request_id,
+            request_options.KEY_HEADER: model_call.key,
         }
         with structlog.contextvars.bound_contextvars(request=request_id):
             async with contextlib.aclosing(
@@ -162,22 +164,28 @@
 
 
 def _deadline_ms(
-    body: shapes.Body, marks: caller_marks.Marks, service: resources.Service
+    body: shapes.Body,
+    options: request_options.RequestOptions,
+    service: resources.Service,
 ) -> float:
-    return marks.deadline_ms or body.deadline_ms or service.deadline_ms
+    return options.deadline_ms or body.deadline_ms or service.deadline_ms
 
 
-def _priority(body: shapes.Body, marks: caller_marks.Marks) -> int:
-    if marks.priority is not None:
-        return marks.priority
+def _priority(
+    body: shapes.Body, options: request_options.RequestOptions
+) -> int:
+    if options.priority is not None:
+        return options.priority
     return body.priority or 0
 
 
 def _is_repeatable(
-    body: shapes.Body, marks: caller_marks.Marks, service: resources.Service
+    body: shapes.Body,
+    options: request_options.RequestOptions,
+    service: resources.Service,
 ) -> bool:
-    if marks.is_repeatable is not None:
-        return marks.is_repeatable
+    if options.is_repeatable is not None:
+        return options.is_repeatable
     if body.repeatable is not None:
         return body.repeatable
     return service.repeatable
@@ -200,7 +208,7 @@
                 texts.extend(event.texts)
             case model_request.Finished():
                 usage = shapes.Usage(_prompt_tokens(request), event.count)
-                attempt = {caller_marks.ATTEMPT_HEADER: event.attempt_id}
+                attempt = {request_options.ATTEMPT_HEADER: event.attempt_id}
                 return web.json_response(
                     shape.whole("".join(texts), event, usage),
                     headers={**headers, **attempt},
--- a/src/jujubewharf/callers/plain.py
+++ b/src/jujubewharf/callers/plain.py
@@ -14,7 +14,7 @@
 from jujubewharf.callers import answers
 from jujubewharf.callers import bodies
 from jujubewharf.callers import hops
-from jujubewharf.callers import marks as caller_marks
+from jujubewharf.callers import request_options
 from jujubewharf.callers import services
 from jujubewharf.callers import shapes
 from jujubewharf.configuration import resources
@@ -32,8 +32,8 @@
         "authorization",
         "expect",
         "host",
-        caller_marks.ATTEMPT_HEADER.lower(),
-        caller_marks.REQUEST_HEADER.lower(),
+        request_options.ATTEMPT_HEADER.lower(),
+        request_options.REQUEST_HEADER.lower(),
     }
 )
 _IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
@@ -76,7 +76,7 @@
     def _parse_request(self, request: web.Request) -> plain.PlainRequest:
         arrived_ms = self._clock.now_ms()
         account = self._core.accounts.identify(request.headers)
-        marks = caller_marks.Marks.from_headers(request.headers)
+        options = request_options.RequestOptions.from_headers(request.headers)
         name = request.match_info["service"]
         service = services.find(self._core, name, resources.ServiceKind.PLAIN)
         accounts.check_service(account, service)
@@ -95,13 +95,13 @@
             method=request.method,
             path_query=request.rel_url.raw_path_qs.removeprefix(prefix),
             arrived_ms=arrived_ms,
-            deadline_ms=marks.deadline_ms or service.deadline_ms,
+            deadline_ms=options.deadline_ms or service.deadline_ms,
             headers=hops.end_to_end(request.headers.items(), dropped=_DROPPED),
             body=body if request.can_read_body else None,
             account=accounts.account_name(account),
-            key=marks.key,
-            priority=accounts.capped_priority(account, marks.priority or 0),
-            is_repeatable=_is_repeatable(request.method, marks, service),
+            key=options.key,
+            priority=accounts.capped_priority(account, options.priority or 0),
+            is_repeatable=_is_repeatable(request.method, options, service),
         )
 
     async def _forward(
@@ -128,10 +128,12 @@
 
 
 def _is_repeatable(
-    method: str, marks: caller_marks.Marks, service: resources.Service
+    method: str,
+    options: request_options.RequestOptions,
+    service: resources.Service,
 ) -> bool:
-    if marks.is_repeatable is not None:
-        return marks.is_repeatable
+    if options.is_repeatable is not None:
+        return options.is_repeatable
     return method in _IDEMPOTENT_METHODS or service.repeatable
 
 
@@ -141,5 +143,5 @@
     response = web.StreamResponse(status=reply.status)
     for name, value in hops.end_to_end(reply.headers, dropped=_DROPPED):
         response.headers.add(name, value)
-    response.headers[caller_marks.REQUEST_HEADER] = plain_request.request_id
+    response.headers[request_options.REQUEST_HEADER] = plain_request.request_id
     return response
--- a/src/jujubewharf/callers/marks.py
+++ b/src/jujubewharf/callers/request_options.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Marks:
+class RequestOptions:
     """Validated request options; ``None`` for headers that are not set.
 
     Attributes:
@@ -45,30 +45,30 @@
     resume_from: int | None = None
 
     @classmethod
-    def from_headers(cls, headers: Mapping[str, str]) -> Marks:
+    def from_headers(cls, headers: Mapping[str, str]) -> RequestOptions:
         """Parses and validates the headers.
 
         Raises:
             WharfError: ``BAD_REQUEST``; the detail names the invalid header.
         """
-        marks = cls(
+        options = cls(
             key=_key(headers),
             deadline_ms=_count(headers, DEADLINE_HEADER),
             priority=_count(headers, PRIORITY_HEADER),
             is_repeatable=_flag(headers, REPEATABLE_HEADER),
             resume_from=_count(headers, LAST_EVENT_HEADER),
         )
-        if marks.priority is not None and marks.priority > MAX_PRIORITY:
+        if options.priority is not None and options.priority > MAX_PRIORITY:
             raise _invalid_header(PRIORITY_HEADER)
-        if marks.deadline_ms is not None:
-            if not 0 < marks.deadline_ms <= MAX_DEADLINE_MS:
+        if options.deadline_ms is not None:
+            if not 0 < options.deadline_ms <= MAX_DEADLINE_MS:
                 raise _invalid_header(DEADLINE_HEADER)
-        if marks.resume_from is not None and marks.key is None:
+        if options.resume_from is not None and options.key is None:
             raise errors.WharfError(
                 errors.ErrorKind.BAD_REQUEST,
                 f"{LAST_EVENT_HEADER} needs the {KEY_HEADER} of the answer",
             )
-        return marks
+        return options
 
 
 def _key(headers: Mapping[str, str]) -> str | None:
--- a/src/jujubewharf/callers/shapes.py
+++ b/src/jujubewharf/callers/shapes.py
@@ -10,7 +10,7 @@
 import pydantic
 
 from jujubewharf import errors
-from jujubewharf.callers import marks as caller_marks
+from jujubewharf.callers import request_options
 from jujubewharf.requests import model_request
 
 EXTENSION = "jujubewharf"
@@ -61,10 +61,10 @@
     stream: bool | None = False
     stream_options: _StreamOptions | None = None
     deadline_ms: float | None = pydantic.Field(
-        None, gt=0, le=caller_marks.MAX_DEADLINE_MS
+        None, gt=0, le=request_options.MAX_DEADLINE_MS
     )
     priority: int | None = pydantic.Field(
-        None, ge=0, le=caller_marks.MAX_PRIORITY
+        None, ge=0, le=request_options.MAX_PRIORITY
     )
     repeatable: bool | None = None
 
--- a/src/jujubewharf/demo/load.py
+++ b/src/jujubewharf/demo/load.py
@@ -11,7 +11,7 @@
 import aiohttp
 
 from jujubewharf import hashing
-from jujubewharf.callers import marks
+from jujubewharf.callers import request_options
 from jujubewharf.demo import deployment as deployments
 from jujubewharf.engines import http_endpoint
 from jujubewharf.standins import engine as engines
@@ -189,7 +189,7 @@
             await _check_status(answer)
             text = (await answer.json())["choices"][0]["text"]
             _check_text(ask, text)
-            return answer.headers[marks.REQUEST_HEADER]
+            return answer.headers[request_options.REQUEST_HEADER]
 
     async def _retried(self, ask: _Ask) -> tuple[str, ...]:
         """The same key at two instances, as after a caller's timeout."""
@@ -211,7 +211,7 @@
             else:
                 raise WrongAnswerError("the stream was cut")
             _check_text(ask, "".join(texts))
-            return answer.headers[marks.REQUEST_HEADER]
+            return answer.headers[request_options.REQUEST_HEADER]
 
     async def _cancelled(self, ask: _Ask) -> str:
         body = self._body(ask) | {"stream": True}
@@ -220,7 +220,7 @@
             async for _ in _events(answer):
                 break
             answer.close()
-            return answer.headers[marks.REQUEST_HEADER]
+            return answer.headers[request_options.REQUEST_HEADER]
 
     def _body(self, ask: _Ask) -> dict[str, object]:
         return {
@@ -235,7 +235,7 @@
         return self._session.post(
             f"{self._base(place)}/v1/completions",
             json=body,
-            headers={marks.KEY_HEADER: ask.key},
+            headers={request_options.KEY_HEADER: ask.key},
         )
 
 
