--- a/src/jujubewharf/callers/plain.py
+++ b/src/jujubewharf/callers/plain.py
@@ -13,7 +13,7 @@
 from jujubewharf.callers import accounts
 from jujubewharf.callers import answers
 from jujubewharf.callers import bodies
-from jujubewharf.callers import hops
+from jujubewharf.callers import hop_headers
 from jujubewharf.callers import request_options
 from jujubewharf.callers import services
 from jujubewharf.callers import shapes
@@ -96,7 +96,9 @@
             path_query=request.rel_url.raw_path_qs.removeprefix(prefix),
             arrived_ms=arrived_ms,
             deadline_ms=options.deadline_ms or service.deadline_ms,
-            headers=hops.end_to_end(request.headers.items(), dropped=_DROPPED),
+            headers=hop_headers.end_to_end(
+                request.headers.items(), dropped=_DROPPED
+            ),
             body=body if request.can_read_body else None,
             account=accounts.account_name(account),
             key=options.key,
@@ -141,7 +143,7 @@
     reply: endpoint_client.PlainReply, plain_request: plain.PlainRequest
 ) -> web.StreamResponse:
     response = web.StreamResponse(status=reply.status)
-    for name, value in hops.end_to_end(reply.headers, dropped=_DROPPED):
+    for name, value in hop_headers.end_to_end(reply.headers, dropped=_DROPPED):
         response.headers.add(name, value)
     response.headers[request_options.REQUEST_HEADER] = plain_request.request_id
     return response
