--- a/src/jujubewharf/callers/completions.py
+++ b/src/jujubewharf/callers/completions.py
@@ -18,9 +18,9 @@
 from jujubewharf.callers import answers
 from jujubewharf.callers import bodies
 from jujubewharf.callers import event_stream
+from jujubewharf.callers import openai_bodies
 from jujubewharf.callers import request_options
 from jujubewharf.callers import services
-from jujubewharf.callers import shapes
 from jujubewharf.configuration import resources
 from jujubewharf.engines import prefixes
 from jujubewharf.requests import model_request
@@ -46,7 +46,7 @@
         clock: clocks.Clock,
         settings: models.CallerSettings,
         *,
-        new_id: Callable[[], str] = shapes.new_request_id,
+        new_id: Callable[[], str] = openai_bodies.new_request_id,
     ) -> None:
         self._core = core
         self._clock = clock
@@ -87,7 +87,7 @@
         options = request_options.RequestOptions.from_headers(request.headers)
         self._core.model_limits.check(accounts.account_name(account))
         raw = await self._read(request)
-        body = shapes.Body.from_json(raw, is_chat=is_chat)
+        body = openai_bodies.Body.from_json(raw, is_chat=is_chat)
         service = services.find(
             self._core, body.model, resources.ServiceKind.MODEL
         )
@@ -109,7 +109,9 @@
             is_repeatable=_is_repeatable(body, options, service),
             resume_from=resume_from,
         )
-        shape = (shapes.ChatShape if is_chat else shapes.TextShape)(model_call)
+        shape = (
+            openai_bodies.ChatShape if is_chat else openai_bodies.TextShape
+        )(model_call)
         headers = {
             request_options.REQUEST_HEADER: request_id,
             request_options.KEY_HEADER: model_call.key,
@@ -164,7 +166,7 @@
 
 
 def _deadline_ms(
-    body: shapes.Body,
+    body: openai_bodies.Body,
     options: request_options.RequestOptions,
     service: resources.Service,
 ) -> float:
@@ -172,7 +174,7 @@
 
 
 def _priority(
-    body: shapes.Body, options: request_options.RequestOptions
+    body: openai_bodies.Body, options: request_options.RequestOptions
 ) -> int:
     if options.priority is not None:
         return options.priority
@@ -180,7 +182,7 @@
 
 
 def _is_repeatable(
-    body: shapes.Body,
+    body: openai_bodies.Body,
     options: request_options.RequestOptions,
     service: resources.Service,
 ) -> bool:
@@ -197,7 +199,7 @@
 
 async def _complete_response(
     events: AsyncIterator[model_request.Event],
-    shape: shapes.TextShape,
+    shape: openai_bodies.TextShape,
     headers: Mapping[str, str],
     request: model_request.ModelRequest,
 ) -> web.StreamResponse:
@@ -207,7 +209,9 @@
             case model_request.Tokens():
                 texts.extend(event.texts)
             case model_request.Finished():
-                usage = shapes.Usage(_prompt_tokens(request), event.count)
+                usage = openai_bodies.Usage(
+                    _prompt_tokens(request), event.count
+                )
                 attempt = {request_options.ATTEMPT_HEADER: event.attempt_id}
                 return web.json_response(
                     shape.whole("".join(texts), event, usage),
--- a/src/jujubewharf/callers/event_stream.py
+++ b/src/jujubewharf/callers/event_stream.py
@@ -10,7 +10,7 @@
 
 from jujubewharf import errors
 from jujubewharf.callers import answers
-from jujubewharf.callers import shapes
+from jujubewharf.callers import openai_bodies
 from jujubewharf.requests import model_request
 
 _DONE = b"data: [DONE]\n\n"
@@ -36,7 +36,7 @@
     def __init__(
         self,
         request: web.Request,
-        shape: shapes.TextShape,
+        shape: openai_bodies.TextShape,
         headers: Mapping[str, str],
         *,
         resume_from: int = 0,
@@ -83,7 +83,7 @@
     async def _finish(self, event: model_request.Finished) -> None:
         await self._write(self._shape.last_chunk(event))
         if self._prompt_tokens is not None:
-            usage = shapes.Usage(self._prompt_tokens, event.count)
+            usage = openai_bodies.Usage(self._prompt_tokens, event.count)
             await self._write(self._shape.usage_chunk(usage))
         await self._response.write(_DONE)
 
@@ -107,7 +107,7 @@
         if transport is not None:
             transport.close()
 
-    async def _write(self, body: shapes.Json) -> None:
+    async def _write(self, body: openai_bodies.Json) -> None:
         if not self._response.prepared:
             await self._response.prepare(self._request)
         event_id = f"id: {self._next_index}\n".encode()
--- a/src/jujubewharf/callers/plain.py
+++ b/src/jujubewharf/callers/plain.py
@@ -14,9 +14,9 @@
 from jujubewharf.callers import answers
 from jujubewharf.callers import bodies
 from jujubewharf.callers import hop_headers
+from jujubewharf.callers import openai_bodies
 from jujubewharf.callers import request_options
 from jujubewharf.callers import services
-from jujubewharf.callers import shapes
 from jujubewharf.configuration import resources
 from jujubewharf.engines import endpoint_client
 from jujubewharf.requests import plain
@@ -55,7 +55,7 @@
         clock: clocks.Clock,
         settings: models.CallerSettings,
         *,
-        new_id: Callable[[], str] = shapes.new_request_id,
+        new_id: Callable[[], str] = openai_bodies.new_request_id,
     ) -> None:
         self._core = core
         self._clock = clock
