--- a/src/jujubewharf/callers/completions.py
+++ b/src/jujubewharf/callers/completions.py
@@ -109,8 +109,8 @@
             is_repeatable=_is_repeatable(body, options, service),
             resume_from=resume_from,
         )
-        shape = (
-            openai_bodies.ChatShape if is_chat else openai_bodies.TextShape
+        builder = (
+            openai_bodies.ChatBodies if is_chat else openai_bodies.TextBodies
         )(model_call)
         headers = {
             request_options.REQUEST_HEADER: request_id,
@@ -122,14 +122,14 @@
             ) as events:
                 if not body.stream:
                     return await _complete_response(
-                        events, shape, headers, model_call
+                        events, builder, headers, model_call
                     )
                 prompt_tokens = None
                 if body.wants_usage:
                     prompt_tokens = _prompt_tokens(model_call)
                 stream = event_stream.EventStream(
                     request,
-                    shape,
+                    builder,
                     headers,
                     resume_from=resume_from,
                     prompt_tokens=prompt_tokens,
@@ -199,7 +199,7 @@
 
 async def _complete_response(
     events: AsyncIterator[model_request.Event],
-    shape: openai_bodies.TextShape,
+    builder: openai_bodies.TextBodies,
     headers: Mapping[str, str],
     request: model_request.ModelRequest,
 ) -> web.StreamResponse:
@@ -214,7 +214,7 @@
                 )
                 attempt = {request_options.ATTEMPT_HEADER: event.attempt_id}
                 return web.json_response(
-                    shape.whole("".join(texts), event, usage),
+                    builder.whole("".join(texts), event, usage),
                     headers={**headers, **attempt},
                 )
             case model_request.Failed():
--- a/src/jujubewharf/callers/event_stream.py
+++ b/src/jujubewharf/callers/event_stream.py
@@ -26,7 +26,7 @@
 
     Args:
         request: The caller's HTTP request.
-        shape: Builds the bodies of the events.
+        builder: Builds the bodies of the events.
         headers: Headers of the response.
         resume_from: Number of tokens that the caller already has.
         prompt_tokens: Prompt tokens for the usage chunk at the end; ``None``
@@ -36,14 +36,14 @@
     def __init__(
         self,
         request: web.Request,
-        shape: openai_bodies.TextShape,
+        builder: openai_bodies.TextBodies,
         headers: Mapping[str, str],
         *,
         resume_from: int = 0,
         prompt_tokens: int | None = None,
     ) -> None:
         self._request = request
-        self._shape = shape
+        self._builder = builder
         self._headers = headers
         self._next_index = resume_from
         self._prompt_tokens = prompt_tokens
@@ -76,15 +76,15 @@
         if not new_texts:
             return
         self._next_index = event.first_index + len(event.texts)
-        body = self._shape.chunk("".join(new_texts), is_first=self._is_first)
+        body = self._builder.chunk("".join(new_texts), is_first=self._is_first)
         self._is_first = False
         await self._write(body)
 
     async def _finish(self, event: model_request.Finished) -> None:
-        await self._write(self._shape.last_chunk(event))
+        await self._write(self._builder.last_chunk(event))
         if self._prompt_tokens is not None:
             usage = openai_bodies.Usage(self._prompt_tokens, event.count)
-            await self._write(self._shape.usage_chunk(usage))
+            await self._write(self._builder.usage_chunk(usage))
         await self._response.write(_DONE)
 
     async def _fail(self, event: model_request.Failed) -> web.StreamResponse:
--- a/src/jujubewharf/callers/openai_bodies.py
+++ b/src/jujubewharf/callers/openai_bodies.py
@@ -125,7 +125,7 @@
         }
 
 
-class TextShape:
+class TextBodies:
     """Builds response bodies of text completions.
 
     Args:
@@ -193,7 +193,7 @@
         }
 
 
-class ChatShape(TextShape):
+class ChatBodies(TextBodies):
     """Builds response bodies of chat completions."""
 
     prefix = "chatcmpl"
