--- a/src/jujubewharf/callers/completions.py
+++ b/src/jujubewharf/callers/completions.py
@@ -87,7 +87,7 @@
         options = request_options.RequestOptions.from_headers(request.headers)
         self._core.model_limits.check(accounts.account_name(account))
         raw = await self._read(request)
-        body = openai_bodies.Body.from_json(raw, is_chat=is_chat)
+        body = openai_bodies.RequestBody.from_json(raw, is_chat=is_chat)
         service = services.find(
             self._core, body.model, resources.ServiceKind.MODEL
         )
@@ -166,7 +166,7 @@
 
 
 def _deadline_ms(
-    body: openai_bodies.Body,
+    body: openai_bodies.RequestBody,
     options: request_options.RequestOptions,
     service: resources.Service,
 ) -> float:
@@ -174,7 +174,7 @@
 
 
 def _priority(
-    body: openai_bodies.Body, options: request_options.RequestOptions
+    body: openai_bodies.RequestBody, options: request_options.RequestOptions
 ) -> int:
     if options.priority is not None:
         return options.priority
@@ -182,7 +182,7 @@
 
 
 def _is_repeatable(
-    body: openai_bodies.Body,
+    body: openai_bodies.RequestBody,
     options: request_options.RequestOptions,
     service: resources.Service,
 ) -> bool:
--- a/src/jujubewharf/callers/openai_bodies.py
+++ b/src/jujubewharf/callers/openai_bodies.py
@@ -42,7 +42,7 @@
     include_usage: bool = False
 
 
-class Body(pydantic.BaseModel):
+class RequestBody(pydantic.BaseModel):
     """Body of a completion or chat completion request.
 
     Unknown fields are ignored.
@@ -69,7 +69,7 @@
     repeatable: bool | None = None
 
     @classmethod
-    def from_json(cls, raw: bytes, *, is_chat: bool) -> Body:
+    def from_json(cls, raw: bytes, *, is_chat: bool) -> RequestBody:
         """Parses and validates a request body.
 
         Raises:
