--- a/src/jujubewharf/callers/completions.py
+++ b/src/jujubewharf/callers/completions.py
@@ -15,8 +15,8 @@
 from jujubewharf import errors
 from jujubewharf import hashing
 from jujubewharf.callers import accounts
-from jujubewharf.callers import answers
 from jujubewharf.callers import bodies
+from jujubewharf.callers import error_responses
 from jujubewharf.callers import event_stream
 from jujubewharf.callers import openai_bodies
 from jujubewharf.callers import request_options
@@ -218,5 +218,5 @@
                     headers={**headers, **attempt},
                 )
             case model_request.Failed():
-                return answers.failed_response(event, headers)
+                return error_responses.failed_response(event, headers)
     raise errors.WharfError(errors.ErrorKind.INTERNAL)
--- a/src/jujubewharf/callers/edge.py
+++ b/src/jujubewharf/callers/edge.py
@@ -11,8 +11,8 @@
 import structlog
 
 from jujubewharf import errors
-from jujubewharf.callers import answers
 from jujubewharf.callers import completions
+from jujubewharf.callers import error_responses
 from jujubewharf.callers import plain
 from jujubewharf.callers import server
 from jujubewharf.settings import models
@@ -107,16 +107,16 @@
     try:
         return await handler(request)
     except errors.WharfError as error:
-        return answers.response_to(error)
+        return error_responses.response_to(error)
     except web.HTTPNotFound:
         kind = errors.ErrorKind.UNKNOWN_RESOURCE
-        return answers.error_response(kind, errors.Ran.NO)
+        return error_responses.error_response(kind, errors.Ran.NO)
     except web.HTTPException as error:
         kind = errors.ErrorKind.BAD_REQUEST
-        return answers.error_response(kind, errors.Ran.NO, error.reason)
+        return error_responses.error_response(kind, errors.Ran.NO, error.reason)
     except ConnectionError:
         raise
     except Exception:
         structlog.get_logger().exception("request_crashed")
         kind = errors.ErrorKind.INTERNAL
-        return answers.error_response(kind, errors.Ran.UNKNOWN)
+        return error_responses.error_response(kind, errors.Ran.UNKNOWN)
--- a/src/jujubewharf/callers/event_stream.py
+++ b/src/jujubewharf/callers/event_stream.py
@@ -9,7 +9,7 @@
 import orjson
 
 from jujubewharf import errors
-from jujubewharf.callers import answers
+from jujubewharf.callers import error_responses
 from jujubewharf.callers import openai_bodies
 from jujubewharf.requests import model_request
 
@@ -89,9 +89,9 @@
 
     async def _fail(self, event: model_request.Failed) -> web.StreamResponse:
         if not self._response.prepared:
-            return answers.failed_response(event, self._headers)
-        body = answers.error_body(event.kind, event.ran, event.detail)
-        answers.count(event.kind)
+            return error_responses.failed_response(event, self._headers)
+        body = error_responses.error_body(event.kind, event.ran, event.detail)
+        error_responses.count(event.kind)
         await self._response.write(b"event: error\n" + _data(body))
         self._abort_body()
         return self._response
--- a/src/jujubewharf/callers/plain.py
+++ b/src/jujubewharf/callers/plain.py
@@ -11,8 +11,8 @@
 from jujubewharf import clock as clocks
 from jujubewharf import errors
 from jujubewharf.callers import accounts
-from jujubewharf.callers import answers
 from jujubewharf.callers import bodies
+from jujubewharf.callers import error_responses
 from jujubewharf.callers import hop_headers
 from jujubewharf.callers import openai_bodies
 from jujubewharf.callers import request_options
@@ -118,11 +118,11 @@
                     await response.write(chunk)
         except errors.WharfError as error:
             if response is None:
-                return answers.response_to(error)
+                return error_responses.response_to(error)
             # The status has already been sent. The connection is closed
             # without the end of the body, so that the truncated response is
             # not taken for a complete one.
-            answers.count(error.kind)
+            error_responses.count(error.kind)
             if request.transport is not None:
                 request.transport.close()
         assert response is not None
--- a/src/jujubewharf/callers/server.py
+++ b/src/jujubewharf/callers/server.py
@@ -13,7 +13,7 @@
 from aiohttp import web_request
 
 from jujubewharf import errors
-from jujubewharf.callers import answers
+from jujubewharf.callers import error_responses
 
 
 class _JsonErrorHandler(web.RequestHandler):
@@ -32,7 +32,7 @@
         if status >= web.HTTPInternalServerError.status_code:
             return super().handle_error(request, status, exc, message)
         kind = errors.ErrorKind.BAD_REQUEST
-        response = answers.error_response(kind, errors.Ran.NO)
+        response = error_responses.error_response(kind, errors.Ran.NO)
         response.force_close()
         return response
 
