--- a/src/jujubewharf/callers/edge.py
+++ b/src/jujubewharf/callers/edge.py
@@ -107,7 +107,7 @@
     try:
         return await handler(request)
     except errors.WharfError as error:
-        return error_responses.response_to(error)
+        return error_responses.response_from(error)
     except web.HTTPNotFound:
         kind = errors.ErrorKind.UNKNOWN_RESOURCE
         return error_responses.error_response(kind, errors.Ran.NO)
--- a/src/jujubewharf/callers/error_responses.py
+++ b/src/jujubewharf/callers/error_responses.py
@@ -57,7 +57,7 @@
     return headers
 
 
-def count(kind: errors.ErrorKind) -> None:
+def count_error(kind: errors.ErrorKind) -> None:
     """Counts an error response by its reason."""
     _refusals.add(1, {"reason": kind.value})
 
@@ -71,7 +71,7 @@
     headers: Mapping[str, str] | None = None,
 ) -> web.Response:
     """Builds and counts an error response."""
-    count(kind)
+    count_error(kind)
     return web.json_response(
         error_body(kind, ran, detail),
         status=errors.TABLE[kind].http_status,
@@ -79,7 +79,7 @@
     )
 
 
-def response_to(error: errors.WharfError) -> web.Response:
+def response_from(error: errors.WharfError) -> web.Response:
     """Builds the response to a raised error."""
     return error_response(
         error.kind,
--- a/src/jujubewharf/callers/event_stream.py
+++ b/src/jujubewharf/callers/event_stream.py
@@ -91,7 +91,7 @@
         if not self._response.prepared:
             return error_responses.failed_response(event, self._headers)
         body = error_responses.error_body(event.kind, event.ran, event.detail)
-        error_responses.count(event.kind)
+        error_responses.count_error(event.kind)
         await self._response.write(b"event: error\n" + _data(body))
         self._abort_body()
         return self._response
--- a/src/jujubewharf/callers/plain.py
+++ b/src/jujubewharf/callers/plain.py
@@ -118,11 +118,11 @@
                     await response.write(chunk)
         except errors.WharfError as error:
             if response is None:
-                return error_responses.response_to(error)
+                return error_responses.response_from(error)
             # The status has already been sent. The connection is closed
             # without the end of the body, so that the truncated response is
             # not taken for a complete one.
-            error_responses.count(error.kind)
+            error_responses.count_error(error.kind)
             if request.transport is not None:
                 request.transport.close()
         assert response is not None
