--- a/src/jujubewharf/errors.py
+++ b/src/jujubewharf/errors.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class ErrorResponse:
     """Response to one kind of error.
 
     Attributes:
@@ -76,127 +76,127 @@
 
 _NO, _YES, _UNKNOWN = Ran.NO, Ran.YES, Ran.UNKNOWN
 
-TABLE: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(
+TABLE: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(
         400, "INVALID_ARGUMENT", _NO, False, "The request is malformed."
     ),
-    ErrorKind.BODY_TOO_LARGE: Answer(
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(
         413, "INVALID_ARGUMENT", _NO, False, "The body is over the limit."
     ),
-    ErrorKind.SLOW_BODY: Answer(
+    ErrorKind.SLOW_BODY: ErrorResponse(
         408, "DEADLINE_EXCEEDED", _NO, True, "The body came too slowly."
     ),
-    ErrorKind.UNAUTHENTICATED: Answer(
+    ErrorKind.UNAUTHENTICATED: ErrorResponse(
         401, "UNAUTHENTICATED", _NO, False, "The token is missing or unknown."
     ),
-    ErrorKind.FORBIDDEN: Answer(
+    ErrorKind.FORBIDDEN: ErrorResponse(
         403, "PERMISSION_DENIED", _NO, False, "The identity may not do this."
     ),
-    ErrorKind.UNKNOWN_SERVICE: Answer(
+    ErrorKind.UNKNOWN_SERVICE: ErrorResponse(
         404, "NOT_FOUND", _NO, False, "No such service is configured."
     ),
-    ErrorKind.UNKNOWN_RESOURCE: Answer(
+    ErrorKind.UNKNOWN_RESOURCE: ErrorResponse(
         404, "NOT_FOUND", _NO, False, "No such resource is configured."
     ),
-    ErrorKind.RATE_LIMITED: Answer(
+    ErrorKind.RATE_LIMITED: ErrorResponse(
         429, "RESOURCE_EXHAUSTED", _NO, True, "The account's rate is used up."
     ),
-    ErrorKind.TOO_MANY_IN_FLIGHT: Answer(
+    ErrorKind.TOO_MANY_IN_FLIGHT: ErrorResponse(
         429, "RESOURCE_EXHAUSTED", _NO, True, "Too many requests in flight."
     ),
-    ErrorKind.QUEUE_FULL: Answer(
+    ErrorKind.QUEUE_FULL: ErrorResponse(
         503, "RESOURCE_EXHAUSTED", _NO, True, "The service's queue is full."
     ),
-    ErrorKind.DEADLINE_UNREACHABLE: Answer(
+    ErrorKind.DEADLINE_UNREACHABLE: ErrorResponse(
         503, "RESOURCE_EXHAUSTED", _NO, True, "The targets can't be met now."
     ),
-    ErrorKind.NO_FITTING_ENGINE: Answer(
+    ErrorKind.NO_FITTING_ENGINE: ErrorResponse(
         503, "UNAVAILABLE", _NO, True, "No engine fits the request now."
     ),
-    ErrorKind.NOT_READY: Answer(
+    ErrorKind.NOT_READY: ErrorResponse(
         503, "UNAVAILABLE", _NO, True, "This instance is still starting."
     ),
-    ErrorKind.SHUTTING_DOWN: Answer(
+    ErrorKind.SHUTTING_DOWN: ErrorResponse(
         503, "UNAVAILABLE", _NO, True, "This instance is shutting down."
     ),
-    ErrorKind.KEY_CONFLICT: Answer(
+    ErrorKind.KEY_CONFLICT: ErrorResponse(
         422,
         "ALREADY_EXISTS",
         _NO,
         False,
         "The idempotency key was used with another body.",
     ),
-    ErrorKind.KEY_EXPIRED: Answer(
+    ErrorKind.KEY_EXPIRED: ErrorResponse(
         409,
         "FAILED_PRECONDITION",
         _UNKNOWN,
         False,
         "The key's earlier answer is no longer kept.",
     ),
-    ErrorKind.CLAIM_UNAVAILABLE: Answer(
+    ErrorKind.CLAIM_UNAVAILABLE: ErrorResponse(
         503,
         "UNAVAILABLE",
         _UNKNOWN,
         True,
         "A request that may not be repeated can't be claimed now.",
     ),
-    ErrorKind.CLAIM_LOST: Answer(
+    ErrorKind.CLAIM_LOST: ErrorResponse(
         409,
         "ABORTED",
         _UNKNOWN,
         False,
         "The key was claimed before and its answer can't be had here.",
     ),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(
         504,
         "UNKNOWN",
         _UNKNOWN,
         False,
         "The request was handed over and its outcome is unknown.",
     ),
-    ErrorKind.DEADLINE_EXCEEDED: Answer(
+    ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(
         504, "DEADLINE_EXCEEDED", _YES, True, "The deadline passed."
     ),
-    ErrorKind.ENGINE_FAILED: Answer(
+    ErrorKind.ENGINE_FAILED: ErrorResponse(
         502, "UNAVAILABLE", _YES, True, "Every attempt failed on its engine."
     ),
-    ErrorKind.ENDPOINT_FAILED: Answer(
+    ErrorKind.ENDPOINT_FAILED: ErrorResponse(
         502, "UNAVAILABLE", _UNKNOWN, True, "The endpoint failed."
     ),
-    ErrorKind.ANSWER_BROKEN: Answer(
+    ErrorKind.ANSWER_BROKEN: ErrorResponse(
         502, "DATA_LOSS", _YES, True, "The answer's digest did not match."
     ),
     # Not retryable: each further run may crash another engine.
-    ErrorKind.QUARANTINED: Answer(
+    ErrorKind.QUARANTINED: ErrorResponse(
         500, "INTERNAL", _YES, False, "Engines crash while they run it."
     ),
-    ErrorKind.CANCELLED: Answer(
+    ErrorKind.CANCELLED: ErrorResponse(
         499, "CANCELLED", _UNKNOWN, False, "The caller cancelled."
     ),
-    ErrorKind.CONFIG_INVALID: Answer(
+    ErrorKind.CONFIG_INVALID: ErrorResponse(
         400, "INVALID_ARGUMENT", _NO, False, "The resource is not valid."
     ),
-    ErrorKind.CONFIG_CONFLICT: Answer(
+    ErrorKind.CONFIG_CONFLICT: ErrorResponse(
         409, "ABORTED", _NO, True, "Another change came first."
     ),
-    ErrorKind.CONFIG_UNSAFE: Answer(
+    ErrorKind.CONFIG_UNSAFE: ErrorResponse(
         409,
         "FAILED_PRECONDITION",
         _NO,
         False,
         "The change would empty a pool in use; force it to go on.",
     ),
-    ErrorKind.LOG_UNAVAILABLE: Answer(
+    ErrorKind.LOG_UNAVAILABLE: ErrorResponse(
         503, "UNAVAILABLE", _NO, True, "The platform's log can't be reached."
     ),
-    ErrorKind.OPERATION_UNKNOWN: Answer(
+    ErrorKind.OPERATION_UNKNOWN: ErrorResponse(
         504,
         "UNKNOWN",
         _UNKNOWN,
         False,
         "The change's outcome is unknown; look its operation up later.",
     ),
-    ErrorKind.INTERNAL: Answer(
+    ErrorKind.INTERNAL: ErrorResponse(
         500, "INTERNAL", _UNKNOWN, False, "An internal error occurred."
     ),
 }
@@ -227,6 +227,6 @@
         self.ran = ran if ran is not None else TABLE[kind].ran
 
     @property
-    def answer(self) -> Answer:
+    def response(self) -> ErrorResponse:
         """The table's entry for this kind of error."""
         return TABLE[self.kind]
--- a/src/jujubewharf/forwarding/error_responses.py
+++ b/src/jujubewharf/forwarding/error_responses.py
@@ -20,7 +20,7 @@
     Statuses in ``NOT_RUN_STATUSES`` are only used if the request was certainly
     not processed; otherwise they are replaced by 504.
     """
-    status = error.answer.http_status
+    status = error.response.http_status
     if status in NOT_RUN_STATUSES and error.ran is not errors.Ran.NO:
         return _GATEWAY_TIMEOUT
     return status
--- a/src/jujubewharf/operators/adapter.py
+++ b/src/jujubewharf/operators/adapter.py
@@ -173,7 +173,7 @@
         detail = call_errors.to_detail(error)
         trailer = messages.to_message(detail, pb.ErrorDetail)
         await context.abort(
-            grpc.StatusCode[error.answer.grpc_code],
+            grpc.StatusCode[error.response.grpc_code],
             f"{detail.kind}: {detail.message} {detail.detail}".strip(),
             ((ERROR_DETAIL, trailer.SerializeToString()),),
         )
--- a/src/jujubewharf/operators/call_errors.py
+++ b/src/jujubewharf/operators/call_errors.py
@@ -42,7 +42,7 @@
 
 def to_detail(error: errors.WharfError) -> values.ErrorDetail:
     """Returns the error detail that is sent to the client."""
-    row = error.answer
+    row = error.response
     detail = values.ErrorDetail(
         kind=error.kind.value,
         ran=error.ran,
--- a/src/jujubewharf/telemetry/error_page.py
+++ b/src/jujubewharf/telemetry/error_page.py
@@ -23,18 +23,18 @@
 
 def render() -> str:
     """Returns the page in Markdown."""
-    rows = [_row(kind, answer) for kind, answer in errors.TABLE.items()]
+    rows = [_row(kind, response) for kind, response in errors.TABLE.items()]
     return _HEAD + "".join(rows)
 
 
-def _row(kind: errors.ErrorKind, answer: errors.Answer) -> str:
-    retryable = "yes" if answer.retryable else "no"
+def _row(kind: errors.ErrorKind, response: errors.ErrorResponse) -> str:
+    retryable = "yes" if response.retryable else "no"
     cells = (
         f"`{kind.value}`",
-        str(answer.http_status),
-        answer.grpc_code,
-        answer.ran.value,
+        str(response.http_status),
+        response.grpc_code,
+        response.ran.value,
         retryable,
-        answer.message,
+        response.message,
     )
     return f"| {' | '.join(cells)} |\n"
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -72,7 +72,7 @@
             answer = await world.ask("/sale/1")
             assert answer.error is not None
             assert answer.error.ran is errors.Ran.NO
-            assert answer.error.answer.http_status == 503
+            assert answer.error.response.http_status == 503
             assert answer.error.retry_after_ms is not None
 
     deployments.run(main())
