--- a/tests/users_platform/test_records.py
+++ b/tests/users_platform/test_records.py
@@ -68,11 +68,11 @@
 
 def _configuration(**route):
     value = CONFIGURATION | {"routes": [ROUTE | route]}
-    return records.configuration("config", json.dumps(value).encode())
+    return records.decode_configuration("config", json.dumps(value).encode())
 
 
 def _endpoint(**more):
-    return records.endpoint("i-1", json.dumps(SERVER | more).encode())
+    return records.decode_endpoint("i-1", json.dumps(SERVER | more).encode())
 
 
 def test_a_configuration():
@@ -139,7 +139,7 @@
 
 def _accounts(*tenants):
     value = CONFIGURATION | {"tenants": tenants}
-    found = records.configuration("config", json.dumps(value).encode())
+    found = records.decode_configuration("config", json.dumps(value).encode())
     return found.accounts
 
 
@@ -194,15 +194,15 @@
 
 
 def test_records_of_other_matters_are_none():
-    assert records.configuration("other", b"{}") is None
+    assert records.decode_configuration("other", b"{}") is None
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b"{}", b'{"version":"x"}'])
 def test_what_cant_be_understood_is_said(value):
     with pytest.raises(ValueError, match="validation error"):
-        records.configuration("config", value)
+        records.decode_configuration("config", value)
     with pytest.raises(ValueError, match="validation error"):
-        records.endpoint("i-1", value)
+        records.decode_endpoint("i-1", value)
 
 
 def test_an_engine():
@@ -274,7 +274,7 @@
 def test_an_entry_that_lacks_a_field_names_no_endpoint(missing):
     entry = {k: v for k, v in SERVER.items() if k != missing}
     with pytest.raises(ValueError):
-        records.endpoint("i-1", json.dumps(entry).encode())
+        records.decode_endpoint("i-1", json.dumps(entry).encode())
 
 
 # Deterministic, whatever the load of the machine.
@@ -317,7 +317,7 @@
 @hypothesis.given(value=strategies.binary(max_size=64))
 def test_bytes_that_cant_be_read_are_a_value_error(value):
     with pytest.raises(ValueError):
-        records.endpoint("i-1", value)
+        records.decode_endpoint("i-1", value)
 
 
 @_BOUNDS
@@ -329,7 +329,7 @@
 def test_a_configuration_of_any_shape_is_decoded_or_a_value_error(changed):
     value = json.dumps(CONFIGURATION | changed).encode()
     try:
-        found = records.configuration("config", value)
+        found = records.decode_configuration("config", value)
     except ValueError:
         return
     assert isinstance(found, routes.RoutingConfiguration)
