--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -294,7 +294,7 @@
     sessions = [aiohttp.ClientSession() for _ in range(count)]
     seen = [http_log.HttpLog(url, session, clock) for session in sessions]
     held = [followers.ConfigurationFollower(one, clock) for one in seen]
-    changes = changes_lib.Changes(held[0], seen[0], clock)
+    changes = changes_lib.ChangeSubmitter(held[0], seen[0], clock)
     for one in held:
         await one.start()
         await one.caught_up.wait()
--- a/src/jujubewharf/configuration/changes.py
+++ b/src/jujubewharf/configuration/changes.py
@@ -29,7 +29,7 @@
 )
 
 
-class Changes:
+class ChangeSubmitter:
     """Submits operators' changes and answers queries about them.
 
     Args:
--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -146,7 +146,9 @@
             membership=self.membership,
             retention_ms=settings.platform.log_retention_ms,
         )
-        self.changes = changes.Changes(self.configuration, adapters.log, clock)
+        self.changes = changes.ChangeSubmitter(
+            self.configuration, adapters.log, clock
+        )
         self.fleet = fleets.Fleet(adapters.make_engine_client, clock)
         self.configuration.listen(self.fleet.on_configuration)
         self.coordinator = slot_coordinator.SlotCoordinator(
--- a/tests/configuration/making.py
+++ b/tests/configuration/making.py
@@ -80,9 +80,9 @@
 
 @contextlib.asynccontextmanager
 async def following(log: logs.Log, clock: clocks.Clock):
-    """Runs a follower that has caught up, with its ``Changes``."""
+    """Runs a follower that has caught up, with its ``ChangeSubmitter``."""
     follower = followers.ConfigurationFollower(log, clock)
-    changes = changes_lib.Changes(follower, log, clock)
+    changes = changes_lib.ChangeSubmitter(follower, log, clock)
     await follower.start()
     try:
         await follower.caught_up.wait()
