--- a/tests/configuration/test_changes.py
+++ b/tests/configuration/test_changes.py
@@ -14,7 +14,7 @@
 from jujubewharf.configuration import state as states
 from jujubewharf.experiments import virtual_time
 from jujubewharf.standins import log as logs
-from tests.configuration import making
+from tests.configuration import builders
 
 
 def _run(scenario):
@@ -24,8 +24,8 @@
         clock = clocks.Clock(wall_origin_ms=0.0)
         log = logs.MemoryLog(clock)
         async with (
-            making.following(log, clock) as (here, _),
-            making.following(log, clock) as (there, _),
+            builders.following(log, clock) as (here, _),
+            builders.following(log, clock) as (there, _),
         ):
             await scenario(log, here, there)
 
@@ -35,7 +35,7 @@
 def test_verdict_is_returned_after_the_change_is_applied():
     async def scenario(log, here, there):
         del log
-        verdicts = await here.submit([making.put(making.SERVICE)])
+        verdicts = await here.submit([builders.put(builders.SERVICE)])
         assert verdicts[0].is_accepted
         assert here.operation(verdicts[0].operation_id) == verdicts[0]
         await asyncio.sleep(0.1)
@@ -48,8 +48,12 @@
     async def scenario(log, here, there):
         del log
         one, two = await asyncio.gather(
-            here.submit([making.put(making.SERVICE, expected_generation=0)]),
-            there.submit([making.put(making.SERVICE, expected_generation=0)]),
+            here.submit(
+                [builders.put(builders.SERVICE, expected_generation=0)]
+            ),
+            there.submit(
+                [builders.put(builders.SERVICE, expected_generation=0)]
+            ),
         )
         outcomes = sorted(verdict.outcome.value for verdict in one + two)
         assert outcomes == ["accepted", "conflict"]
@@ -63,7 +67,7 @@
     async def scenario(log, here, there):
         del there
         log.lose_answers = 1
-        verdicts = await here.submit([making.put(making.SERVICE)])
+        verdicts = await here.submit([builders.put(builders.SERVICE)])
         assert verdicts[0].is_accepted
         assert log.appends[records.STREAM] == 1
 
@@ -75,7 +79,7 @@
         del there
         log.is_down = True
         with pytest.raises(errors.WharfError) as caught:
-            await here.submit([making.put(making.SERVICE)])
+            await here.submit([builders.put(builders.SERVICE)])
         assert caught.value.kind is errors.ErrorKind.LOG_UNAVAILABLE
         assert caught.value.ran is errors.Ran.NO
         assert log.appends[records.STREAM] == 0
@@ -89,7 +93,7 @@
     async def scenario(log, here, there):
         del there
         log.falls_after_append = True
-        change = making.put(making.SERVICE, operation_id="op-lost")
+        change = builders.put(builders.SERVICE, operation_id="op-lost")
         with pytest.raises(errors.WharfError) as caught:
             await here.submit([change])
         assert caught.value.kind is errors.ErrorKind.OPERATION_UNKNOWN
@@ -107,10 +111,10 @@
 def test_all_validation_errors_are_reported_and_nothing_is_appended():
     async def scenario(log, here, there):
         del there
-        bad = making.engine("e 1", address="nowhere", slots=0)
+        bad = builders.engine("e 1", address="nowhere", slots=0)
         account = resources.Account("a", "secret-token", rate_per_s=-1)
         with pytest.raises(errors.WharfError) as caught:
-            await here.submit([making.put(bad), making.put(account)])
+            await here.submit([builders.put(bad), builders.put(account)])
         assert caught.value.kind is errors.ErrorKind.CONFIG_INVALID
         detail = caught.value.detail
         for named in (
@@ -131,13 +135,16 @@
 def test_force_skips_the_safety_checks():
     async def scenario(log, here, there):
         del log, there
-        made = [making.put(making.SERVICE), making.put(making.engine("e1"))]
+        made = [
+            builders.put(builders.SERVICE),
+            builders.put(builders.engine("e1")),
+        ]
         await here.submit(made)
-        refused = await here.submit([making.delete(making.engine("e1"))])
+        refused = await here.submit([builders.delete(builders.engine("e1"))])
         assert refused[0].outcome is states.Outcome.UNSAFE
         error = refused[0].error()
         assert error.kind is errors.ErrorKind.CONFIG_UNSAFE
-        gone = making.delete(making.engine("e1"))
+        gone = builders.delete(builders.engine("e1"))
         assert (await here.submit([gone], force=True))[0].is_accepted
 
     _run(scenario)
@@ -146,10 +153,10 @@
 def test_rollback_submits_a_new_change_with_the_earlier_body():
     async def scenario(log, here, there):
         del log, there
-        before = making.engine("e1", slots=10)
-        made = [making.put(making.SERVICE), making.put(before)]
+        before = builders.engine("e1", slots=10)
+        made = [builders.put(builders.SERVICE), builders.put(before)]
         old = (await here.submit(made))[1]
-        await here.submit([making.put(making.engine("e1", slots=30))])
+        await here.submit([builders.put(builders.engine("e1", slots=30))])
         kind = resources.Kind.ENDPOINT
         back = await here.rollback(
             kind, "e1", old.generation, operation_id="back", actor="eva"
@@ -173,10 +180,10 @@
 def test_diff_reports_created_updated_and_deleted_resources():
     async def scenario(log, here, there):
         del log, there
-        made = [making.SERVICE, making.engine("e1"), making.engine("e2")]
-        await here.submit([making.put(one) for one in made])
-        wanted = [making.engine("e1", slots=3), making.engine("e3")]
-        found = here.diff([making.SERVICE, *wanted], prune=True)
+        made = [builders.SERVICE, builders.engine("e1"), builders.engine("e2")]
+        await here.submit([builders.put(one) for one in made])
+        wanted = [builders.engine("e1", slots=3), builders.engine("e3")]
+        found = here.diff([builders.SERVICE, *wanted], prune=True)
         assert [(one.name, one.action.value) for one in found] == [
             ("e1", "update"),
             ("e3", "create"),
@@ -191,7 +198,7 @@
 def test_watch_yields_past_and_future_changes():
     async def scenario(log, here, there):
         del log
-        await here.submit([making.put(making.SERVICE)])
+        await here.submit([builders.put(builders.SERVICE)])
         seen = []
 
         async def watch():
@@ -200,7 +207,7 @@
 
         task = asyncio.ensure_future(watch())
         await asyncio.sleep(0.1)
-        await here.submit([making.put(making.engine("e1"))])
+        await here.submit([builders.put(builders.engine("e1"))])
         await asyncio.sleep(0.1)
         task.cancel()
         assert seen == ["verdict-llm", "e1"]
--- a/tests/configuration/test_model.py
+++ b/tests/configuration/test_model.py
@@ -22,7 +22,7 @@
 from jujubewharf.configuration import snapshot as snapshots
 from jujubewharf.configuration import state as states
 from jujubewharf.platform import log as logs
-from tests.configuration import making
+from tests.configuration import builders
 
 ENGINES = ("e1", "e2", "e3")
 INSTANCES = (0, 1, 2)
@@ -30,10 +30,10 @@
 
 CHANGES = st.builds(
     lambda verb, name, drained, expected: (
-        making.delete(making.engine(name), expected_generation=expected)
+        builders.delete(builders.engine(name), expected_generation=expected)
         if verb == "delete"
-        else making.put(
-            making.engine(name, drained=drained), expected_generation=expected
+        else builders.put(
+            builders.engine(name, drained=drained), expected_generation=expected
         )
     ),
     st.sampled_from(["put", "put", "delete"]),
@@ -58,7 +58,7 @@
         self.reached = [0 for _ in INSTANCES]
         self.checked: list[object] = [None for _ in INSTANCES]
         self.checkpoints: list[snapshots.Snapshot] = []
-        self.append(records.encode(making.put(making.SERVICE)))
+        self.append(records.encode(builders.put(builders.SERVICE)))
 
     def make(self, index: int) -> replicas.Replica:
         state = states.State(newest_rules_version=NEWEST_RULES[index])
@@ -91,7 +91,7 @@
     @stateful.precondition(lambda self: len(self.payloads) > 4)
     @stateful.rule()
     def newer_rules_come_into_force(self):
-        self.append(records.encode(making.rules(2)))
+        self.append(records.encode(builders.rules(2)))
 
     @stateful.rule(index=INSTANCE, limit=st.integers(1, 12))
     def reads(self, index, limit):
@@ -232,16 +232,16 @@
     kind = {"expected_generation": seen}
     return [
         [
-            making.put(making.engine("e1", drained=True), **kind),
-            making.put(making.engine("e1", slots=1)),
+            builders.put(builders.engine("e1", drained=True), **kind),
+            builders.put(builders.engine("e1", slots=1)),
         ],
         [
-            making.put(making.engine("e1", slots=2), **kind),
-            making.delete(making.engine("e2")),
+            builders.put(builders.engine("e1", slots=2), **kind),
+            builders.delete(builders.engine("e2")),
         ],
         [
-            making.put(making.engine("e2", drained=True)),
-            making.put(making.engine("e1", slots=3), **kind),
+            builders.put(builders.engine("e2", drained=True)),
+            builders.put(builders.engine("e1", slots=3), **kind),
         ],
     ]
 
@@ -272,16 +272,20 @@
         digests = set()
         for cut in range(len(changes) + 1):
             state = states.State()
-            made = [making.SERVICE, making.engine("e1"), making.engine("e2")]
+            made = [
+                builders.SERVICE,
+                builders.engine("e1"),
+                builders.engine("e2"),
+            ]
             for index, one in enumerate(made):
-                making.fold(
-                    state, making.put(one, operation_id=f"made-{index}")
+                builders.fold(
+                    state, builders.put(one, operation_id=f"made-{index}")
                 )
-            verdicts = making.fold(state, *changes[:cut])
+            verdicts = builders.fold(state, *changes[:cut])
             state = snapshots.decode(
                 snapshots.encode(state), newest_rules_version=1
             )
-            verdicts += making.fold(state, *changes[cut:])
+            verdicts += builders.fold(state, *changes[cut:])
             digests.add(snapshots.digest(state))
             winners = [
                 verdict
--- a/tests/configuration/test_snapshot.py
+++ b/tests/configuration/test_snapshot.py
@@ -11,19 +11,19 @@
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import snapshot as snapshots
 from jujubewharf.configuration import state as states
-from tests.configuration import making
+from tests.configuration import builders
 
 
 def _state() -> states.State:
     state = states.State()
-    making.fold(
+    builders.fold(
         state,
-        making.put(making.SERVICE),
-        making.put(making.engine("e1"), extra={"zone_weight": 3}),
-        making.put(making.engine("e2"), expected_generation=7),
-        making.put(resources.Account("a", "0" * 64), operation_id="op-a"),
+        builders.put(builders.SERVICE),
+        builders.put(builders.engine("e1"), extra={"zone_weight": 3}),
+        builders.put(builders.engine("e2"), expected_generation=7),
+        builders.put(resources.Account("a", "0" * 64), operation_id="op-a"),
     )
-    making.fold_bytes(state, msgpack.packb({"schema_version": 9}))
+    builders.fold_bytes(state, msgpack.packb({"schema_version": 9}))
     return state
 
 
@@ -48,22 +48,22 @@
     """A decoded state has sorted entries, unlike the original."""
     state = states.State()
     for name in ("e2", "e1"):
-        making.fold(state, making.put(making.engine(name)))
+        builders.fold(state, builders.put(builders.engine(name)))
     copy = _read(snapshots.encode(state))
-    change = making.put(making.engine("e0"))
+    change = builders.put(builders.engine("e0"))
     for one in (state, copy):
-        making.fold(one, change)
+        builders.fold(one, change)
     assert snapshots.digest(copy) == snapshots.digest(state)
-    making.fold(copy, making.put(making.engine("e0", slots=1)))
-    making.fold(state, making.put(making.engine("e0", slots=2)))
+    builders.fold(copy, builders.put(builders.engine("e0", slots=1)))
+    builders.fold(state, builders.put(builders.engine("e0", slots=2)))
     assert snapshots.digest(copy) != snapshots.digest(state)
 
 
 def test_large_state_is_split_into_chunks():
     state = states.State()
-    making.fold(
+    builders.fold(
         state,
-        *(making.put(making.engine(f"e{i}")) for i in range(1_000)),
+        *(builders.put(builders.engine(f"e{i}")) for i in range(1_000)),
     )
     snapshot = snapshots.encode(state)
     assert len(snapshot.chunks) > 5
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -7,7 +7,7 @@
 
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import state as states
-from tests.configuration import making
+from tests.configuration import builders
 
 ACCEPTED = states.Outcome.ACCEPTED
 CONFLICT = states.Outcome.CONFLICT
@@ -16,24 +16,24 @@
 
 
 def _outcomes(state: states.State, *changes) -> list[states.Outcome]:
-    return [verdict.outcome for verdict in making.fold(state, *changes)]
+    return [verdict.outcome for verdict in builders.fold(state, *changes)]
 
 
 @pytest.fixture
 def pool() -> states.State:
     """State with two engines for both prefill and decode."""
     state = states.State()
-    made = [making.SERVICE, making.engine("e1"), making.engine("e2")]
-    making.fold(state, *[making.put(one) for one in made])
+    made = [builders.SERVICE, builders.engine("e1"), builders.engine("e2")]
+    builders.fold(state, *[builders.put(one) for one in made])
     return state
 
 
 def test_second_of_two_concurrent_changes_conflicts():
     state = states.State()
-    first, second = making.fold(
+    first, second = builders.fold(
         state,
-        making.put(making.SERVICE, expected_generation=0),
-        making.put(making.SERVICE, expected_generation=0),
+        builders.put(builders.SERVICE, expected_generation=0),
+        builders.put(builders.SERVICE, expected_generation=0),
     )
     assert first.outcome is ACCEPTED
     assert second.outcome is CONFLICT
@@ -46,7 +46,9 @@
     Both changes were safe when submitted; the second one must be rejected.
     """
     drains = [
-        making.put(making.engine(name, drained=True), expected_generation=seen)
+        builders.put(
+            builders.engine(name, drained=True), expected_generation=seen
+        )
         for name, seen in (("e1", 2), ("e2", 3))
     ]
     assert _outcomes(pool, *drains) == [ACCEPTED, UNSAFE]
@@ -55,15 +57,15 @@
 @pytest.mark.parametrize(
     "change",
     [
-        making.put(making.engine("e2", role=resources.Role.PREFILL)),
-        making.put(making.engine("e2", model="other")),
-        making.put(making.engine("e2", service="elsewhere")),
-        making.delete(making.engine("e2")),
+        builders.put(builders.engine("e2", role=resources.Role.PREFILL)),
+        builders.put(builders.engine("e2", model="other")),
+        builders.put(builders.engine("e2", service="elsewhere")),
+        builders.delete(builders.engine("e2")),
     ],
     ids=["role", "model", "service", "delete"],
 )
 def test_last_suitable_endpoint_is_only_removed_by_force(pool, change):
-    making.fold(pool, making.delete(making.engine("e1")))
+    builders.fold(pool, builders.delete(builders.engine("e1")))
     assert _outcomes(pool, change) == [UNSAFE]
     forced = {"operation_id": "forced", "force": True}
     again = change.__class__(
@@ -74,8 +76,8 @@
 
 def test_referenced_resources_can_not_be_deleted(pool):
     model = resources.Model("judge")
-    making.fold(pool, making.put(model))
-    deletes = [making.delete(model), making.delete(making.SERVICE)]
+    builders.fold(pool, builders.put(model))
+    deletes = [builders.delete(model), builders.delete(builders.SERVICE)]
     assert _outcomes(pool, *deletes) == [UNSAFE, UNSAFE]
 
 
@@ -83,20 +85,20 @@
     admin = resources.Operator("a", "0" * 64, resources.OperatorRole.ADMIN)
     other = resources.Operator("b", "1" * 64, resources.OperatorRole.ADMIN)
     state = states.State()
-    making.fold(state, making.put(admin), making.put(other))
-    deletes = [making.delete(admin), making.delete(other)]
+    builders.fold(state, builders.put(admin), builders.put(other))
+    deletes = [builders.delete(admin), builders.delete(other)]
     assert _outcomes(state, *deletes) == [ACCEPTED, UNSAFE]
 
 
 def test_token_is_unique_among_accounts():
     state = states.State()
     one, two = (resources.Account(name, "0" * 64) for name in ("a", "b"))
-    assert _outcomes(state, making.put(one), making.put(two)) == [
+    assert _outcomes(state, builders.put(one), builders.put(two)) == [
         ACCEPTED,
         INVALID,
     ]
     assert state.account_of_token("0" * 64) == one
-    making.fold(state, making.delete(one))
+    builders.fold(state, builders.delete(one))
     assert state.account_of_token("0" * 64) is None
 
 
@@ -105,18 +107,18 @@
 
     It receives the verdict on the first copy.
     """
-    drain = making.put(making.engine("e1", drained=True), operation_id="x")
-    undo = making.put(making.engine("e1"))
-    first, _, again = making.fold(pool, drain, undo, drain)
+    drain = builders.put(builders.engine("e1", drained=True), operation_id="x")
+    undo = builders.put(builders.engine("e1"))
+    first, _, again = builders.fold(pool, drain, undo, drain)
     assert again == first
     assert not pool.get(resources.Kind.ENDPOINT, "e1").resource.drained
-    other = making.put(making.engine("e2", drained=True), operation_id="x")
+    other = builders.put(builders.engine("e2", drained=True), operation_id="x")
     assert _outcomes(pool, other) == [CONFLICT]
 
 
 def test_fields_of_newer_versions_are_preserved(pool):
     extra = {"zone_weight": 3, "capabilities": {"kv_export": False, "fp4": 1}}
-    change = making.put(making.engine("e1"), extra=extra)
+    change = builders.put(builders.engine("e1"), extra=extra)
     assert _outcomes(pool, change) == [ACCEPTED]
     entry = pool.get(resources.Kind.ENDPOINT, "e1")
     assert not entry.resource.capabilities.kv_export
@@ -141,11 +143,11 @@
     )
     newer = msgpack.packb({"schema_version": 9, "anything": [1]})
     for payload in (kind, newer):
-        verdict = making.fold_bytes(pool, payload)
+        verdict = builders.fold_bytes(pool, payload)
         assert verdict.outcome is states.Outcome.UNKNOWN_RECORD
     assert [record.payload for record in pool.unknown_records] == [kind, newer]
     for payload in (b"", b"\xc1", msgpack.packb([1]), msgpack.packb({})):
-        verdict = making.fold_bytes(pool, payload)
+        verdict = builders.fold_bytes(pool, payload)
         assert verdict.outcome is states.Outcome.MALFORMED
     assert len(pool.unknown_records) == 2
 
@@ -153,16 +155,16 @@
 def test_record_with_unsupported_rules_is_not_applied(pool):
     offset = pool.next_offset
     with pytest.raises(states.RulesTooNewError):
-        making.fold(pool, making.rules(2))
+        builders.fold(pool, builders.rules(2))
     assert pool.next_offset == offset
     assert pool.rules_version == 1
 
 
 def test_endpoints_of_service_are_updated_when_one_moves():
     state = states.State()
-    making.fold(state, making.put(making.engine("e1")))
+    builders.fold(state, builders.put(builders.engine("e1")))
     assert [e.name for e in state.endpoints_of("verdict-llm")] == ["e1"]
-    making.fold(state, making.put(making.engine("e1", service="other")))
+    builders.fold(state, builders.put(builders.engine("e1", service="other")))
     assert state.endpoints_of("verdict-llm") == ()
     assert [e.name for e in state.endpoints_of("other")] == ["e1"]
 
@@ -170,8 +172,8 @@
 def test_duplicate_rules_change_gets_the_first_verdict():
     """A duplicate must not be rejected because its rules are in force."""
     state = states.State(newest_rules_version=2)
-    change = making.rules(2)
-    first, again = making.fold(state, change, change)
+    change = builders.rules(2)
+    first, again = builders.fold(state, change, change)
     assert first.outcome is ACCEPTED
     assert again == first
     assert state.history.find(change.operation_id).verdict == first
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -17,7 +17,7 @@
 from jujubewharf.configuration import resources
 from jujubewharf.configuration import snapshot as snapshots
 from jujubewharf.configuration import state as states
-from tests.configuration import making
+from tests.configuration import builders
 from tests.scenarios import steps
 
 pytest_bdd.scenarios("configuration.feature")
@@ -30,7 +30,7 @@
 
 def _endpoint(name: str, slots: int) -> resources.Endpoint:
     plain = resources.Role.PLAIN
-    return making.engine(name, service="till", role=plain, slots=slots)
+    return builders.engine(name, service="till", role=plain, slots=slots)
 
 
 class Fleet(steps.World):
@@ -74,7 +74,7 @@
         """Changes an endpoint at an instance."""
         number = next(self._numbers)
         self.last_operation = f"change-{number}"
-        change = making.put(
+        change = builders.put(
             _endpoint("e1", number), operation_id=self.last_operation
         )
         core = self.bench.instances[name].core
@@ -140,7 +140,7 @@
 def pool(fleet):
     made = [SERVICE, _endpoint("e1", 20), _endpoint("e2", 20)]
     changes = fleet.bench.instances["a1"].core.changes
-    submitted = changes.submit([making.put(one) for one in made])
+    submitted = changes.submit([builders.put(one) for one in made])
     assert all(verdict.is_accepted for verdict in fleet.run(submitted))
     fleet.slots = {"e1": 20, "e2": 20}
     fleet.wait_s(10)
@@ -258,7 +258,7 @@
     seen = fleet.state("a1").get(kind, "e1").generation
 
     async def one(name: str, slots: int) -> states.Verdict:
-        change = making.put(_endpoint("e1", slots), expected_generation=seen)
+        change = builders.put(_endpoint("e1", slots), expected_generation=seen)
         core = fleet.bench.instances[name].core
         verdict = (await core.changes.submit([change]))[0]
         if verdict.is_accepted:
