--- a/tests/configuration/builders.py
+++ b/tests/configuration/builders.py
@@ -70,16 +70,18 @@
     )
 
 
-def fold(state: states.State, *changes: records.Change) -> list[states.Verdict]:
-    return [fold_bytes(state, records.encode(change)) for change in changes]
+def apply_changes(
+    state: states.State, *changes: records.Change
+) -> list[states.Verdict]:
+    return [apply_bytes(state, records.encode(change)) for change in changes]
 
 
-def fold_bytes(state: states.State, payload: bytes) -> states.Verdict:
+def apply_bytes(state: states.State, payload: bytes) -> states.Verdict:
     return state.apply(logs.LogRecord(state.next_offset, payload))
 
 
 @contextlib.asynccontextmanager
-async def following(log: logs.Log, clock: clocks.Clock):
+async def running_follower(log: logs.Log, clock: clocks.Clock):
     """Runs a follower that has caught up, with its ``ChangeSubmitter``."""
     follower = followers.ConfigurationFollower(log, clock)
     changes = changes_lib.ChangeSubmitter(follower, log, clock)
--- a/tests/configuration/test_changes.py
+++ b/tests/configuration/test_changes.py
@@ -24,8 +24,8 @@
         clock = clocks.Clock(wall_origin_ms=0.0)
         log = logs.MemoryLog(clock)
         async with (
-            builders.following(log, clock) as (here, _),
-            builders.following(log, clock) as (there, _),
+            builders.running_follower(log, clock) as (here, _),
+            builders.running_follower(log, clock) as (there, _),
         ):
             await scenario(log, here, there)
 
--- a/tests/configuration/test_model.py
+++ b/tests/configuration/test_model.py
@@ -278,14 +278,14 @@
                 builders.engine("e2"),
             ]
             for index, one in enumerate(made):
-                builders.fold(
+                builders.apply_changes(
                     state, builders.put(one, operation_id=f"made-{index}")
                 )
-            verdicts = builders.fold(state, *changes[:cut])
+            verdicts = builders.apply_changes(state, *changes[:cut])
             state = snapshots.decode(
                 snapshots.encode(state), newest_rules_version=1
             )
-            verdicts += builders.fold(state, *changes[cut:])
+            verdicts += builders.apply_changes(state, *changes[cut:])
             digests.add(snapshots.digest(state))
             winners = [
                 verdict
--- a/tests/configuration/test_snapshot.py
+++ b/tests/configuration/test_snapshot.py
@@ -16,14 +16,14 @@
 
 def _state() -> states.State:
     state = states.State()
-    builders.fold(
+    builders.apply_changes(
         state,
         builders.put(builders.SERVICE),
         builders.put(builders.engine("e1"), extra={"zone_weight": 3}),
         builders.put(builders.engine("e2"), expected_generation=7),
         builders.put(resources.Account("a", "0" * 64), operation_id="op-a"),
     )
-    builders.fold_bytes(state, msgpack.packb({"schema_version": 9}))
+    builders.apply_bytes(state, msgpack.packb({"schema_version": 9}))
     return state
 
 
@@ -48,20 +48,20 @@
     """A decoded state has sorted entries, unlike the original."""
     state = states.State()
     for name in ("e2", "e1"):
-        builders.fold(state, builders.put(builders.engine(name)))
+        builders.apply_changes(state, builders.put(builders.engine(name)))
     copy = _read(snapshots.encode(state))
     change = builders.put(builders.engine("e0"))
     for one in (state, copy):
-        builders.fold(one, change)
+        builders.apply_changes(one, change)
     assert snapshots.digest(copy) == snapshots.digest(state)
-    builders.fold(copy, builders.put(builders.engine("e0", slots=1)))
-    builders.fold(state, builders.put(builders.engine("e0", slots=2)))
+    builders.apply_changes(copy, builders.put(builders.engine("e0", slots=1)))
+    builders.apply_changes(state, builders.put(builders.engine("e0", slots=2)))
     assert snapshots.digest(copy) != snapshots.digest(state)
 
 
 def test_large_state_is_split_into_chunks():
     state = states.State()
-    builders.fold(
+    builders.apply_changes(
         state,
         *(builders.put(builders.engine(f"e{i}")) for i in range(1_000)),
     )
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -16,7 +16,9 @@
 
 
 def _outcomes(state: states.State, *changes) -> list[states.Outcome]:
-    return [verdict.outcome for verdict in builders.fold(state, *changes)]
+    return [
+        verdict.outcome for verdict in builders.apply_changes(state, *changes)
+    ]
 
 
 @pytest.fixture
@@ -24,13 +26,13 @@
     """State with two engines for both prefill and decode."""
     state = states.State()
     made = [builders.SERVICE, builders.engine("e1"), builders.engine("e2")]
-    builders.fold(state, *[builders.put(one) for one in made])
+    builders.apply_changes(state, *[builders.put(one) for one in made])
     return state
 
 
 def test_second_of_two_concurrent_changes_conflicts():
     state = states.State()
-    first, second = builders.fold(
+    first, second = builders.apply_changes(
         state,
         builders.put(builders.SERVICE, expected_generation=0),
         builders.put(builders.SERVICE, expected_generation=0),
@@ -65,7 +67,7 @@
     ids=["role", "model", "service", "delete"],
 )
 def test_last_suitable_endpoint_is_only_removed_by_force(pool, change):
-    builders.fold(pool, builders.delete(builders.engine("e1")))
+    builders.apply_changes(pool, builders.delete(builders.engine("e1")))
     assert _outcomes(pool, change) == [UNSAFE]
     forced = {"operation_id": "forced", "force": True}
     again = change.__class__(
@@ -76,7 +78,7 @@
 
 def test_referenced_resources_can_not_be_deleted(pool):
     model = resources.Model("judge")
-    builders.fold(pool, builders.put(model))
+    builders.apply_changes(pool, builders.put(model))
     deletes = [builders.delete(model), builders.delete(builders.SERVICE)]
     assert _outcomes(pool, *deletes) == [UNSAFE, UNSAFE]
 
@@ -85,7 +87,7 @@
     admin = resources.Operator("a", "0" * 64, resources.OperatorRole.ADMIN)
     other = resources.Operator("b", "1" * 64, resources.OperatorRole.ADMIN)
     state = states.State()
-    builders.fold(state, builders.put(admin), builders.put(other))
+    builders.apply_changes(state, builders.put(admin), builders.put(other))
     deletes = [builders.delete(admin), builders.delete(other)]
     assert _outcomes(state, *deletes) == [ACCEPTED, UNSAFE]
 
@@ -98,7 +100,7 @@
         INVALID,
     ]
     assert state.account_of_token("0" * 64) == one
-    builders.fold(state, builders.delete(one))
+    builders.apply_changes(state, builders.delete(one))
     assert state.account_of_token("0" * 64) is None
 
 
@@ -109,7 +111,7 @@
     """
     drain = builders.put(builders.engine("e1", drained=True), operation_id="x")
     undo = builders.put(builders.engine("e1"))
-    first, _, again = builders.fold(pool, drain, undo, drain)
+    first, _, again = builders.apply_changes(pool, drain, undo, drain)
     assert again == first
     assert not pool.get(resources.Kind.ENDPOINT, "e1").resource.drained
     other = builders.put(builders.engine("e2", drained=True), operation_id="x")
@@ -143,11 +145,11 @@
     )
     newer = msgpack.packb({"schema_version": 9, "anything": [1]})
     for payload in (kind, newer):
-        verdict = builders.fold_bytes(pool, payload)
+        verdict = builders.apply_bytes(pool, payload)
         assert verdict.outcome is states.Outcome.UNKNOWN_RECORD
     assert [record.payload for record in pool.unknown_records] == [kind, newer]
     for payload in (b"", b"\xc1", msgpack.packb([1]), msgpack.packb({})):
-        verdict = builders.fold_bytes(pool, payload)
+        verdict = builders.apply_bytes(pool, payload)
         assert verdict.outcome is states.Outcome.MALFORMED
     assert len(pool.unknown_records) == 2
 
@@ -155,16 +157,18 @@
 def test_record_with_unsupported_rules_is_not_applied(pool):
     offset = pool.next_offset
     with pytest.raises(states.RulesTooNewError):
-        builders.fold(pool, builders.rules(2))
+        builders.apply_changes(pool, builders.rules(2))
     assert pool.next_offset == offset
     assert pool.rules_version == 1
 
 
 def test_endpoints_of_service_are_updated_when_one_moves():
     state = states.State()
-    builders.fold(state, builders.put(builders.engine("e1")))
+    builders.apply_changes(state, builders.put(builders.engine("e1")))
     assert [e.name for e in state.endpoints_of("verdict-llm")] == ["e1"]
-    builders.fold(state, builders.put(builders.engine("e1", service="other")))
+    builders.apply_changes(
+        state, builders.put(builders.engine("e1", service="other"))
+    )
     assert state.endpoints_of("verdict-llm") == ()
     assert [e.name for e in state.endpoints_of("other")] == ["e1"]
 
@@ -173,7 +177,7 @@
     """A duplicate must not be rejected because its rules are in force."""
     state = states.State(newest_rules_version=2)
     change = builders.rules(2)
-    first, again = builders.fold(state, change, change)
+    first, again = builders.apply_changes(state, change, change)
     assert first.outcome is ACCEPTED
     assert again == first
     assert state.history.find(change.operation_id).verdict == first
