--- a/src/jujubewharf/configuration/entries.py
+++ b/src/jujubewharf/configuration/entries.py
@@ -104,7 +104,7 @@
                 self._sorted_endpoints[service] = endpoints
         return endpoints
 
-    def name_of_token(
+    def find_token_owner(
         self, kind: resources.Kind, token_sha256: str
     ) -> str | None:
         """Returns the name of the account or operator that owns a token."""
--- a/src/jujubewharf/configuration/rules.py
+++ b/src/jujubewharf/configuration/rules.py
@@ -104,7 +104,7 @@
     if resource.name != name:
         return f"name: the body says {resource.name!r}, the change {name!r}"
     if isinstance(resource, resources.Account | resources.Operator):
-        owner = entries.name_of_token(kind, resource.token_sha256)
+        owner = entries.find_token_owner(kind, resource.token_sha256)
         if owner is not None and owner != name:
             return f"token_sha256: already the token of {owner}"
     return ""
--- a/src/jujubewharf/configuration/state.py
+++ b/src/jujubewharf/configuration/state.py
@@ -80,7 +80,7 @@
     def account_of_token(self, token_sha256: str) -> resources.Account | None:
         """Returns the account with this token."""
         kind = resources.Kind.ACCOUNT
-        name = self._entries.name_of_token(kind, token_sha256)
+        name = self._entries.find_token_owner(kind, token_sha256)
         entry = self.get(kind, name) if name is not None else None
         if entry is None or not isinstance(entry.resource, resources.Account):
             return None
@@ -89,7 +89,7 @@
     def operator_of_token(self, token_sha256: str) -> resources.Operator | None:
         """Returns the operator with this token."""
         kind = resources.Kind.OPERATOR
-        name = self._entries.name_of_token(kind, token_sha256)
+        name = self._entries.find_token_owner(kind, token_sha256)
         entry = self.get(kind, name) if name is not None else None
         if entry is None or not isinstance(entry.resource, resources.Operator):
             return None
