--- a/src/jujubewharf/configuration/peer_sync.py
+++ b/src/jujubewharf/configuration/peer_sync.py
@@ -106,7 +106,7 @@
         if self._replica.next_offset >= end_offset:
             self._replica.caught_up.set()
 
-    async def adopt_any(self) -> bool:
+    async def adopt_from_any(self) -> bool:
         """Adopts the state of the first peer that is ahead.
 
         Returns:
@@ -129,7 +129,7 @@
         self._replica.caught_up.set()
         return True
 
-    async def offsets(self) -> dict[str, int | None]:
+    async def member_offsets(self) -> dict[str, int | None]:
         """Returns the next offset of every other member; ``None`` if silent."""
         names = [
             member.instance
--- a/src/jujubewharf/configuration/recovery.py
+++ b/src/jujubewharf/configuration/recovery.py
@@ -65,7 +65,7 @@
             AppendUnknownError: The log did not confirm an append.
         """
         if self._peer_sync is not None:
-            await self._peer_sync.adopt_any()
+            await self._peer_sync.adopt_from_any()
         if self._can_continue(first_offset):
             return True
         await self._store.refresh()
@@ -124,7 +124,9 @@
 
     async def _may_close_gap(self) -> bool:
         own_offset = self._replica.next_offset
-        offsets = await self._peer_sync.offsets() if self._peer_sync else {}
+        offsets = (
+            await self._peer_sync.member_offsets() if self._peer_sync else {}
+        )
         known_offsets = {
             name: offset
             for name, offset in offsets.items()
