--- a/src/jujubewharf/configuration/checkpoints.py
+++ b/src/jujubewharf/configuration/checkpoints.py
@@ -167,7 +167,7 @@
         """Reads the state of a checkpoint.
 
         Raises:
-            BrokenSnapshotError: The snapshot is damaged, truncated or from a
+            InvalidSnapshotError: The snapshot is damaged, truncated or from a
                 newer version.
             LogUnavailableError: The log is unavailable.
         """
@@ -187,7 +187,7 @@
         try:
             page = await self._log.read(CHUNK_STREAM, wanted[0], limit=limit)
         except log.LogTruncatedError as error:
-            raise snapshots.BrokenSnapshotError(
+            raise snapshots.InvalidSnapshotError(
                 "chunks were truncated from the log"
             ) from error
         payloads = {record.offset: record.payload for record in page.records}
@@ -199,7 +199,7 @@
             fed_count += 1
             await asyncio.sleep(0)
         if not fed_count:
-            raise snapshots.BrokenSnapshotError(
+            raise snapshots.InvalidSnapshotError(
                 "a chunk is missing from the log"
             )
         return fed_count
--- a/src/jujubewharf/configuration/peer_sync.py
+++ b/src/jujubewharf/configuration/peer_sync.py
@@ -121,7 +121,7 @@
         """Adopts a peer's state if it is ahead; returns whether it was."""
         try:
             state = await self._fetch(peer)
-        except (networks.PeerError, snapshots.BrokenSnapshotError) as error:
+        except (networks.PeerError, snapshots.InvalidSnapshotError) as error:
             self._logger.info("snapshot_not_had", peer=peer, detail=str(error))
             return False
         if state is None or not self._replica.adopt(state, source="peer"):
@@ -178,7 +178,7 @@
 
         Raises:
             PeerError: The peer did not reply.
-            BrokenSnapshotError: The snapshot is incomplete or damaged.
+            InvalidSnapshotError: The snapshot is incomplete or damaged.
         """
         current = self._replica.current
         request = configuration_messages.SnapshotRequest(current.next_offset)
@@ -196,7 +196,7 @@
             )
             reply = await self._request(peer, chunk_request)
             if not isinstance(reply, configuration_messages.ChunkReply):
-                raise snapshots.BrokenSnapshotError(
+                raise snapshots.InvalidSnapshotError(
                     "peer did not reply with a chunk"
                 )
             decoder.feed(reply.data)
--- a/src/jujubewharf/configuration/recovery.py
+++ b/src/jujubewharf/configuration/recovery.py
@@ -87,7 +87,7 @@
         rules = self._replica.current.newest_rules_version
         try:
             state = await self._store.load(manifest, newest_rules_version=rules)
-        except snapshots.BrokenSnapshotError as error:
+        except snapshots.InvalidSnapshotError as error:
             self._logger.error(
                 "checkpoint_broken",
                 next_offset=manifest.next_offset,
--- a/src/jujubewharf/configuration/snapshot.py
+++ b/src/jujubewharf/configuration/snapshot.py
@@ -38,7 +38,7 @@
 _HISTORY = 3
 
 
-class BrokenSnapshotError(Exception):
+class InvalidSnapshotError(Exception):
     """The snapshot is incomplete, damaged or from a newer version."""
 
 
@@ -147,7 +147,7 @@
         """Decodes the next chunk.
 
         Raises:
-            BrokenSnapshotError: The chunk can't be decoded.
+            InvalidSnapshotError: The chunk can't be decoded.
         """
         raw = _decompress(chunk)
         self._hash.update(raw)
@@ -157,16 +157,16 @@
             for item in unpacker:
                 self._decode_item(item)
         except (ValueError, TypeError, KeyError, IndexError) as error:
-            raise BrokenSnapshotError(str(error)) from error
+            raise InvalidSnapshotError(str(error)) from error
 
     def finish(self, expected_digest: str) -> states.State:
         """Returns the state after all chunks have been fed.
 
         Raises:
-            BrokenSnapshotError: Chunks are missing or damaged.
+            InvalidSnapshotError: Chunks are missing or damaged.
         """
         if self._state is None or self._hash.hexdigest() != expected_digest:
-            raise BrokenSnapshotError(
+            raise InvalidSnapshotError(
                 "snapshot digest does not match its content"
             )
         return self._state
@@ -176,7 +176,7 @@
             self._state = self._decode_header(item)
             return
         if self._state is None:
-            raise BrokenSnapshotError("snapshot header is missing")
+            raise InvalidSnapshotError("snapshot header is missing")
         match item:
             case [_, kind, name, generation, body] if item[0] == _ENTRY:
                 _put_entry(self._state, kind, name, generation, body)
@@ -187,14 +187,14 @@
             case [_, *fields] if item[0] == _HISTORY:
                 self._state.history.add(_decode_history_item(fields))
             case _:
-                raise BrokenSnapshotError(f"unknown snapshot item {item[0]}")
+                raise InvalidSnapshotError(f"unknown snapshot item {item[0]}")
 
     def _decode_header(self, item: list[Any]) -> states.State:
         _, version, next_offset, rules_version = item
         if version != FORMAT:
-            raise BrokenSnapshotError(f"unknown snapshot format {version}")
+            raise InvalidSnapshotError(f"unknown snapshot format {version}")
         if rules_version > self._newest_rules_version:
-            raise BrokenSnapshotError(
+            raise InvalidSnapshotError(
                 f"snapshot requires rules version {rules_version}"
             )
         state = states.State(newest_rules_version=self._newest_rules_version)
@@ -207,7 +207,7 @@
     """Decodes a whole snapshot.
 
     Raises:
-        BrokenSnapshotError: The snapshot is damaged or from a newer version.
+        InvalidSnapshotError: The snapshot is damaged or from a newer version.
     """
     decoder = Decoder(newest_rules_version=newest_rules_version)
     for chunk in snapshot.chunks:
@@ -220,9 +220,9 @@
     try:
         raw = decompressor.decompress(chunk, _MAX_CHUNK_BYTES)
     except zlib.error as error:
-        raise BrokenSnapshotError(str(error)) from error
+        raise InvalidSnapshotError(str(error)) from error
     if not decompressor.eof:
-        raise BrokenSnapshotError("snapshot chunk is truncated or too large")
+        raise InvalidSnapshotError("snapshot chunk is truncated or too large")
     return raw
 
 
@@ -232,7 +232,7 @@
     resource_kind = resources.Kind(kind)
     decoded_body = resource_codec.decode_body(
         resource_kind, msgpack.unpackb(body)
-    ).unwrap_or_raise(BrokenSnapshotError)
+    ).unwrap_or_raise(InvalidSnapshotError)
     entry = entries_lib.Entry.from_body(generation, decoded_body)
     state.entries.put((resource_kind, name), entry)
 
--- a/tests/configuration/test_model.py
+++ b/tests/configuration/test_model.py
@@ -137,7 +137,7 @@
         rules = replica.current.newest_rules_version
         try:
             state = snapshots.decode(snapshot, newest_rules_version=rules)
-        except snapshots.BrokenSnapshotError:
+        except snapshots.InvalidSnapshotError:
             assert rules == 1
             return
         replica.adopt(state, source="test")
--- a/tests/configuration/test_snapshot.py
+++ b/tests/configuration/test_snapshot.py
@@ -70,7 +70,7 @@
     copy = _read(snapshot)
     assert snapshots.digest(copy) == snapshot.digest
     missing = dataclasses.replace(snapshot, chunks=snapshot.chunks[:-1])
-    with pytest.raises(snapshots.BrokenSnapshotError):
+    with pytest.raises(snapshots.InvalidSnapshotError):
         _read(missing)
 
 
@@ -90,5 +90,5 @@
 )
 def test_damaged_and_newer_snapshots_are_rejected(chunk):
     snapshot = dataclasses.replace(snapshots.encode(_state()), chunks=(chunk,))
-    with pytest.raises(snapshots.BrokenSnapshotError):
+    with pytest.raises(snapshots.InvalidSnapshotError):
         _read(snapshot)
