--- a/src/jujubewharf/settings/models.py
+++ b/src/jujubewharf/settings/models.py
@@ -13,7 +13,7 @@
 HIGHEST_PORT = 65_535
 
 
-def check_ip_number(value: str) -> str:
+def check_ip_address(value: str) -> str:
     """Validates an IP address; raises ``ValueError`` for host names.
 
     Host names are rejected because a failed or stale name lookup would
@@ -27,11 +27,11 @@
     url = yarl.URL(value)
     if url.scheme not in ("http", "https") or url.host is None:
         raise ValueError("expected http://IP:PORT or https://IP:PORT")
-    check_ip_number(url.host)
+    check_ip_address(url.host)
     return value
 
 
-IpNumber = Annotated[str, pydantic.AfterValidator(check_ip_number)]
+IpNumber = Annotated[str, pydantic.AfterValidator(check_ip_address)]
 IpUrl = Annotated[str, pydantic.AfterValidator(_check_ip_url)]
 Port = Annotated[int, pydantic.Field(ge=0, le=HIGHEST_PORT)]
 PositiveMs = Annotated[float, pydantic.Field(gt=0)]
