--- a/src/jujubewharf/settings/models.py
+++ b/src/jujubewharf/settings/models.py
@@ -31,7 +31,7 @@
     return value
 
 
-IpNumber = Annotated[str, pydantic.AfterValidator(check_ip_address)]
+IpAddress = Annotated[str, pydantic.AfterValidator(check_ip_address)]
 IpUrl = Annotated[str, pydantic.AfterValidator(_check_ip_url)]
 Port = Annotated[int, pydantic.Field(ge=0, le=HIGHEST_PORT)]
 PositiveMs = Annotated[float, pydantic.Field(gt=0)]
@@ -53,7 +53,7 @@
             for each chunk of a plain request's body.
     """
 
-    host: IpNumber = "127.0.0.1"
+    host: IpAddress = "127.0.0.1"
     port: Port = 0
     max_body_bytes: Annotated[int, pydantic.Field(gt=0)] = 2_000_000
     max_plain_body_bytes: Annotated[int, pydantic.Field(gt=0)] = 64_000_000
@@ -75,7 +75,7 @@
             operators.
     """
 
-    host: IpNumber = "127.0.0.1"
+    host: IpAddress = "127.0.0.1"
     port: Port = 0
     bootstrap_token_sha256: str = ""
     max_changes_per_s: Annotated[float, pydantic.Field(gt=0)] = 20.0
@@ -100,7 +100,7 @@
             suspected to have failed.
     """
 
-    host: IpNumber = "127.0.0.1"
+    host: IpAddress = "127.0.0.1"
     port: Port = 0
     tls_certificate_file: pathlib.Path | None = None
     tls_key_file: pathlib.Path | None = None
@@ -161,7 +161,7 @@
     """
 
     log_level: Literal["debug", "info", "warning", "error"] = "info"
-    metrics_host: IpNumber = "127.0.0.1"
+    metrics_host: IpAddress = "127.0.0.1"
     metrics_port: Port | None = None
     otlp_url: IpUrl | None = None
     otlp_interval_ms: PositiveMs = 10_000
