--- a/src/jujubewharf/forwarding/settings.py
+++ b/src/jujubewharf/forwarding/settings.py
@@ -14,7 +14,7 @@
 def _check_address(value: str) -> str:
     host, _, port = value.rpartition(":")
     models.check_ip_address(host)
-    if not port.isdigit() or not 0 <= int(port) <= models.HIGHEST_PORT:
+    if not port.isdigit() or not 0 <= int(port) <= models.MAX_PORT:
         raise ValueError("address must have the form IP:PORT")
     return value
 
--- a/src/jujubewharf/settings/models.py
+++ b/src/jujubewharf/settings/models.py
@@ -10,7 +10,7 @@
 import pydantic
 import yarl
 
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 def check_ip_address(value: str) -> str:
@@ -33,7 +33,7 @@
 
 IpAddress = Annotated[str, pydantic.AfterValidator(check_ip_address)]
 IpUrl = Annotated[str, pydantic.AfterValidator(_check_ip_url)]
-Port = Annotated[int, pydantic.Field(ge=0, le=HIGHEST_PORT)]
+Port = Annotated[int, pydantic.Field(ge=0, le=MAX_PORT)]
 PositiveMs = Annotated[float, pydantic.Field(gt=0)]
 
 
