--- a/src/jujubewharf/forwarding/lease.py
+++ b/src/jujubewharf/forwarding/lease.py
@@ -36,7 +36,7 @@
     ) -> None:
         self._group = group
         self._clock = clock
-        self._share = groups.GroupShare(0, frozenset())
+        self._share = groups.GroupAssignment(0, frozenset())
         self._expires_at_ms = 0.0
         self._rejected_fence = -1
         self._has_left = False
@@ -49,7 +49,7 @@
         return self._clock.boottime_ms() < self._expires_at_ms
 
     @property
-    def share(self) -> groups.GroupShare:
+    def share(self) -> groups.GroupAssignment:
         """Last assignment, whether or not the lease is still valid."""
         return self._share
 
@@ -100,7 +100,7 @@
         self._expires_at_ms = started_ms + self._group.ttl_ms
         self._apply(share)
 
-    def _apply(self, share: groups.GroupShare) -> None:
+    def _apply(self, share: groups.GroupAssignment) -> None:
         if share.generation < self._share.generation:
             return
         holds_first = FIRST_PART in share.parts
--- a/src/jujubewharf/platform/groups.py
+++ b/src/jujubewharf/platform/groups.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GroupShare:
+class GroupAssignment:
     """Partitions assigned to one member.
 
     Attributes:
@@ -37,7 +37,7 @@
         """Silence in milliseconds after which partitions are reassigned."""
         ...
 
-    async def join(self, generation: int) -> GroupShare:
+    async def join(self, generation: int) -> GroupAssignment:
         """Joins the group or renews membership.
 
         Args:
--- a/src/jujubewharf/standins/tables.py
+++ b/src/jujubewharf/standins/tables.py
@@ -124,7 +124,7 @@
             if now_ms - heard_ms >= self.ttl_ms:
                 self.leave(other)
 
-    def join(self, name: str) -> groups.GroupShare:
+    def join(self, name: str) -> groups.GroupAssignment:
         """Takes note of a member and tells what it holds."""
         self._lapse()
         now_ms = self._clock.now_ms()
@@ -133,7 +133,7 @@
         self._heard_ms[name] = now_ms
         names = sorted(self._heard_ms)
         parts = range(names.index(name), self.part_count, len(names))
-        return groups.GroupShare(self.generation, frozenset(parts))
+        return groups.GroupAssignment(self.generation, frozenset(parts))
 
     def leave(self, name: str) -> None:
         """Takes a member out."""
@@ -150,7 +150,7 @@
         self.part_count = group.part_count
         self.ttl_ms = group.ttl_ms
 
-    async def join(self, generation: int) -> groups.GroupShare:
+    async def join(self, generation: int) -> groups.GroupAssignment:
         """Joins or stays; see ``groups.Group``."""
         self._check()
         return self._group.join(self._name)
