--- a/src/jujubewharf/callers/completions.py
+++ b/src/jujubewharf/callers/completions.py
@@ -214,7 +214,7 @@
                 )
                 attempt = {request_options.ATTEMPT_HEADER: event.attempt_id}
                 return web.json_response(
-                    builder.whole("".join(texts), event, usage),
+                    builder.complete_body("".join(texts), event, usage),
                     headers={**headers, **attempt},
                 )
             case model_request.Failed():
--- a/src/jujubewharf/callers/openai_bodies.py
+++ b/src/jujubewharf/callers/openai_bodies.py
@@ -161,7 +161,7 @@
         empty: Json = {"object": self.chunk_object, "choices": []}
         return {**self._base, **empty, "usage": usage.body()}
 
-    def whole(
+    def complete_body(
         self, text: str, end: model_request.Finished, usage: Usage
     ) -> Json:
         """Builds the body of a response that is not streamed."""
