--- a/tests/callers/test_edge.py
+++ b/tests/callers/test_edge.py
@@ -115,7 +115,7 @@
         for engine in deployment.engines.values():
             assert not engine.counts.dispatches
             assert engine.counts.prefilled_tokens == 0
-        assert not deployment.tills["till-1"].runs
+        assert not deployment.plain_endpoints["till-1"].runs
 
 
 async def test_what_http_itself_refuses_is_json_too():
@@ -167,7 +167,7 @@
             assert answer.status == 401
         async with deployment.session.get(url + "/healthz") as answer:
             assert answer.status == 200
-        assert not deployment.tills["till-1"].runs
+        assert not deployment.plain_endpoints["till-1"].runs
 
 
 async def test_answers_carry_ids_count_and_digest():
@@ -216,8 +216,8 @@
         ) as answer:
             rest = await _events(answer)
     text = "".join(body["choices"][0]["text"] for _, body in rest)
-    whole = loopback.answer_of(prompt, 5)
-    assert loopback.answer_of(prompt, 2) + text == whole
+    whole = loopback.expected_answer(prompt, 5)
+    assert loopback.expected_answer(prompt, 2) + text == whole
     end = rest[-1][1]["jujubewharf"]
     assert end["token_count"] == 5
     assert end["digest"] == hashing.digest(whole.encode())
@@ -238,9 +238,9 @@
         host, port = deployment.base.removeprefix("http://").split(":")
         _, writer = await asyncio.open_connection(host, int(port))
         writer.write(_post(f"Content-Length: {len(body)}", body))
-        await deployment.something_held()
+        await deployment.wait_until_held()
         writer.transport.abort()
-        await deployment.nothing_held()
+        await deployment.wait_until_released()
         limits = deployment.entry.core.model_limits
         assert limits.in_flight("verdict-llm") == 0
 
--- a/tests/callers/test_openai_client.py
+++ b/tests/callers/test_openai_client.py
@@ -29,7 +29,7 @@
             whole = await client.completions.create(
                 model="verdict-llm", prompt=PROMPT, max_tokens=50
             )
-            assert whole.choices[0].text == loopback.answer_of(PROMPT, 6)
+            assert whole.choices[0].text == loopback.expected_answer(PROMPT, 6)
             assert whole.choices[0].finish_reason == "stop"
             assert whole.usage.completion_tokens == 6
             assert whole.usage.prompt_tokens == 5
@@ -38,7 +38,9 @@
                 model="verdict-llm", messages=MESSAGES, max_tokens=4
             )
             choice = chat.choices[0]
-            assert choice.message.content == loopback.answer_of(CHAT_PROMPT, 4)
+            assert choice.message.content == loopback.expected_answer(
+                CHAT_PROMPT, 4
+            )
             assert choice.finish_reason == "length"
 
             stream = await client.chat.completions.create(
@@ -54,7 +56,7 @@
                 for chunk in chunks
                 if chunk.choices
             ]
-            assert "".join(texts) == loopback.answer_of(CHAT_PROMPT, 4)
+            assert "".join(texts) == loopback.expected_answer(CHAT_PROMPT, 4)
             assert chunks[-1].usage.completion_tokens == 4
 
             listed = await client.models.list()
@@ -128,7 +130,7 @@
     async with loopback.deployed() as deployment:
         for engine in deployment.engines.values():
             await engine.die()
-        await deployment.no_engine_takes_work()
+        await deployment.wait_until_engines_gone()
         async with _client(deployment, max_retries=0) as client:
             with pytest.raises(openai.InternalServerError) as caught:
                 await client.completions.create(
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -46,7 +46,7 @@
     return resources.Account(name, digest, **limits)
 
 
-def answer_of(prompt: str, count: int) -> str:
+def expected_answer(prompt: str, count: int) -> str:
     """Returns the whole answer that any stand-in engine generates."""
     return "".join(engines.answer_token(prompt, i) for i in range(count))
 
@@ -58,14 +58,14 @@
         base: URL of the entry instance.
         session: HTTP session of the caller.
         engines: Stand-in engines by name.
-        tills: Stand-in endpoints by name.
+        plain_endpoints: Stand-in endpoints by name.
     """
 
     def __init__(self, stack: contextlib.AsyncExitStack) -> None:
         self.clock = clocks.Clock()
         self.base = ""
         self.engines: dict[str, engines.Engine] = {}
-        self.tills: dict[str, endpoints.PlainEndpoint] = {}
+        self.plain_endpoints: dict[str, endpoints.PlainEndpoint] = {}
         self.log = log.MemoryLog(self.clock)
         self.entry: entries.Entry
         self.session: aiohttp.ClientSession
@@ -114,7 +114,7 @@
         await self.declare(MODEL, PLAIN, *declared)
         await self._add_engine("prefill-1", resources.Role.PREFILL, spec)
         await self._add_engine("decode-1", resources.Role.DECODE, spec)
-        await self._add_till("till-1")
+        await self._add_plain_endpoint("till-1")
         settings = models.EntrySettings(
             instance="e1",
             region="norte",
@@ -129,7 +129,7 @@
         self.base = f"http://{HOST}:{self.entry.callers.port}"
         await self._until_ready()
 
-    async def nothing_held(self) -> None:
+    async def wait_until_released(self) -> None:
         """Waits until no engine holds memory; fails after 4 s."""
         for _ in range(200):
             held = [await e.held() for e in self.engines.values()]
@@ -138,7 +138,7 @@
             await asyncio.sleep(0.02)
         raise AssertionError(f"engines hold memory: {held}")
 
-    async def something_held(self) -> None:
+    async def wait_until_held(self) -> None:
         """Waits until an engine holds memory; fails after 2 s."""
         for _ in range(200):
             if any([await e.held() for e in self.engines.values()]):
@@ -146,7 +146,7 @@
             await asyncio.sleep(0.01)
         raise AssertionError("no engine ever held memory")
 
-    async def no_engine_takes_work(self) -> None:
+    async def wait_until_engines_gone(self) -> None:
         """Waits until the instance has noticed that all engines are gone."""
         for _ in range(400):
             views = self.entry.core.fleet.views_of(MODEL.name)
@@ -171,9 +171,9 @@
             resources.Endpoint(name, MODEL.name, address, "norte-a", role)
         )
 
-    async def _add_till(self, name: str) -> None:
+    async def _add_plain_endpoint(self, name: str) -> None:
         till = endpoints.PlainEndpoint(name, self.clock)
-        self.tills[name] = till
+        self.plain_endpoints[name] = till
         address = await self.listen(till.app())
         role = resources.Role.PLAIN
         await self.declare(
--- a/tests/test_golden_session.py
+++ b/tests/test_golden_session.py
@@ -240,5 +240,5 @@
         headers = till_token | sale
         for _ in range(2):
             await step("/s/shop-api/sale", b"17", headers, releases=0)
-        await deployment.nothing_held()
+        await deployment.wait_until_released()
     assert transcript.text() == snapshot
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -12,7 +12,7 @@
         session, base = deployment.session, deployment.base
         prompt = "answer_tokens=9 " + "word " * 200
         body = {"model": "verdict-llm", "prompt": prompt, "max_tokens": 50}
-        expected = loopback.answer_of(prompt, 9)
+        expected = loopback.expected_answer(prompt, 9)
 
         async with session.post(f"{base}/v1/completions", json=body) as answer:
             assert answer.status == 200, await answer.text()
@@ -33,4 +33,4 @@
             echoed = await answer.json()
         assert echoed["body"] == "one"
         assert echoed["path"] == "/stock?item=4"
-        await deployment.nothing_held()
+        await deployment.wait_until_released()
