--- a/tests/soak.py
+++ b/tests/soak.py
@@ -31,12 +31,12 @@
 INSTANCES = {"e1": "a", "e2": "b", "e3": "c", "e4": "a"}
 ENGINES = ("p1", "p2", "d1", "d2", "d3")
 _CALLERS = 24
-_STORM_MS = 25_000
+_FAULTS_MS = 25_000
 _SETTLE_MS = 45_000
-_MAX_TRIES = 30
+_MAX_ATTEMPTS = 30
 
 
-class Storm:
+class RandomizedRun:
     """One randomized run.
 
     Args:
@@ -58,12 +58,12 @@
             asyncio.ensure_future(self._caller(number))
             for number in range(_CALLERS)
         ]
-        await self._storm()
-        await self._calm()
+        await self._inject_faults()
+        await self._recover()
         await asyncio.wait(callers, timeout=_SETTLE_MS / 1000)
         for number, caller in enumerate(callers):
             if not caller.done():
-                self._wrong(f"caller {number} still waits")
+                self._add_violation(f"caller {number} still waits")
                 caller.cancel()
             elif caller.exception() is not None:
                 raise caller.exception()
@@ -83,8 +83,8 @@
             rng.random() < 0.5,
         )
         self.intents.append(intent)
-        await clock.sleep_ms(rng.random() * _STORM_MS * 0.8)
-        for _ in range(_MAX_TRIES):
+        await clock.sleep_ms(rng.random() * _FAULTS_MS * 0.8)
+        for _ in range(_MAX_ATTEMPTS):
             if rng.random() < 0.25 and is_keyed:
                 # The same key is sent to two instances at once.
                 await asyncio.gather(
@@ -114,47 +114,49 @@
             request_id=request_id,
             key=intent.key or request_id,
         )
-        sent = soak_records.Submission(request, name)
-        intent.submissions.append(sent)
-        patience_ms = rng.choice([50, 500, 3_000, 20_000])
+        submission = soak_records.Submission(request, name)
+        intent.submissions.append(submission)
+        timeout_ms = rng.choice([50, 500, 3_000, 20_000])
         if self.is_over:
-            patience_ms = 20_000
-        task = asyncio.ensure_future(self._read(intent, sent))
-        await asyncio.wait([task], timeout=patience_ms / 1000)
+            timeout_ms = 20_000
+        task = asyncio.ensure_future(self._read(intent, submission))
+        await asyncio.wait([task], timeout=timeout_ms / 1000)
         if not task.done():
             self.report.faults["hang_up"] += 1
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        sent.is_over = True
+        submission.is_over = True
 
     async def _read(
-        self, intent: soak_records.Intent, sent: soak_records.Submission
+        self, intent: soak_records.Intent, submission: soak_records.Submission
     ) -> None:
-        instance = self.d.bench.instances[sent.instance]
+        instance = self.d.bench.instances[submission.instance]
         try:
-            async for event in instance.answer(sent.request):
-                sent.events.append(event)
-                self._check_refusal(intent, sent)
+            async for event in instance.answer(submission.request):
+                submission.events.append(event)
+                self._check_refusal(intent, submission)
         except processes.InstanceLostError:
             return
 
     def _check_refusal(
-        self, intent: soak_records.Intent, sent: soak_records.Submission
+        self, intent: soak_records.Intent, submission: soak_records.Submission
     ) -> None:
         """Checks that a refused claim says "did not run" only if true."""
-        match sent.end:
+        match submission.end:
             case model_request.Failed(
                 errors.ErrorKind.CLAIM_UNAVAILABLE, errors.Ran.NO
             ):
                 dispatches = self._dispatches()
                 ids = [s.request.request_id for s in intent.submissions]
                 if any(dispatches[request_id] for request_id in ids):
-                    self._wrong(f"{intent.key} had run, against a refusal")
+                    self._add_violation(
+                        f"{intent.key} had run, against a refusal"
+                    )
 
     def _is_settled(self, intent: soak_records.Intent) -> bool:
         """Whether no retry could tell the caller more."""
-        for sent in intent.submissions:
-            match sent.end:
+        for submission in intent.submissions:
+            match submission.end:
                 case model_request.Finished():
                     return True
                 case model_request.Failed(ran=ran):
@@ -163,8 +165,8 @@
         # Without a key, a retry would be a new request.
         return intent.key is None and not intent.is_repeatable
 
-    async def _storm(self) -> None:
-        until_ms = self.d.clock.now_ms() + _STORM_MS
+    async def _inject_faults(self) -> None:
+        until_ms = self.d.clock.now_ms() + _FAULTS_MS
         while self.d.clock.now_ms() < until_ms:
             await self.d.clock.sleep_ms(100 + self.rng.random() * 1_400)
             fault = self.rng.choice(
@@ -186,7 +188,7 @@
         # Lets the last fault start before recovery begins.
         await self.d.clock.sleep_ms(1)
 
-    async def _calm(self) -> None:
+    async def _recover(self) -> None:
         self.is_over = True
         bench = self.d.bench
         bench.heal()
@@ -274,11 +276,11 @@
         for intent in self.intents:
             self._check_intent(intent, dispatches)
         for item in await self.d.held():
-            self._wrong(f"memory is held by {item}")
+            self._add_violation(f"memory is held by {item}")
         for name in INSTANCES:
             core = self.d.core(name)
             if core.answers.running:
-                self._wrong(f"{name} still runs {core.answers.running}")
+                self._add_violation(f"{name} still runs {core.answers.running}")
 
     def _dispatches(self) -> collections.Counter:
         """Counts how often engines started to decode, by request id."""
@@ -291,43 +293,47 @@
     def _check_intent(
         self, intent: soak_records.Intent, dispatches: collections.Counter
     ) -> None:
-        ids = [sent.request.request_id for sent in intent.submissions]
+        ids = [
+            submission.request.request_id for submission in intent.submissions
+        ]
         ran = sum(dispatches[request_id] for request_id in ids)
         name = intent.key or ids[0]
         if not intent.is_repeatable and ran > 1:
-            self._wrong(f"{name} was dispatched {ran} times")
-        whole = deployments.expected(intent.tokens, intent.words)
-        for sent in intent.submissions:
-            self._check_submission(sent, whole, dispatches)
+            self._add_violation(f"{name} was dispatched {ran} times")
+        full_text = deployments.expected(intent.tokens, intent.words)
+        for submission in intent.submissions:
+            self._check_submission(submission, full_text, dispatches)
         if not self._is_settled(intent):
-            self._wrong(f"{name} never got an answer")
+            self._add_violation(f"{name} never got an answer")
 
     def _check_submission(
         self,
-        sent: soak_records.Submission,
-        whole: str,
+        submission: soak_records.Submission,
+        full_text: str,
         dispatches: collections.Counter,
     ) -> None:
-        request_id = sent.request.request_id
-        text = deployments.text_of(sent.events)
-        end = sent.end
+        request_id = submission.request.request_id
+        text = deployments.text_of(submission.events)
+        end = submission.end
         label = type(end).__name__ if end else "HungUp"
         if isinstance(end, model_request.Failed):
             label = f"{end.kind.value}/{end.ran.value}"
             if end.ran is errors.Ran.NO and dispatches[request_id]:
-                self._wrong(f"{request_id} ran, against {label}")
+                self._add_violation(f"{request_id} ran, against {label}")
             if end.kind is errors.ErrorKind.INTERNAL:
-                self._wrong(f"{request_id} crashed")
+                self._add_violation(f"{request_id} crashed")
         self.report.ends[label] += 1
-        if isinstance(end, model_request.Finished) and text != whole:
-            self._wrong(f"{request_id} is not whole")
-        if not whole.startswith(text):
-            self._wrong(f"{request_id} got another's text, a gap or a repeat")
-        ends = [e for e in sent.events if not _is_tokens(e)]
+        if isinstance(end, model_request.Finished) and text != full_text:
+            self._add_violation(f"{request_id} is not whole")
+        if not full_text.startswith(text):
+            self._add_violation(
+                f"{request_id} got another's text, a gap or a repeat"
+            )
+        ends = [e for e in submission.events if not _is_tokens(e)]
         if len(ends) > 1:
-            self._wrong(f"{request_id} ended {len(ends)} times")
+            self._add_violation(f"{request_id} ended {len(ends)} times")
 
-    def _wrong(self, what: str) -> None:
+    def _add_violation(self, what: str) -> None:
         self.report.violations.append(what)
 
 
@@ -337,10 +343,10 @@
 
 def run_seed(seed: int) -> soak_records.Report:
     """Runs one seed."""
-    return virtual_time.run(Storm(seed).run())
+    return virtual_time.run(RandomizedRun(seed).run())
 
 
-def _quiet() -> None:
+def _disable_logs() -> None:
     """Disables logging in a worker process."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
@@ -364,7 +370,7 @@
     ends: collections.Counter = collections.Counter()
     failed = 0
     with futures.ProcessPoolExecutor(
-        options.workers, initializer=_quiet
+        options.workers, initializer=_disable_logs
     ) as pool:
         for report in pool.map(run_seed, seeds):
             faults += report.faults
