--- a/src/jujubewharf/experiments/__init__.py
+++ b/src/jujubewharf/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""The experiment tool: real entry code on a virtual clock."""
+"""Experiments that run the entry code on a virtual clock."""
--- a/src/jujubewharf/experiments/adapters.py
+++ b/src/jujubewharf/experiments/adapters.py
@@ -1,4 +1,4 @@
-"""The platform and plain endpoints as one instance reaches them."""
+"""Per-instance adapters for the platform services and plain endpoints."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class InstanceLog:
-    """The log as seen from one instance.
+    """One instance's connection to the log.
 
     Attributes:
-        is_cut: Whether the instance is cut off from it. An append under way
-            at that moment takes effect and its answer is lost.
+        is_cut: Whether the instance is disconnected from the log. An append
+            in flight at that moment takes effect but its answer is lost.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._shared = shared
 
     async def append(self, stream: str, payloads: Sequence[bytes]) -> list[int]:
-        """Appends; see ``platform.log.Log``."""
+        """Appends records; see ``platform.log.Log``."""
         if self.is_cut:
             raise platform_log.LogUnavailableError("cut off")
         call = self._shared.append(stream, payloads)
@@ -53,7 +53,7 @@
         limit: int = 500,
         wait_ms: float = 0.0,
     ) -> platform_log.LogPage:
-        """Reads; see ``platform.log.Log``."""
+        """Reads records; see ``platform.log.Log``."""
         if self.is_cut:
             raise platform_log.LogUnavailableError("cut off")
         call = self._shared.read(
@@ -66,10 +66,10 @@
 
 
 class InstanceLiveList:
-    """The live list as seen from one instance.
+    """One instance's connection to the live list.
 
     Attributes:
-        is_cut: Whether the instance is cut off from it.
+        is_cut: Whether the instance is disconnected from the live list.
     """
 
     def __init__(
@@ -80,17 +80,17 @@
         self._shared = shared
 
     async def fetch(self) -> tuple[platform_live_list.LiveMember, ...]:
-        """Reads the list; see ``platform.live_list.LiveList``."""
+        """Fetches the members; see ``platform.live_list.LiveList``."""
         if self.is_cut:
             raise platform_live_list.LiveListUnavailableError("cut off")
         return await self._process.call_out(self._shared.fetch())
 
 
 class InstanceWeightStore:
-    """The weight store as seen from one instance.
+    """One instance's connection to the weight store.
 
     Attributes:
-        is_cut: Whether the instance is cut off from it.
+        is_cut: Whether the instance is disconnected from the weight store.
     """
 
     def __init__(
@@ -101,21 +101,25 @@
         self._shared = shared
 
     async def status(self) -> platform_weights.WeightStatus:
-        """Reads rate and load; see ``platform.weights.WeightStore``."""
+        """Returns rate and load; see ``platform.weights.WeightStore``."""
         if self.is_cut:
             raise platform_weights.WeightStoreUnavailableError("cut off")
         return await self._process.call_out(self._shared.status())
 
 
 class MemoryEndpoints:
-    """Plain endpoints in process: each answers after a while, and counts.
+    """In-process plain endpoints that echo requests and count them.
+
+    Args:
+        clock: Clock of the simulation.
+        default_ms: Response time of endpoints not in ``answer_ms``.
 
     Attributes:
-        runs: Request ids in the order they ran, by endpoint.
-        runs_of_path: Times that each path and query ran, at all endpoints.
-        answer_ms: Time an answer takes, by endpoint; others take
-            ``default_ms``.
-        dead: Endpoints that are unreachable.
+        runs: Request ids in execution order, by endpoint name.
+        runs_of_path: Number of executions by path and query, summed over all
+            endpoints.
+        answer_ms: Response time in milliseconds, by endpoint name.
+        dead: Names of unreachable endpoints.
     """
 
     def __init__(self, clock: clocks.Clock, *, default_ms: float = 5.0) -> None:
@@ -136,10 +140,10 @@
         yield endpoint_client.PlainReply(200, (), _once(body))
 
     async def run(self, name: str, call: endpoint_client.PlainCall) -> None:
-        """Runs one call at an endpoint; the body was read already.
+        """Runs a call at an endpoint once its body has been read.
 
         Raises:
-            EngineError: It is dead, or died meanwhile.
+            EngineError: The endpoint is dead or died during the call.
         """
         if name in self.dead:
             raise client.EngineError(client.EngineFault.UNREACHABLE, name)
@@ -151,7 +155,7 @@
 
 
 class InstanceEndpoints:
-    """Plain endpoints as one instance reaches them."""
+    """One instance's connections to the plain endpoints."""
 
     def __init__(
         self, process: processes.Process, shared: MemoryEndpoints
--- a/src/jujubewharf/experiments/balancer.py
+++ b/src/jujubewharf/experiments/balancer.py
@@ -1,4 +1,4 @@
-"""The platform's balancer: each call goes to any instance it holds for live."""
+"""The platform's load balancer, which picks a random live instance."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Balancer:
-    """Picks instances at random.
+    """Random load balancer.
 
     Args:
         running: The latest run of each instance, by name.
-        rng: Random numbers.
+        rng: Random number generator.
 
     Attributes:
-        withdrawn: Names it sends nothing to.
+        withdrawn: Names of the instances out of rotation.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         self._rng = rng
 
     def pick(self, avoided: str = "") -> instances.Instance:
-        """An instance, if possible not the one to avoid."""
+        """Picks an instance, excluding ``avoided`` if there is another."""
         names = [
             name for name in self._running if name not in self.withdrawn
         ] or list(self._running)
--- a/src/jujubewharf/experiments/bench.py
+++ b/src/jujubewharf/experiments/bench.py
@@ -1,8 +1,8 @@
-"""Several real entry cores in one process, on stand-ins and virtual time.
+"""Test bench that runs several entry cores in one process in virtual time.
 
-Scenario tests and the experiment tool share this bench. It models nothing of
-the router: only the stand-ins, a delay on streams and the engines' links.
-Run it inside ``virtual_time.run``.
+Scenario tests and experiments share this bench. The router code is the real
+one; only its dependencies, network delays and engine links are simulated.
+Use it inside ``virtual_time.run``.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Start:
-    """How an instance was started, to start it again."""
+    """Start parameters of an instance, kept for restarts."""
 
     domain: str
     make_policy: MakePolicy
@@ -53,15 +53,20 @@
     """The deployment under test.
 
     Args:
-        seed: Seeds every stand-in's random numbers.
-        retention_ms: Retention of the log.
+        seed: Seed of all random number generators.
+        retention_ms: Log retention; ``None`` keeps all records.
         list_lag_ms: Lag of the live list.
-        near_ms: Delay of streams and engine calls within a domain.
-        far_ms: Delay of streams and engine calls between domains.
+        near_ms: One-way delay within a failure domain.
+        far_ms: One-way delay between failure domains.
 
     Attributes:
-        network: Peer streams.
-        engine_network: Delays and cuts of engine calls.
+        clock: Clock of the simulation.
+        log: The platform's log.
+        live_list: The platform's live list.
+        weight_store: The platform's weight store.
+        network: Network of the peer streams.
+        engine_network: Delays and partitions of engine calls.
+        endpoints: Plain endpoints.
         engines: Engines by address.
         instances: The latest run of each instance, by name.
     """
@@ -98,20 +103,21 @@
         self._listed: dict[str, platform_live_list.LiveMember] = {}
 
     def rng(self, name: str) -> np.random.Generator:
-        """A generator of its own for each name, from the bench's seed."""
+        """Returns a random number generator seeded for ``name``."""
         return np.random.default_rng([self._seed, zlib.crc32(name.encode())])
 
     def policy_rng(self, instance: str) -> random.Random:
-        """What an instance's policy draws from, by the bench's seed.
+        """Returns the random number generator of an instance's policy.
 
-        Policies run in the daemon too, which has no room for numpy.
+        Not a numpy generator, because policies also run in the daemon, which
+        does not import numpy.
         """
         return random.Random(f"{self._seed} policy {instance}")
 
     def add_engine(
         self, endpoint: resources.Endpoint, spec: engines.EngineSpec
     ) -> engines.Engine:
-        """Adds an engine that stands at the endpoint's address."""
+        """Adds an engine at the endpoint's address."""
         engine = engines.Engine(
             endpoint.name, spec, self.clock, self.rng(endpoint.name)
         )
@@ -121,10 +127,10 @@
         return engine
 
     def engine(self, name: str) -> engines.Engine:
-        """An engine by its name.
+        """Returns an engine by its name.
 
         Raises:
-            KeyError: There is none.
+            KeyError: No engine has this name.
         """
         for engine in self.engines.values():
             if engine.name == name:
@@ -132,7 +138,7 @@
         raise KeyError(name)
 
     async def declare(self, *declared: resources.Resource) -> None:
-        """Puts resources on the configuration stream."""
+        """Appends resources to the configuration stream."""
         payloads = [
             declarations.put(resource, f"declare-{next(self._operations)}")
             for resource in declared
@@ -152,12 +158,12 @@
         """Starts an entry core.
 
         Args:
-            name: The instance's name.
-            domain: Its failure domain.
-            policy: Its policy; a restart uses the same object again.
-            make_policy: Makes its policy at the start and each restart.
-            settings: Settings other than the bench's own.
-            clock: A clock that differs from the bench's.
+            name: Name of the instance.
+            domain: Failure domain of the instance.
+            policy: Routing policy; the same object is reused on restart.
+            make_policy: Creates the policy on start and on each restart.
+            settings: Settings that override the bench's defaults.
+            clock: Clock of the instance; defaults to the bench's clock.
         """
         make_policy = make_policy or (lambda: policy)
         self._starts[name] = _Start(
@@ -166,9 +172,9 @@
         return await self._start(name)
 
     async def restart_instance(self, name: str) -> instances.Instance:
-        """Starts an instance anew under its old name, with nothing kept.
+        """Restarts an instance without its state, under the same name.
 
-        One that still runs is killed first.
+        A running instance is killed first.
         """
         if not self.instances[name].process.is_dead:
             self.kill_instance(name)
@@ -183,29 +189,29 @@
         self._drop(instance)
 
     def kill_instance(self, name: str) -> None:
-        """Ends an instance at once: it releases and tells nothing."""
+        """Kills an instance: it releases nothing and notifies nobody."""
         instance = self.instances[name]
         instance.process.kill()
         self._drop(instance)
 
     def pause_instance(self, name: str) -> None:
-        """Stops an instance; what is sent to it waits."""
+        """Pauses an instance; data sent to it is queued."""
         self.instances[name].process.pause()
 
     def resume_instance(self, name: str) -> None:
-        """Lets a paused instance run on, believing what it believed."""
+        """Resumes a paused instance with its state unchanged."""
         self.instances[name].process.resume()
 
     async def kill_engine(self, name: str) -> None:
-        """Ends an engine at once."""
+        """Crashes an engine."""
         await processes.outside(self.engine(name).die())
 
     def restart_engine(self, name: str) -> None:
-        """Starts a dead engine anew, with nothing kept."""
+        """Restarts a dead engine without its state."""
         self.engine(name).restart()
 
     def stall_link(self, name: str, *, is_stalled: bool = True) -> None:
-        """Stops an engine's KV transfers, or lets them go on."""
+        """Stalls or resumes an engine's KV transfers."""
         self.engine(name).link.is_stalled = is_stalled
 
     def cut_domain(
@@ -217,7 +223,7 @@
         from_peers: bool = True,
         from_engines_elsewhere: bool = True,
     ) -> None:
-        """Cuts a failure domain off until ``heal``."""
+        """Partitions a failure domain from the rest until ``heal``."""
         for other in self._domains():
             if other == domain:
                 continue
@@ -233,7 +239,7 @@
                 instance.live_list.is_cut |= from_list
 
     def heal(self) -> None:
-        """Ends all cuts."""
+        """Ends all partitions."""
         self.network.heal()
         self.engine_network.heal()
         self._domains_without_log.clear()
@@ -242,7 +248,7 @@
             instance.live_list.is_cut = False
 
     async def stop(self) -> None:
-        """Stops all instances that still live."""
+        """Stops all running instances."""
         for instance in self.instances.values():
             if instance.process.is_dead:
                 continue
@@ -250,17 +256,17 @@
             await instance.stop()
 
     def list_member(self, member: platform_live_list.LiveMember) -> None:
-        """Sets one member on the live list."""
+        """Adds or replaces a member of the live list."""
         self._listed[member.name] = member
         self.live_list.publish(tuple(self._listed.values()))
 
     def unlist_member(self, name: str) -> None:
-        """Takes one member off the live list."""
+        """Removes a member from the live list."""
         self._listed.pop(name, None)
         self.live_list.publish(tuple(self._listed.values()))
 
     def engine_at(self, address: str, domain: str) -> engines.Engine | None:
-        """The engine at an address, if it can be reached from a domain."""
+        """Returns the engine at an address if reachable from ``domain``."""
         here = self._engine_domains.get(address)
         if here is None or self.engine_network.is_cut(here, domain):
             return None
@@ -317,7 +323,7 @@
 
 
 class _Sources(dict[str, engines.KvSource]):
-    """Finds the engine at an address, as a KV transfer does."""
+    """KV sources by address, as reachable from one failure domain."""
 
     def __init__(self, bench: Bench, domain: str) -> None:
         super().__init__()
--- a/src/jujubewharf/experiments/callers.py
+++ b/src/jujubewharf/experiments/callers.py
@@ -1,7 +1,7 @@
-"""Callers: they send, check what comes back, and try again elsewhere.
+"""Simulated callers, which send requests, verify answers and retry.
 
-They know nothing of the system's insides. An answer counts as whole only if
-every token is the one that the engines must write for the prompt.
+Callers use only the public interface. An answer is complete only if each
+token equals the one that the stand-in engines generate for the prompt.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class _ImpatienceError(Exception):
-    """No token came in the time the caller gives it."""
+    """No token arrived within ``impatient_after_ms``."""
 
 
 class Callers:
@@ -51,12 +51,12 @@
     Args:
         services: Services by name.
         balancer: Picks the instance for each call.
-        clock: Time.
-        rng: Spreads the callers that come back.
+        clock: Clock of the simulation.
+        rng: Random number generator for the jitter of retries.
         caller_ms: One-way delay between a caller and an instance.
 
     Attributes:
-        outcomes: What each caller saw, in the order they came.
+        outcomes: Outcome of each call, in order of arrival.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self._caller_ms = caller_ms
 
     async def make(self, call: load.PlannedCall) -> None:
-        """Makes one call to its end."""
+        """Makes one call, with its retries, and records the outcome."""
         outcome = outcomes.Outcome(call, self._clock.now_ms())
         self.outcomes.append(outcome)
         try:
@@ -99,7 +99,7 @@
                 refused = await self._send(outcome, instance, request_id)
             except processes.InstanceLostError:
                 outcome.retries[_CONNECTION_LOST] += 1
-                # A first refused connection is tried elsewhere at once.
+                # The first lost connection is retried without backoff.
                 losses = outcome.retries[_CONNECTION_LOST]
                 wait_ms = _NOBODY_MS * (losses - 1)
                 avoided = instance.name
@@ -188,7 +188,7 @@
                         return None
                     case model_request.Failed(kind, ran):
                         return _Refused(kind, ran, event.retry_after_ms)
-        # The stream ended without saying how: the caller can't know.
+        # The stream ended without a final event.
         outcome.broken += 1
         outcome.end = outcomes.End.LOST
         return None
@@ -283,6 +283,6 @@
 
 
 async def all_ended(tasks: list[asyncio.Task[None]]) -> None:
-    """Waits for callers; a fault in one of them is raised."""
+    """Waits for all caller tasks and raises the first error."""
     for task in tasks:
         await task
--- a/src/jujubewharf/experiments/comparison.py
+++ b/src/jujubewharf/experiments/comparison.py
@@ -1,4 +1,4 @@
-"""Runs an experiment over policies and seeds, and sums up."""
+"""Runs an experiment for several policies and seeds and aggregates results."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Task:
-    """One run to do."""
+    """One run of an experiment."""
 
     experiment: models.Experiment
     policy: str
@@ -36,7 +36,7 @@
 
     @classmethod
     def of(cls, values: Sequence[float]) -> Spread:
-        """The spread of at least one value."""
+        """Returns the spread of at least one value."""
         deviation = statistics.stdev(values) if len(values) > 1 else 0.0
         return cls(statistics.fmean(values), deviation)
 
@@ -46,15 +46,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One policy's line of the table.
+    """Results of one policy.
 
     Attributes:
-        policy: Its name.
+        policy: Name of the policy.
         goodput: Goodput ratio of the model services.
-        waste: Share of prefill never used.
-        plain_goodput: Lowest goodput ratio of any plain service and seed;
-            1 without any.
-        broken: Broken promises of all seeds, by name.
+        waste: Share of prefill tokens that were never used.
+        plain_goodput: Lowest goodput ratio over plain services and seeds; 1
+            if there are no plain services.
+        broken: Guarantee violations summed over all seeds, by name.
     """
 
     policy: str
@@ -70,7 +70,7 @@
     workers: int = MAX_WORKERS,
     on_done: Callable[[], None] = lambda: None,
 ) -> list[report.Report]:
-    """Runs tasks in processes of their own; the order is kept."""
+    """Runs tasks in worker processes and returns reports in task order."""
     context = multiprocessing.get_context("spawn")
     with futures.ProcessPoolExecutor(workers, mp_context=context) as pool:
         submitted = [pool.submit(_run, task) for task in tasks]
@@ -82,7 +82,7 @@
 def rows(
     reports: Iterable[report.Report], plain: Sequence[str]
 ) -> Iterator[Row]:
-    """One line for each policy, in the order they come.
+    """Aggregates reports by policy, in order of first appearance.
 
     Args:
         reports: Reports of one experiment.
--- a/src/jujubewharf/experiments/deployment.py
+++ b/src/jujubewharf/experiments/deployment.py
@@ -1,4 +1,4 @@
-"""Builds the deployment of an experiment file on a bench."""
+"""Creates the deployment of an experiment file on a bench."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     bench: benches.Bench,
     make_policy: Callable[[str], policies.Policy | None],
 ) -> None:
-    """Declares everything and starts every instance.
+    """Declares all resources and starts all instances.
 
     Args:
-        deployment: What to build.
-        bench: Where; its delays are set already.
-        make_policy: Makes the policy of an instance, given its name.
+        deployment: Deployment to create.
+        bench: Bench with the delays of the deployment.
+        make_policy: Creates the policy of an instance from its name.
     """
     await bench.declare(*deployment.services)
     ports = itertools.count(1)
--- a/src/jujubewharf/experiments/fault_models.py
+++ b/src/jujubewharf/experiments/fault_models.py
@@ -1,4 +1,4 @@
-"""The faults that an experiment file can put on its timeline."""
+"""Models of the faults that an experiment file can schedule."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class _Fault(pydantic.BaseModel):
-    """A fault; times count from the start of the load."""
+    """A fault; times are seconds from the start of the load."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -19,7 +19,7 @@
 
 
 class EngineDies(_Fault):
-    """One engine dies and comes back empty."""
+    """One engine crashes and restarts without its state."""
 
     kind: Literal["engine_dies"]
     engine: str
@@ -27,7 +27,7 @@
 
 
 class EnginesDie(_Fault):
-    """Engines, drawn by the seed, die one after another."""
+    """Randomly chosen engines crash one after another."""
 
     kind: Literal["engines_die"]
     until_s: Seconds
@@ -36,7 +36,7 @@
 
 
 class LinksSlow(_Fault):
-    """KV links carry only a part; all of them when no engine is named."""
+    """The KV links of some or, if none is named, all engines slow down."""
 
     kind: Literal["links_slow"]
     factor: Annotated[float, pydantic.Field(gt=0, le=1)]
@@ -45,7 +45,7 @@
 
 
 class LinkStalls(_Fault):
-    """One engine's KV transfers stand still."""
+    """One engine's KV transfers stall."""
 
     kind: Literal["link_stalls"]
     engine: str
@@ -53,7 +53,7 @@
 
 
 class ReportsLag(_Fault):
-    """Load reports come later by a factor."""
+    """The lag of load reports grows by a factor."""
 
     kind: Literal["reports_lag"]
     factor: Annotated[float, pydantic.Field(gt=0)]
@@ -61,7 +61,7 @@
 
 
 class DomainCut(_Fault):
-    """A failure domain is cut off."""
+    """A failure domain is partitioned from the rest."""
 
     kind: Literal["domain_cut"]
     domain: str
@@ -73,7 +73,7 @@
 
 
 class OneWayCut(_Fault):
-    """What one domain sends to another does not arrive."""
+    """Traffic from one failure domain to another is held back."""
 
     kind: Literal["one_way_cut"]
     domain: str
@@ -82,7 +82,7 @@
 
 
 class InstanceDies(_Fault):
-    """An entry instance dies; its replacement starts later."""
+    """An entry instance is killed and restarted ``for_s`` later."""
 
     kind: Literal["instance_dies"]
     instance: str
@@ -90,7 +90,7 @@
 
 
 class InstancePauses(_Fault):
-    """An entry instance stands still and then believes what it believed."""
+    """An entry instance is paused and resumes with its state unchanged."""
 
     kind: Literal["instance_pauses"]
     instance: str
@@ -98,21 +98,21 @@
 
 
 class RollingRestart(_Fault):
-    """Every instance is shut down gracefully and started anew, in turn."""
+    """All instances are drained and restarted, one after another."""
 
     kind: Literal["rolling_restart"]
     every_s: Annotated[float, pydantic.Field(gt=0)]
 
 
 class LogDown(_Fault):
-    """The platform's log refuses everything."""
+    """The platform's log is unavailable."""
 
     kind: Literal["log_down"]
     for_s: Seconds
 
 
 class LogSlow(_Fault):
-    """Appends to the log take long."""
+    """Appends to the log are slow."""
 
     kind: Literal["log_slow"]
     append_ms: Seconds
@@ -120,21 +120,21 @@
 
 
 class LogLosesAnswers(_Fault):
-    """Some appends take effect but their answers are lost."""
+    """The next ``count`` appends take effect but their answers are lost."""
 
     kind: Literal["log_loses_answers"]
     count: Annotated[int, pydantic.Field(gt=0)]
 
 
 class ListDown(_Fault):
-    """The live list refuses everything."""
+    """The live list is unavailable."""
 
     kind: Literal["list_down"]
     for_s: Seconds
 
 
 class ListLags(_Fault):
-    """The live list lies further behind."""
+    """The lag of the live list grows."""
 
     kind: Literal["list_lags"]
     lag_ms: Seconds
@@ -142,7 +142,7 @@
 
 
 class FarSlow(_Fault):
-    """Streams and engine calls between domains take longer."""
+    """The delay between failure domains grows."""
 
     kind: Literal["far_slow"]
     far_ms: Seconds
--- a/src/jujubewharf/experiments/instances.py
+++ b/src/jujubewharf/experiments/instances.py
@@ -1,4 +1,4 @@
-"""An entry core in its process, and how callers reach it."""
+"""An entry core in its simulated process, and the calls made to it."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     """One run of one instance.
 
     Args:
-        process: Holds all its tasks.
-        core: The core.
-        log: The log as it sees it.
-        live_list: The live list as it sees it.
+        process: Simulated process that owns the core's tasks.
+        core: Entry core of the instance.
+        log: The instance's connection to the log.
+        live_list: The instance's connection to the live list.
     """
 
     def __init__(
@@ -42,21 +42,21 @@
 
     @property
     def name(self) -> str:
-        """The instance's name."""
+        """Name of the instance."""
         return self.process.name
 
     @property
     def domain(self) -> str:
-        """Its failure domain."""
+        """Failure domain of the instance."""
         return self.process.domain
 
     @functools.cached_property
     def operators(self) -> operator_service.OperatorService:
-        """Answers operators in this process."""
+        """Operator service of this instance, for in-process calls."""
         return operator_service.OperatorService(self.core)
 
     async def start(self) -> None:
-        """Starts the core in its process."""
+        """Starts the core."""
         await self.process.create_task(_start(self.core))
 
     async def stop(self) -> None:
@@ -64,17 +64,17 @@
         await self.process.create_task(_stop(self.core))
 
     async def drain(self) -> None:
-        """Shuts down as the daemon does on its first signal, then stops."""
+        """Drains the core as the daemon does on a signal, then stops it."""
         await self.process.create_task(_drain(self.core))
         await self.stop()
 
     async def answer(
         self, request: model_request.ModelRequest
     ) -> AsyncGenerator[model_request.Event, None]:
-        """Sends a request and reads its answer, as a caller does.
+        """Sends a request and streams its answer, as a caller does.
 
-        Leaving early is the caller's hanging up. The caller's own task is no
-        part of the instance: it lives on when the instance is killed.
+        Closing the generator early cancels the request. The calling task is
+        not part of the instance and survives when the instance is killed.
 
         Raises:
             InstanceLostError: The instance died.
@@ -99,11 +99,11 @@
         await task
 
     async def call_plain(self, request: plain.PlainRequest) -> bytes:
-        """Calls a plain service and reads the whole answer.
+        """Calls a plain service and returns the whole body.
 
         Raises:
             InstanceLostError: The instance died.
-            WharfError: The call was refused or broke off.
+            WharfError: The call was rejected or interrupted.
         """
         if self.process.is_dead:
             raise processes.InstanceLostError(self.name)
--- a/src/jujubewharf/experiments/load.py
+++ b/src/jujubewharf/experiments/load.py
@@ -1,4 +1,4 @@
-"""Turns the load of an experiment into planned calls, by the seed."""
+"""Generates the calls of an experiment from its load model."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedCall:
-    """One call that a caller will make.
+    """One scheduled call.
 
     Attributes:
-        key: Its idempotency key, unique in the run.
-        at_ms: When, counted from the start of the load.
-        service: Service called.
+        key: Idempotency key, unique in the run.
+        at_ms: Arrival time from the start of the load.
+        service: Name of the service called.
         is_plain: Whether it is a plain service.
-        is_repeatable: Whether it may be dispatched twice.
-        come_backs: Times it comes back after a refusal.
-        cancel_after_ms: When the caller hangs up; ``None`` is never.
-        impatient_after_ms: When it goes elsewhere without a first token;
-            ``None`` is never.
+        is_repeatable: Whether the call may be dispatched more than once.
+        come_backs: Maximum number of retries after a rejection.
+        cancel_after_ms: Time until the caller cancels; ``None`` for never.
+        impatient_after_ms: Time without a first token until the caller
+            retries at another instance; ``None`` for never.
         prompt: Prompt text; empty for plain calls.
-        answer_tokens: Length of the whole answer.
+        answer_tokens: Length of the whole answer in tokens.
         priority: Priority of the request.
     """
 
@@ -47,7 +47,7 @@
 def plan(
     experiment: models.Experiment, rng: np.random.Generator
 ) -> list[PlannedCall]:
-    """All calls of a run, in order of time."""
+    """Generates all calls of a run, sorted by arrival time."""
     calls: list[PlannedCall] = []
     for number, load in enumerate(experiment.load):
         factor = experiment.load_factor if load.kind == "model" else 1.0
@@ -65,7 +65,7 @@
     end_ms: float,
     rng: np.random.Generator,
 ) -> Iterator[float]:
-    """A Poisson process of changing rate, thinned from the highest."""
+    """Samples an inhomogeneous Poisson process by thinning."""
     peak = max(point.per_s for point in arrivals.points) * factor
     peak *= math.prod(max(1.0, burst.factor) for burst in arrivals.bursts)
     if peak <= 0:
--- a/src/jujubewharf/experiments/models.py
+++ b/src/jujubewharf/experiments/models.py
@@ -1,7 +1,7 @@
-"""The experiment file's models; unknown fields are errors.
+"""Models of the experiment file; unknown fields are errors.
 
-Times on the timeline are in seconds, as people write them; everything that
-goes on into the code is in milliseconds.
+Times on the timeline are in seconds (``_s``), all other durations in
+milliseconds (``_ms``).
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 
 
 class Constant(_Model):
-    """Always the same value."""
+    """A constant value."""
 
     kind: Literal["constant"]
     value: NotNegative
 
 
 class Uniform(_Model):
-    """Evenly spread values."""
+    """A uniform distribution."""
 
     kind: Literal["uniform"]
     low: NotNegative
@@ -47,7 +47,7 @@
 
 
 class Lognormal(_Model):
-    """Many small values and a long tail, cut off at both ends."""
+    """A log-normal distribution, clamped to ``low`` and ``high``."""
 
     kind: Literal["lognormal"]
     median: Positive
@@ -62,14 +62,14 @@
 
 
 class RatePoint(_Model):
-    """A rate at a moment; in between it is interpolated."""
+    """An arrival rate at a time; rates in between are interpolated."""
 
     at_s: NotNegative
     per_s: NotNegative
 
 
 class Burst(_Model):
-    """The rate times a factor for a while."""
+    """A temporary increase of the arrival rate by a factor."""
 
     at_s: NotNegative
     for_s: Positive
@@ -77,7 +77,7 @@
 
 
 class Arrivals(_Model):
-    """A Poisson process whose rate follows points and bursts."""
+    """A Poisson process with a rate given by points and bursts."""
 
     points: Annotated[tuple[RatePoint, ...], pydantic.Field(min_length=1)]
     bursts: tuple[Burst, ...] = ()
@@ -87,12 +87,12 @@
     """Callers of one service.
 
     Attributes:
-        service: Service they call.
-        arrivals: When they come.
+        service: Name of the service.
+        arrivals: Arrival process.
         not_repeatable_share: Share of requests marked as not repeatable.
-        cancel_share: Share of callers who hang up.
-        cancel_after_ms: How long after they came.
-        come_backs: Times a refused caller comes back when it is told to.
+        cancel_share: Share of callers that cancel.
+        cancel_after_ms: Time from arrival until they cancel.
+        come_backs: Maximum number of retries after a retryable rejection.
     """
 
     service: str
@@ -109,14 +109,14 @@
     """Callers of a model service.
 
     Attributes:
-        prompt_tokens: Length of prompts, the shared prefix included.
+        prompt_tokens: Length of prompts, including the shared prefix.
         answer_tokens: Length of answers.
-        shared_prefix_share: Share of prompts that open with a shared prefix.
+        shared_prefix_share: Share of prompts that start with a shared prefix.
         shared_prefix_tokens: Length of shared prefixes.
-        shared_prefixes: How many there are.
-        impatient_share: Share of callers who go to another instance with the
-            same key when no token has come.
-        impatient_after_ms: How long they wait before.
+        shared_prefixes: Number of distinct shared prefixes.
+        impatient_share: Share of callers that retry at another instance with
+            the same key when no token has arrived.
+        impatient_after_ms: Time without a token until they retry.
         priority: Priority of the requests.
     """
 
@@ -138,14 +138,15 @@
 
 
 class EngineGroup(_Model):
-    """Engines that are alike.
+    """A group of identical engines.
 
     Attributes:
-        service: Service they stand behind.
-        name: Their names are this and a number.
-        role: What they do.
-        count: How many there are.
-        spec: How they behave; role and model come from elsewhere.
+        service: Name of their service.
+        name: Prefix of their names, followed by a number.
+        role: Role of the engines.
+        count: Number of engines.
+        spec: Behaviour of the engines; its role and model are overridden by
+            the group's role and the service's model.
     """
 
     service: str
@@ -156,7 +157,7 @@
 
 
 class EndpointGroup(_Model):
-    """Endpoints of a plain service that are alike."""
+    """A group of identical endpoints of a plain service."""
 
     service: str
     name: str
@@ -167,22 +168,22 @@
 class Deployment(_Model):
     """The deployment under test.
 
-    Engines and endpoints are spread over the domains in turn, each group
-    where the one before it ended.
+    Engines and endpoints are assigned to the failure domains round-robin;
+    each group continues where the previous one ended.
 
     Attributes:
         domains: Names of the failure domains.
-        instances_per_domain: Entry instances in each.
-        services: Services, with their targets.
-        engines: Model engines.
-        endpoints: Endpoints of plain services.
+        instances_per_domain: Number of entry instances in each domain.
+        services: Services with their latency targets.
+        engines: Groups of model engines.
+        endpoints: Groups of plain endpoints.
         near_ms: One-way delay within a domain.
         far_ms: One-way delay between domains.
         caller_ms: One-way delay between a caller and an instance.
         list_lag_ms: Lag of the live list.
-        dead_listed_s: Time until a dead instance leaves the list and the
-            balancer.
-        instance_settings: Settings of every instance.
+        dead_listed_s: Time until a dead instance is removed from the live
+            list and the load balancer.
+        instance_settings: Settings of all instances.
     """
 
     domains: Annotated[tuple[str, ...], pydantic.Field(min_length=1)]
@@ -204,15 +205,17 @@
     """One experiment.
 
     Attributes:
-        name: Its name.
-        description: What it is for.
-        duration_s: How long callers come.
-        warmup_s: Callers who come before this count for nothing.
-        settle_s: Time after the last caller until leaks are counted.
-        load_factor: Factor on the arrivals at model services.
-        deployment: What serves.
-        load: Who calls.
-        faults: What goes wrong and when.
+        name: Name of the experiment.
+        description: Purpose of the experiment.
+        duration_s: Duration of the load.
+        warmup_s: Calls that start within this time of the start of the load
+            are left out of the service reports.
+        settle_s: Time from the end of the load and of all faults until leaked
+            slots are counted.
+        load_factor: Factor on the arrival rates at model services.
+        deployment: The deployment under test.
+        load: Load on each service.
+        faults: Scheduled faults.
     """
 
     name: str
--- a/src/jujubewharf/experiments/operator_rpc.py
+++ b/src/jujubewharf/experiments/operator_rpc.py
@@ -1,10 +1,10 @@
-"""Measures the operator interface on loopback, with real processes.
+"""Benchmarks the operator interface on loopback with real processes.
 
-Run ``python -m jujubewharf.experiments.operator_rpc``. It starts the platform's
-stand-ins and two entry instances, and prints a table: the time of a change
-until it is in force at the answering instance and at the other one, and the
-rates and the processor time of changes, gets and lists. It needs psutil, from
-the development extras.
+Run ``python -m jujubewharf.experiments.operator_rpc``. It starts the platform
+stand-ins and two entry instances and prints a table with the latency until a
+change is applied at the called instance and at the other one, and with the
+throughput and CPU time of changes, gets and lists. It needs psutil from the
+``dev`` extra.
 """
 
 from __future__ import annotations
@@ -42,17 +42,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One measured line.
+    """Results of one benchmark.
 
     Attributes:
-        matter: What was done.
-        calls: How often.
-        in_flight: Calls at a time.
-        p50_ms: Median time of a call.
-        p99_ms: Time that 99 in 100 calls stay under.
-        per_s: Calls a second.
-        here_ms: Processor time of the answering instance for a call.
-        there_ms: Processor time of the other instance for a call.
+        matter: Name of the benchmark.
+        calls: Number of calls.
+        in_flight: Number of concurrent calls.
+        p50_ms: Median latency.
+        p99_ms: 99th percentile of the latency.
+        per_s: Calls per second.
+        here_ms: CPU time per call of the called instance.
+        there_ms: CPU time per call of the other instance.
     """
 
     matter: str
@@ -66,7 +66,7 @@
 
 
 def main(calls: int = 400, endpoints: int = 1_000) -> None:
-    """Measures and prints the table."""
+    """Runs all benchmarks and prints the table."""
     table = tables.Table(
         "matter",
         "calls",
--- a/src/jujubewharf/experiments/order_costs.py
+++ b/src/jujubewharf/experiments/order_costs.py
@@ -1,9 +1,9 @@
-"""Measures what leases cost the log and how fast leaving spreads.
+"""Measures log traffic of engine leases and propagation of engine departures.
 
     python -m jujubewharf.experiments.order_costs
 
-On virtual time, so the figures are those of the mechanism and of the bench's
-delays, the same on every machine; processor time is not measured here.
+It runs in virtual time, so the results are the same on every machine and do
+not include CPU time.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseCost:
-    """What a roll of all engines to a new version took."""
+    """Cost of a rolling update of all engines to a new model version."""
 
     engines: int
     duration_ms: float
@@ -44,7 +44,7 @@
 
 
 async def lease_cost(engine_count: int, instance_count: int) -> LeaseCost:
-    """Rolls a pool of engines to a new version."""
+    """Measures a rolling update of a pool of engines to a new version."""
     bench = await _deployment(engine_count, instance_count)
     start_ms = bench.clock.now_ms()
     wanted = [
@@ -56,7 +56,7 @@
     while any(engine.model_version != "2" for engine in pool):
         await bench.clock.sleep_ms(_STEP_MS)
         if bench.clock.now_ms() - start_ms > _LIMIT_MS:
-            raise TimeoutError("the pool was not rolled in time")
+            raise TimeoutError("rolling update of the pool timed out")
     duration_ms = bench.clock.now_ms() - start_ms
     page = await bench.log.read(records.STREAM, 0, limit=1_000_000)
     size_bytes = sum(len(record.payload) for record in page.records)
@@ -65,12 +65,12 @@
 
 
 async def leaving_time_ms(instance_count: int, source: str) -> float:
-    """Time until no instance gives new work to an engine that leaves.
+    """Measures the time until no instance dispatches to a leaving engine.
 
     Args:
-        instance_count: Instances in six domains.
-        source: ``engine``, ``operator`` or ``list``, the last read by one
-            instance only.
+        instance_count: Number of instances, spread over six domains.
+        source: Source of the departure: ``engine``, ``operator`` or ``list``;
+            the list is read by one instance only.
     """
     bench = await _deployment(6, instance_count)
     endpoint = _endpoints(6)[0]
@@ -139,7 +139,7 @@
 
 
 def main() -> None:
-    """Prints all figures."""
+    """Runs all measurements and prints them."""
     for engine_count in (6, 24, 96):
         print(virtual_time.run(lease_cost(engine_count, 6)), flush=True)
     for source in ("engine", "operator", "list"):
--- a/src/jujubewharf/experiments/outcomes.py
+++ b/src/jujubewharf/experiments/outcomes.py
@@ -1,4 +1,4 @@
-"""What a caller saw of one call."""
+"""Outcome of a call as seen by its caller."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """One caller's story.
+    """Outcome of one call.
 
     Attributes:
         call: The call.
-        began_ms: When it was first sent.
-        end: How it ended; ``None`` while it goes on.
-        reason: Kind of the last refusal.
+        began_ms: Clock time of the first send.
+        end: How the call ended; ``None`` while it runs.
+        reason: Error kind of the last rejection.
         first_ms: Time to the first token or byte; ``None`` without one.
-        completion_ms: Time to the last.
-        retries: Times it was sent again, by reason.
-        request_ids: Ids under which it was sent.
-        said_not_run: Ids of those that were refused as not run.
-        attempts_finished: Attempts whose end the caller saw.
-        repeated_tokens: Tokens that came twice in one stream.
-        broken: Streams that were not the whole and right answer.
+        completion_ms: Time to the last token or byte.
+        retries: Number of retries, by reason.
+        request_ids: Ids of all requests sent for the call.
+        said_not_run: Ids of requests rejected as not run.
+        attempts_finished: Attempts whose final event the caller received.
+        repeated_tokens: Tokens received twice in one stream.
+        broken: Number of incomplete or incorrect answers.
     """
 
     call: load.PlannedCall
@@ -55,5 +55,5 @@
 
     @property
     def is_doubled(self) -> bool:
-        """Whether the caller was answered more than once."""
+        """Whether the caller received more than one answer."""
         return self.repeated_tokens > 0 or len(self.attempts_finished) > 1
--- a/src/jujubewharf/experiments/plot.py
+++ b/src/jujubewharf/experiments/plot.py
@@ -1,4 +1,4 @@
-"""Draws goodput and waste over load; needs the extra ``plot``."""
+"""Plots goodput and wasted prefill over load; needs the ``plot`` extra."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     *,
     title: str,
 ) -> None:
-    """Draws one line a policy, load factors along the bottom.
+    """Writes an SVG plot with one line per policy over the load factor.
 
     Raises:
         ImportError: matplotlib is not installed.
--- a/src/jujubewharf/experiments/processes.py
+++ b/src/jujubewharf/experiments/processes.py
@@ -1,4 +1,4 @@
-"""One entry instance as a process that can be paused and killed."""
+"""Simulated process of an entry instance that can be paused and killed."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class InstanceLostError(Exception):
-    """The instance died while a caller waited for it."""
+    """The instance died during a call."""
 
 
 def outside(coroutine: Coroutine[Any, Any, _Result]) -> asyncio.Task[_Result]:
-    """Runs what belongs to no instance, such as an engine's own work.
+    """Starts a task that belongs to no instance, such as engine work.
 
-    A task inherits its maker's context, and so its owner: without this an
-    engine's writing would stop when the instance that asked for it is paused.
+    Tasks inherit the context of their creator and with it the owner. Without
+    a new context, an engine would stop when the calling instance is paused.
     """
     loop = asyncio.get_running_loop()
     task = loop.create_task(coroutine, context=contextvars.Context())
@@ -31,7 +31,7 @@
 
 
 def _look_at(task: asyncio.Task[Any]) -> None:
-    """Marks a failure as seen: whoever asked may wait for it no longer."""
+    """Retrieves the exception, as the caller may no longer await the task."""
     if not task.cancelled():
         task.exception()
 
@@ -40,12 +40,12 @@
     """All tasks of one run of one instance.
 
     Args:
-        name: The instance's name.
-        domain: Its failure domain.
+        name: Name of the instance.
+        domain: Failure domain of the instance.
 
     Attributes:
-        is_dead: Set for good by ``kill``.
-        is_paused: Whether it stands still just now.
+        is_dead: Whether the process was killed.
+        is_paused: Whether the process is paused.
     """
 
     def __init__(self, name: str, domain: str) -> None:
@@ -62,7 +62,7 @@
     def create_task(
         self, coroutine: Coroutine[Any, Any, _Result]
     ) -> asyncio.Task[_Result]:
-        """Runs a coroutine as part of the process."""
+        """Starts a task that belongs to the process."""
         context = contextvars.Context()
         context.run(virtual_time.OWNER.set, self)
         loop = asyncio.get_running_loop()
@@ -71,11 +71,11 @@
     async def call_out(
         self, coroutine: Coroutine[Any, Any, _Result]
     ) -> _Result:
-        """Runs something at another process and waits for its answer.
+        """Awaits a coroutine that runs outside the process.
 
-        What was sent goes on there even when the waiting ends here. A dead
-        process sends nothing, whatever its clean-up code tries at the very
-        end of a run.
+        The coroutine continues if the caller is cancelled. Calls from a dead
+        process are dropped, such as those of clean-up code that runs when the
+        event loop is torn down.
         """
         if self.is_dead:
             coroutine.close()
@@ -83,28 +83,28 @@
         return await asyncio.shield(outside(coroutine))
 
     def on_death(self, key: object, call: Callable[[], None]) -> None:
-        """Calls back when the process is killed; ``forget`` ends it."""
+        """Registers a callback for ``kill``; ``forget`` unregisters it."""
         self._on_death[key] = call
 
     def forget(self, key: object) -> None:
-        """Ends an ``on_death``."""
+        """Unregisters an ``on_death`` callback."""
         self._on_death.pop(key, None)
 
     def pause(self) -> None:
-        """Stops it; it notices nothing of the time that passes."""
+        """Pauses all tasks and timers of the process."""
         _loop().hold(self)
         self.is_paused = True
 
     def resume(self) -> None:
-        """Lets it run on, believing what it believed."""
+        """Resumes a paused process with its state unchanged."""
         self.is_paused = False
         _loop().let_go(self)
 
     def kill(self) -> None:
-        """Stops it for good, without any goodbye."""
+        """Kills the process without running its clean-up code."""
         self.is_dead = True
-        # A stopped task that nothing refers to would be collected, and its
-        # clean-up code would run: the loop itself keeps weak references.
+        # Keep the tasks referenced: the loop only holds weak references, and
+        # the clean-up code of a garbage-collected task would run.
         self._kept = list(asyncio.all_tasks())
         _loop().hold(self)
         for call in list(self._on_death.values()):
--- a/src/jujubewharf/experiments/reader.py
+++ b/src/jujubewharf/experiments/reader.py
@@ -1,4 +1,4 @@
-"""Reads an experiment file; one file may extend another."""
+"""Reads experiment files, which may extend one another."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def read(path: pathlib.Path) -> result.Result[models.Experiment, list[str]]:
-    """Reads and checks an experiment file.
+    """Reads and validates an experiment file.
 
-    A file with ``extends`` holds only what differs from the file named there,
-    relative to its own place: objects are merged, all else is replaced.
+    The ``extends`` key names a base file, relative to the extending file.
+    Objects are merged recursively; other values replace those of the base.
 
     Returns:
-        The experiment, or one line an error, each opening with the path of
-        the field it is about.
+        The experiment, or one line per error, prefixed with the path of the
+        invalid field.
     """
     try:
         data = _merged(path, depth=0)
@@ -39,7 +39,7 @@
 
 def _merged(path: pathlib.Path, *, depth: int) -> dict[str, Any]:
     if depth > _MAX_DEPTH:
-        raise ValueError("files extend each other too deeply")
+        raise ValueError("too many nested 'extends'")
     data = json.loads(path.read_text(encoding="utf-8"))
     if not isinstance(data, dict):
         raise ValueError("not a JSON object")
--- a/src/jujubewharf/experiments/remote_engine.py
+++ b/src/jujubewharf/experiments/remote_engine.py
@@ -1,9 +1,9 @@
-"""An engine as one instance reaches it: over a distance, and cut off or not.
+"""Engine client with simulated network delays and partitions.
 
-It stands where ``engines.http.HttpEngineClient`` stands in the daemon and
-keeps to what HTTP does: what was sent goes on at the engine when the caller
-stops waiting, a dial across a cut hangs and fails, an answer across a cut is
-held back, and an answer that takes too long is lost.
+It replaces ``engines.http.HttpEngineClient`` and behaves as HTTP does: a
+request continues at the engine when the caller is cancelled, connecting
+across a partition times out, an answer across a partition is held back, and
+an answer that exceeds its timeout is lost.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 
 class RemoteEngine:
-    """Speaks ``engines.client.EngineClient`` for one instance.
+    """Implements ``engines.client.EngineClient`` for one instance.
 
     Args:
-        process: The instance that calls.
-        engine: The engine.
-        domain: The engine's failure domain.
-        network: Delays and cuts between domains.
-        clock: Time.
+        process: Process of the calling instance.
+        engine: Engine to call.
+        domain: Failure domain of the engine.
+        network: Delays and partitions between failure domains.
+        clock: Clock of the simulation.
     """
 
     def __init__(
@@ -58,13 +58,13 @@
         return f"RemoteEngine({self._engine.name!r})"
 
     async def reserve(self, attempt: client.Attempt) -> None:
-        """Takes a decode slot; see ``client.EngineClient``."""
+        """Reserves a decode slot; see ``client.EngineClient``."""
         await self._call(lambda: self._engine.reserve(attempt))
 
     async def prefill(
         self, attempt: client.Attempt, job: client.PrefillJob
     ) -> client.PrefillResult:
-        """Reads a prompt; see ``client.EngineClient``."""
+        """Prefills a prompt; see ``client.EngineClient``."""
         return await self._call(
             lambda: self._engine.prefill(attempt, job),
             timeout_ms=_PREFILL_TIMEOUT_MS,
@@ -81,7 +81,7 @@
     async def decode(
         self, attempt: client.Attempt, job: client.DecodeJob
     ) -> AsyncIterator[client.TokenChunk]:
-        """Writes the answer; see ``client.EngineClient``."""
+        """Decodes and streams the answer; see ``client.EngineClient``."""
         if self._process.is_dead:
             raise asyncio.CancelledError
         arrived: asyncio.Queue[_Arrival] = asyncio.Queue()
@@ -98,27 +98,27 @@
             pump.cancel()
 
     async def release(self, attempt_id: str) -> None:
-        """Cancels and frees an attempt; see ``client.EngineClient``."""
+        """Cancels and releases an attempt; see ``client.EngineClient``."""
         await self._call(lambda: self._engine.release(attempt_id))
 
     async def load(self) -> client.LoadReport:
-        """The latest load report; see ``client.EngineClient``."""
+        """Returns the latest load report; see ``client.EngineClient``."""
         return await self._call(self._engine.load)
 
     async def held(self) -> tuple[client.HeldAttempt, ...]:
-        """Everything held; see ``client.EngineClient``."""
+        """Returns the held attempts; see ``client.EngineClient``."""
         return await self._call(self._engine.held)
 
     async def cache_events(
         self, after_sequence: int
     ) -> tuple[client.CacheEvent, ...]:
-        """Cache events; see ``client.EngineClient``."""
+        """Returns cache events; see ``client.EngineClient``."""
         return await self._call(
             lambda: self._engine.cache_events(after_sequence)
         )
 
     async def order(self, order: client.Order) -> None:
-        """Gives an order; see ``client.EngineClient``."""
+        """Sends an order to the engine; see ``client.EngineClient``."""
         await self._call(lambda: self._engine.order(order))
 
     async def _call(
@@ -167,8 +167,8 @@
         async def send(arrival: _Arrival) -> None:
             await self._network.passable(self._domain, self._process.domain)
             in_flight.put_nowait(arrival)
-            # Timers due at one moment may fire in any order; taking the
-            # oldest each time keeps the stream's order.
+            # Timers with equal deadlines may fire in any order, so each takes
+            # the oldest item to keep the stream in order.
             loop.call_later(
                 delay_ms / clocks.MS_PER_S,
                 lambda: arrived.put_nowait(in_flight.get_nowait()),
--- a/src/jujubewharf/experiments/report.py
+++ b/src/jujubewharf/experiments/report.py
@@ -1,4 +1,4 @@
-"""The report of a run, as data for JSON."""
+"""Report of a run, serializable to JSON."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceReport:
-    """One service's callers.
+    """Results of one service.
 
     Attributes:
-        offered: Calls that came after the warm-up.
-        finished: Those answered in whole.
-        goodput: Those answered within both targets.
-        goodput_ratio: Goodput over the calls whose callers stayed.
-        cancelled: Calls whose callers hung up.
-        refused: Calls refused for good, by reason.
-        retries: Times that callers sent again, by reason.
-        lost: Calls that got neither an answer nor a refusal.
-        doubled: Calls answered more than once.
-        partial: Calls with an answer that was not whole and right.
-        refused_but_ran: Calls refused as not run that an engine was given.
-        ttft_ms: Time to the first token or byte, percentiles.
-        completion_ms: Time to the last, percentiles.
+        offered: Calls that arrived after the warm-up.
+        finished: Calls that were answered completely.
+        goodput: Calls that were answered within both latency targets.
+        goodput_ratio: Goodput divided by the calls that were not cancelled.
+        cancelled: Calls that were cancelled by the caller.
+        refused: Calls that were finally rejected, by reason.
+        retries: Retries by callers, by reason.
+        lost: Calls without an answer or a rejection.
+        doubled: Calls that were answered more than once.
+        partial: Calls with an incomplete or incorrect answer.
+        refused_but_ran: Calls rejected as not run that reached an engine.
+        ttft_ms: Percentiles of the time to the first token or byte.
+        completion_ms: Percentiles of the time to the last token or byte.
     """
 
     offered: int
@@ -55,23 +55,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """One run.
+    """Results of one run.
 
     Attributes:
-        experiment: Its name.
-        policy: Policy that decided.
+        experiment: Name of the experiment.
+        policy: Name of the routing policy.
         seed: Seed of the run.
-        goodput_ratio: Over all model services.
-        wasted_prefill_ratio: Prefill never used over all prefill.
-        services: Each service's callers.
-        prefilled_tokens: Prompt tokens read.
-        wasted_prefill_tokens: Those never used, by cause.
-        leaked_slots: Slots still held at the end.
-        max_dispatches_not_repeatable: Most often that any call which may not
-            be repeated was begun.
+        goodput_ratio: Goodput ratio over all model services.
+        wasted_prefill_ratio: Share of prefill tokens that were never used.
+        services: Results by service name.
+        prefilled_tokens: Prompt tokens prefilled.
+        wasted_prefill_tokens: Prefill tokens never used, by cause.
+        leaked_slots: Decode slots still held at the end.
+        max_dispatches_not_repeatable: Maximum number of dispatches of a call
+            that is not repeatable.
         reattempts: Attempts beyond the first of each request.
-        control_bytes_per_s: Peer traffic of an instance, the mean and the
-            highest of all instances.
+        control_bytes_per_s: Mean and maximum peer traffic per instance.
     """
 
     experiment: str
@@ -89,7 +88,7 @@
 
     @property
     def broken_promises(self) -> dict[str, int]:
-        """Counts that must all be zero, by name."""
+        """Guarantee violations by name; empty if there are none."""
         found = collections.Counter(leaked_slots=self.leaked_slots)
         over = max(0, self.max_dispatches_not_repeatable - 1)
         found["dispatched_twice"] = over
@@ -101,7 +100,7 @@
         return {name: count for name, count in found.items() if count}
 
     def to_json(self) -> dict[str, Any]:
-        """The report as JSON data."""
+        """Returns the report as JSON-compatible data."""
         return dataclasses.asdict(self)
 
 
@@ -110,7 +109,7 @@
     seen: Sequence[outcomes.Outcome],
     truth: truths.Truth,
 ) -> ServiceReport:
-    """Sums up the callers of one service."""
+    """Aggregates the outcomes of one service."""
     ends = collections.Counter(outcome.end for outcome in seen)
     finished = [o for o in seen if o.end is outcomes.End.FINISHED]
     good = sum(is_good(outcome, service) for outcome in finished)
@@ -141,7 +140,7 @@
 
 
 def is_good(outcome: outcomes.Outcome, service: resources.Service) -> bool:
-    """Whether a call was answered in whole within both targets."""
+    """Whether a call was answered completely within both targets."""
     if outcome.first_ms is None or outcome.completion_ms is None:
         return False
     if outcome.broken or outcome.is_doubled:
@@ -153,7 +152,7 @@
 
 
 def ratio(part: float, whole: float) -> float:
-    """A rounded share; 1 of nothing."""
+    """Returns the rounded ratio, or 1 if ``whole`` is zero."""
     return round(part / whole, _DIGITS) if whole else 1.0
 
 
--- a/src/jujubewharf/experiments/request_costs.py
+++ b/src/jujubewharf/experiments/request_costs.py
@@ -1,8 +1,8 @@
-"""What a key record and a claim cost: bytes, messages, appends, time.
+"""Measures traffic, log appends and latency of key records and claims.
 
-``python -m jujubewharf.experiments.request_costs`` prints one JSON line for
-each figure. It runs real entry cores on the bench; peer bytes are what the
-links counted, less an idle run of the same length.
+``python -m jujubewharf.experiments.request_costs`` prints one JSON line per
+measurement. It runs real entry cores on the bench. The peer bytes of requests
+exclude those of an idle run of the same length.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Load:
-    """How a run's requests are marked; ``None`` sends none."""
+    """Properties of the requests of a run."""
 
     has_key: bool
     is_repeatable: bool
@@ -77,7 +77,10 @@
 
 
 async def _run_requests(load: _Load | None) -> tuple[int, float, int]:
-    """Returns peer bytes, mean ms to the first token, and appends."""
+    """Returns peer bytes, mean time to first token in ms, and log appends.
+
+    Without a load, the deployment stays idle for the same time.
+    """
     bench = await _deployment()
     before = _peer_bytes(bench)
     tasks = []
@@ -239,7 +242,7 @@
 
 
 def main() -> None:
-    """Prints all figures."""
+    """Runs all measurements and prints them."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
--- a/src/jujubewharf/experiments/runner.py
+++ b/src/jujubewharf/experiments/runner.py
@@ -1,4 +1,4 @@
-"""Runs one experiment with one policy and one seed."""
+"""Runs an experiment with one policy and one seed."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
     seed: int = 1,
     on_progress: OnProgress | None = None,
 ) -> report.Report:
-    """Runs an experiment on the virtual clock.
+    """Runs an experiment in virtual time.
 
     Args:
-        experiment: The experiment.
-        policy: Name of the policy of every instance.
-        seed: Seeds everything that is drawn.
-        on_progress: Called with the share done, from 0 to 1.
+        experiment: Experiment to run.
+        policy: Name of the routing policy of all instances.
+        seed: Seed of all random number generators.
+        on_progress: Called with the completed share, from 0 to 1.
 
     Raises:
         ValueError: The policy is unknown.
@@ -90,7 +90,7 @@
         )
 
     async def run(self) -> report.Report:
-        """Builds, loads, waits and reports."""
+        """Runs the load and the faults and returns the report."""
         await deployments.build(
             self._experiment.deployment, self._bench, self._make_policy
         )
@@ -199,10 +199,10 @@
 
 
 def rng_of_load(seed: int) -> np.random.Generator:
-    """The generator that a run's load is drawn from."""
+    """Returns the random number generator of a run's load."""
     return np.random.default_rng([seed, _LOAD_STREAM])
 
 
 def quiet_logs() -> None:
-    """Drops the instances' log lines below errors."""
+    """Suppresses log messages below error level."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(40))
--- a/src/jujubewharf/experiments/timeline.py
+++ b/src/jujubewharf/experiments/timeline.py
@@ -1,4 +1,4 @@
-"""Brings about the faults of an experiment file when they are due."""
+"""Injects the faults of an experiment file at their scheduled times."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 
 
 class Timeline:
-    """The faults of one run.
+    """Fault schedule of one run.
 
     Args:
         bench: The deployment.
-        balancer: Learns late of dead instances, as in life.
-        start_ms: Clock reading at which the load starts.
-        dead_listed_s: Time until a dead instance leaves list and balancer.
+        balancer: Load balancer from which dead instances are withdrawn.
+        start_ms: Clock time at which the load starts.
+        dead_listed_s: Time until a dead instance is removed from the live
+            list and the load balancer.
     """
 
     def __init__(
@@ -40,7 +41,7 @@
         self._rng = bench.rng("timeline")
 
     async def run(self, planned: tuple[faults.Fault, ...]) -> None:
-        """Runs all faults to their ends."""
+        """Runs all faults and waits until they have ended."""
         async with asyncio.TaskGroup() as group:
             for fault in planned:
                 group.create_task(self._run_one(fault))
--- a/src/jujubewharf/experiments/truth.py
+++ b/src/jujubewharf/experiments/truth.py
@@ -1,4 +1,4 @@
-"""What really happened, from the stand-ins' own books after a run."""
+"""Ground truth of a run, from the records of the stand-ins."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Waste:
-    """Prefill done and prefill never used.
+    """Prefilled and wasted tokens.
 
     Attributes:
-        prefilled_tokens: Tokens read, those from the cache left out.
-        wasted_tokens: Of these the ones never used, by cause.
+        prefilled_tokens: Tokens prefilled, without those from the cache.
+        wasted_tokens: Prefilled tokens that were never used, by cause.
     """
 
     prefilled_tokens: int = 0
@@ -31,18 +31,18 @@
 
     @property
     def ratio(self) -> float:
-        """Share of prefill that was never used."""
+        """Share of prefilled tokens that were never used."""
         if self.prefilled_tokens == 0:
             return 0.0
         return self.wasted_tokens.total() / self.prefilled_tokens
 
 
 class Truth:
-    """The engines' and endpoints' books, and the callers' outcomes.
+    """Combines the records of engines and endpoints with the outcomes.
 
     Args:
         bench: The deployment after the run.
-        seen: All callers' outcomes.
+        seen: Outcomes of all calls.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
                 self._read.add(_request(reading.attempt_id))
 
     def waste(self, *, since_ms: float) -> Waste:
-        """Prefill of readings that began at some moment or later."""
+        """Returns the waste of prefills started at ``since_ms`` or later."""
         waste = Waste()
         for engine in self._bench.engines.values():
             for reading in engine.ledger.readings:
@@ -77,16 +77,16 @@
         return waste
 
     def dispatches(self, outcome: outcomes.Outcome) -> int:
-        """Times that a call was begun at an engine or endpoint."""
+        """Returns how often a call was started at engines or endpoints."""
         call = outcome.call
         if call.is_plain:
             return self._bench.endpoints.runs_of_path[f"/{call.key}"]
         return sum(self._dispatches[name] for name in outcome.request_ids)
 
     def ran_though_refused(self, outcome: outcomes.Outcome) -> bool:
-        """Whether a call that was said not to have run did run.
+        """Whether a call that was rejected as not run was run.
 
-        A prompt that was read counts: an engine was given the call.
+        A prefill counts as a run.
         """
         if outcome.call.is_plain:
             is_sure = len(outcome.said_not_run) == len(outcome.request_ids)
@@ -97,7 +97,7 @@
         )
 
     def leaked_slots(self) -> int:
-        """Decode slots still held, though every caller is long gone."""
+        """Returns the number of decode slots still held."""
         return sum(
             engine.load_now().slots_used
             for engine in self._bench.engines.values()
@@ -105,7 +105,7 @@
         )
 
     def reattempts(self) -> int:
-        """Attempts that engines saw beyond the first of each request."""
+        """Returns the number of attempts beyond the first of each request."""
         attempts = set(self._written)
         return len(attempts) - len({_request(name) for name in attempts})
 
--- a/src/jujubewharf/experiments/virtual_time.py
+++ b/src/jujubewharf/experiments/virtual_time.py
@@ -1,9 +1,8 @@
-"""An event loop whose time jumps to the next timer, and that can hold tasks.
+"""An event loop in virtual time that can hold the callbacks of an owner.
 
-Holding stands for a stopped process (``SIGSTOP``, a long pause, a dead
-machine): nothing that belongs to the held owner runs, its timers included,
-until it is let go. Whom a callback belongs to is told by its context, so no
-code of the product has to know.
+Time advances to the next timer as soon as no callback is ready. Holding an
+owner simulates a stopped or dead process: none of its callbacks and timers
+run until it is released. The owner of a callback is stored in its context.
 """
 
 from __future__ import annotations
@@ -33,17 +32,16 @@
 
 
 class StuckError(RuntimeError):
-    """Nothing is due and nothing can ever come: tasks wait for each other."""
+    """Deadlock: no callback is ready and no timer is scheduled."""
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """The loop; it starts at time zero.
+    """Event loop in virtual time, starting at zero.
 
-    It does no input or output, so that asking the system for events, which
-    the library ``looptime`` does several times a step, is spared.
+    It supports no I/O and never polls the operating system.
     """
 
-    # What asyncio's own base class calls them; typeshed leaves them out.
+    # Attributes of ``asyncio.BaseEventLoop`` that are missing in typeshed.
     _ready: collections.deque[asyncio.Handle]
     _scheduled: list[asyncio.TimerHandle]
 
@@ -54,18 +52,18 @@
         self._held: dict[object, list[asyncio.Handle]] = {}
 
     def time(self) -> float:
-        """Virtual seconds."""
+        """Returns the virtual time in seconds."""
         return self._now_s
 
     def jump(self) -> None:
-        """Goes on to the next timer.
+        """Advances the time to the next timer.
 
         Raises:
-            StuckError: There is none.
+            StuckError: No timer is scheduled.
         """
         if not self._scheduled:
-            raise StuckError("nothing is due, ever")
-        # Rounded, so that sums of durations don't differ in the last bit.
+            raise StuckError("no callback is ready and no timer is scheduled")
+        # Rounding removes floating-point errors of summed durations.
         next_s = round(self._scheduled[0].when(), _RESOLUTION_DIGITS)
         if next_s <= self._now_s:
             self.tick()
@@ -73,16 +71,15 @@
             self._now_s = next_s
 
     def tick(self) -> None:
-        """Goes on by the least step.
+        """Advances the time by the clock resolution.
 
-        Code that waits for what is left of a while may find left, by
-        rounding, what is too little to move the clock, and wait for it again
-        and again: on a real loop the rounds themselves take time.
+        Code that repeatedly waits for the remainder of a duration would loop
+        forever if the remainder is too small to advance the clock.
         """
         self._now_s = round(self._now_s + _TICK_S, _RESOLUTION_DIGITS)
 
     def hold(self, owner: object) -> None:
-        """Stops everything of an owner; again is harmless."""
+        """Holds all callbacks and timers of an owner; idempotent."""
         if owner in self._held:
             return
         held = self._held[owner] = []
@@ -103,7 +100,7 @@
                 self._scheduled.append(timer)
 
     def let_go(self, owner: object) -> None:
-        """Lets an owner run on; what fell due meanwhile runs now."""
+        """Releases an owner; overdue callbacks run at once."""
         for handle in self._held.pop(owner, []):
             if handle.cancelled():
                 continue
@@ -114,16 +111,15 @@
                 self._ready.append(handle)
 
     def let_all_go(self) -> None:
-        """Lets every owner run on, for the end of a run."""
+        """Releases all owners."""
         for owner in list(self._held):
             self.let_go(owner)
 
     def _skipped(self) -> asyncio.Handle:
-        """A handle that the loop passes over.
+        """Returns a cancelled handle as a placeholder in the ready queue.
 
-        A round of the loop counts its handles before it runs them; taking one
-        out while a callback of the same round holds an owner would leave the
-        round short, and it would crash on the empty queue.
+        The loop counts the ready handles before it runs them and fails on an
+        empty queue if a callback removes one.
         """
         handle = asyncio.Handle(lambda: None, (), self)
         handle.cancel()
@@ -165,7 +161,7 @@
 
 
 def run(main: Coroutine[Any, Any, _Result]) -> _Result:
-    """Runs to the end in virtual time, starting at zero."""
+    """Runs a coroutine to completion in virtual time."""
     loop = VirtualLoop()
     try:
         return loop.run_until_complete(main)
@@ -180,10 +176,10 @@
 
 
 def _cancel_rest(loop: asyncio.AbstractEventLoop) -> None:
-    """Cancels all tasks, and those that the cancelled ones start in turn.
+    """Cancels all tasks, including those started during cancellation.
 
-    A task left over is destroyed by the garbage collector at any later
-    moment; within ``ast.parse`` that is a ``SystemError`` of Python 3.11.
+    Python 3.11 raises ``SystemError`` if the garbage collector destroys a
+    pending task during ``ast.parse``.
     """
     for _ in range(_CANCEL_ROUNDS):
         rest = asyncio.all_tasks(loop)
