--- a/src/jujubewharf/configuration/follower.py
+++ b/src/jujubewharf/configuration/follower.py
@@ -181,7 +181,7 @@
     def _update_availability(
         self, is_available: bool, detail: str = ""
     ) -> None:
-        """Records whether the log answered, and logs changes of this."""
+        """Records whether the log answered, and logs each transition."""
         if is_available:
             self._last_reply_ms = self._clock.now_ms()
         if is_available == self._is_log_available:
