--- a/tests/configuration/test_changes.py
+++ b/tests/configuration/test_changes.py
@@ -135,17 +135,17 @@
 def test_force_skips_the_safety_checks():
     async def scenario(log, here, there):
         del log, there
-        made = [
+        initial = [
             builders.put(builders.SERVICE),
             builders.put(builders.engine("e1")),
         ]
-        await here.submit(made)
+        await here.submit(initial)
         refused = await here.submit([builders.delete(builders.engine("e1"))])
         assert refused[0].outcome is states.Outcome.UNSAFE
         error = refused[0].error()
         assert error.kind is errors.ErrorKind.CONFIG_UNSAFE
-        gone = builders.delete(builders.engine("e1"))
-        assert (await here.submit([gone], force=True))[0].is_accepted
+        deletion = builders.delete(builders.engine("e1"))
+        assert (await here.submit([deletion], force=True))[0].is_accepted
 
     _run(scenario)
 
@@ -154,8 +154,8 @@
     async def scenario(log, here, there):
         del log, there
         before = builders.engine("e1", slots=10)
-        made = [builders.put(builders.SERVICE), builders.put(before)]
-        old = (await here.submit(made))[1]
+        initial = [builders.put(builders.SERVICE), builders.put(before)]
+        old = (await here.submit(initial))[1]
         await here.submit([builders.put(builders.engine("e1", slots=30))])
         kind = resources.Kind.ENDPOINT
         back = await here.rollback(
@@ -180,8 +180,12 @@
 def test_diff_reports_created_updated_and_deleted_resources():
     async def scenario(log, here, there):
         del log, there
-        made = [builders.SERVICE, builders.engine("e1"), builders.engine("e2")]
-        await here.submit([builders.put(one) for one in made])
+        initial = [
+            builders.SERVICE,
+            builders.engine("e1"),
+            builders.engine("e2"),
+        ]
+        await here.submit([builders.put(one) for one in initial])
         wanted = [builders.engine("e1", slots=3), builders.engine("e3")]
         found = here.diff([builders.SERVICE, *wanted], prune=True)
         assert [(one.name, one.action.value) for one in found] == [
--- a/tests/configuration/test_model.py
+++ b/tests/configuration/test_model.py
@@ -54,8 +54,8 @@
         self.reference = states.State(newest_rules_version=2)
         self.digests = {0: snapshots.digest(self.reference)}
         self.verdicts: dict[str, states.Verdict] = {}
-        self.held = [self.make(index) for index in INSTANCES]
-        self.reached = [0 for _ in INSTANCES]
+        self.replicas = [self.make(index) for index in INSTANCES]
+        self.last_offsets = [0 for _ in INSTANCES]
         self.checked: list[object] = [None for _ in INSTANCES]
         self.checkpoints: list[snapshots.Snapshot] = []
         self.append(records.encode(builders.put(builders.SERVICE)))
@@ -95,24 +95,24 @@
 
     @stateful.rule(index=INSTANCE, limit=st.integers(1, 12))
     def reads(self, index, limit):
-        offset = self.held[index].next_offset
+        offset = self.replicas[index].next_offset
         start = max(offset, self.first_offset)
         page = [
             logs.LogRecord(place, payload)
             for place, payload in enumerate(self.payloads[: start + limit])
             if place >= start
         ]
-        self.held[index].apply_records(page)
+        self.replicas[index].apply_records(page)
 
     @stateful.rule(index=INSTANCE)
     def restarts(self, index):
-        self.held[index] = self.make(index)
-        self.reached[index] = 0
+        self.replicas[index] = self.make(index)
+        self.last_offsets[index] = 0
 
-    @stateful.rule(index=INSTANCE, forgets=st.booleans())
-    def writes_checkpoint(self, index, forgets):
-        self.checkpoints.append(snapshots.encode(self.held[index].current))
-        if forgets:
+    @stateful.rule(index=INSTANCE, truncates=st.booleans())
+    def writes_checkpoint(self, index, truncates):
+        self.checkpoints.append(snapshots.encode(self.replicas[index].current))
+        if truncates:
             newest = max(one.next_offset for one in self.checkpoints)
             self.first_offset = max(self.first_offset, newest)
 
@@ -123,17 +123,17 @@
 
     @stateful.rule(index=INSTANCE, other=INSTANCE)
     def takes_peers_state(self, index, other):
-        self.adopt(index, snapshots.encode(self.held[other].current))
+        self.adopt(index, snapshots.encode(self.replicas[other].current))
 
     @stateful.rule(index=INSTANCE, other=INSTANCE, limit=st.integers(1, 6))
     def takes_peers_records(self, index, other, limit):
-        offset = self.held[index].next_offset
-        self.held[index].apply_records(
-            self.held[other].recent_records(offset, limit)
+        offset = self.replicas[index].next_offset
+        self.replicas[index].apply_records(
+            self.replicas[other].recent_records(offset, limit)
         )
 
     def adopt(self, index: int, snapshot: snapshots.Snapshot) -> None:
-        replica = self.held[index]
+        replica = self.replicas[index]
         rules = replica.current.newest_rules_version
         try:
             state = snapshots.decode(snapshot, newest_rules_version=rules)
@@ -144,7 +144,7 @@
 
     @stateful.invariant()
     def one_offset_one_state(self):
-        for index, replica in enumerate(self.held):
+        for index, replica in enumerate(self.replicas):
             now = (replica.current, replica.next_offset)
             if now != self.checked[index]:
                 self.checked[index] = now
@@ -153,13 +153,13 @@
 
     @stateful.invariant()
     def no_offset_goes_down(self):
-        for index, replica in enumerate(self.held):
-            assert replica.next_offset >= self.reached[index]
-            self.reached[index] = replica.next_offset
+        for index, replica in enumerate(self.replicas):
+            assert replica.next_offset >= self.last_offsets[index]
+            self.last_offsets[index] = replica.next_offset
 
     @stateful.invariant()
     def one_operation_one_verdict(self):
-        for replica in self.held:
+        for replica in self.replicas:
             for item in replica.current.history:
                 found = item.verdict
                 assert found == self.verdicts[found.operation_id]
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -25,8 +25,8 @@
 def pool() -> states.State:
     """State with two engines for both prefill and decode."""
     state = states.State()
-    made = [builders.SERVICE, builders.engine("e1"), builders.engine("e2")]
-    builders.apply_changes(state, *[builders.put(one) for one in made])
+    initial = [builders.SERVICE, builders.engine("e1"), builders.engine("e2")]
+    builders.apply_changes(state, *[builders.put(one) for one in initial])
     return state
 
 
@@ -49,9 +49,9 @@
     """
     drains = [
         builders.put(
-            builders.engine(name, drained=True), expected_generation=seen
+            builders.engine(name, drained=True), expected_generation=generation
         )
-        for name, seen in (("e1", 2), ("e2", 3))
+        for name, generation in (("e1", 2), ("e2", 3))
     ]
     assert _outcomes(pool, *drains) == [ACCEPTED, UNSAFE]
 
@@ -110,8 +110,8 @@
     It receives the verdict on the first copy.
     """
     drain = builders.put(builders.engine("e1", drained=True), operation_id="x")
-    undo = builders.put(builders.engine("e1"))
-    first, _, again = builders.apply_changes(pool, drain, undo, drain)
+    revert = builders.put(builders.engine("e1"))
+    first, _, again = builders.apply_changes(pool, drain, revert, drain)
     assert again == first
     assert not pool.get(resources.Kind.ENDPOINT, "e1").resource.drained
     other = builders.put(builders.engine("e2", drained=True), operation_id="x")
