--- a/tests/callers/test_bodies.py
+++ b/tests/callers/test_bodies.py
@@ -22,7 +22,7 @@
         return b"x"
 
 
-def test_a_trickled_body_is_bounded_as_a_whole():
+def test_whole_body_has_one_timeout():
     """A slow body times out although each single read is fast enough."""
 
     async def main() -> float:
@@ -37,7 +37,7 @@
     assert virtual_time.run(main()) == 10_000
 
 
-def test_a_passed_on_body_is_bounded_by_chunk_and_size():
+def test_chunked_body_is_limited_by_chunk_timeout_and_size():
     async def main(pause_ms: float) -> tuple[errors.ErrorKind, int]:
         clock = clocks.Clock()
         content = _Trickle(clock, pause_ms)
--- a/tests/callers/test_edge.py
+++ b/tests/callers/test_edge.py
@@ -118,7 +118,7 @@
         assert not deployment.plain_endpoints["till-1"].runs
 
 
-async def test_what_http_itself_refuses_is_json_too():
+async def test_protocol_errors_are_json():
     async with loopback.deployed() as deployment:
         long_header = _post("X-Long: " + "x" * 9_000 + "\r\nContent-Length: 0")
         for data in (long_header, b"NONSENSE\r\n\r\n"):
@@ -127,7 +127,7 @@
             assert body["error"]["code"] == "bad_request"
 
 
-async def test_a_body_that_trickles_is_given_up_on():
+async def test_stalled_request_body_is_refused():
     """A caller that stops in the middle of its body gets a 408."""
     async with loopback.deployed(body_timeout_ms=50) as deployment:
         status, body = await _raw(deployment, _post("Content-Length: 50", b"{"))
@@ -136,7 +136,7 @@
         assert body["error"]["ran"] == "no"
 
 
-async def test_an_oversized_chunked_body_is_refused_while_it_comes():
+async def test_oversized_chunked_body_is_refused_while_it_is_read():
     async with loopback.deployed(max_body_bytes=100) as deployment:
         chunk = b"40\r\n" + b"x" * 64 + b"\r\n"
         data = _post("Transfer-Encoding: chunked", chunk * 2)
@@ -145,7 +145,7 @@
         assert body["error"]["code"] == "body_too_large"
 
 
-async def test_accounts_guard_every_path():
+async def test_accounts_are_checked_on_every_path():
     dealer = loopback.account("dealer", "t1", services=("verdict-llm",))
     async with loopback.deployed(dealer) as deployment:
         post = deployment.session.post
@@ -170,7 +170,7 @@
         assert not deployment.plain_endpoints["till-1"].runs
 
 
-async def test_answers_carry_ids_count_and_digest():
+async def test_responses_have_ids_token_count_and_digest():
     async with loopback.deployed() as deployment:
         async with deployment.session.post(
             deployment.base + PATH,
@@ -199,7 +199,7 @@
     return events
 
 
-async def test_a_stream_goes_on_after_the_last_event_seen():
+async def test_stream_resumes_after_the_last_event_id():
     """A caller resumes a stream by idempotency key and last event id."""
     prompt = BODY["prompt"]
     async with loopback.deployed() as deployment:
@@ -225,9 +225,7 @@
 
 @pytest.mark.parametrize("is_streamed", [False, True])
 @pytest.mark.parametrize("words", [3, 400])
-async def test_a_caller_that_leaves_frees_the_engines_memory(
-    is_streamed, words
-):
+async def test_disconnected_caller_frees_engine_memory(is_streamed, words):
     """Engines release their memory if a caller disconnects.
 
     With 400 words this happens during prefill, with 3 words during decode.
@@ -245,7 +243,7 @@
         assert limits.in_flight("verdict-llm") == 0
 
 
-async def test_a_stream_that_fails_ends_with_an_error_and_a_cut():
+async def test_failed_stream_ends_with_error_event_and_truncated_body():
     """A failed stream ends with an error event and a truncated body.
 
     Clients that ignore error events thus see an error as well.
@@ -267,7 +265,7 @@
     assert b"[DONE]" not in seen
 
 
-async def test_readiness_is_told_to_the_balancer_and_to_callers():
+async def test_readiness_for_balancer_and_callers():
     async with loopback.deployed() as deployment:
         admission = deployment.entry.core.admission
         admission.is_ready = False
--- a/tests/callers/test_openai_client.py
+++ b/tests/callers/test_openai_client.py
@@ -66,9 +66,7 @@
 @pytest.mark.parametrize(
     "kind", [errors.ErrorKind.RATE_LIMITED, errors.ErrorKind.QUEUE_FULL]
 )
-async def test_a_refused_request_is_sent_again_when_the_answer_says_so(
-    kind, monkeypatch
-):
+async def test_client_retries_a_refusal_after_retry_after(kind, monkeypatch):
     """The client retries a 429 or 503 response after its Retry-After time."""
     refusals = [errors.WharfError(kind, retry_after_ms=40)]
 
@@ -87,7 +85,7 @@
     assert answer.status_code == 200
 
 
-async def test_an_account_over_its_rate_is_refused_with_the_time_to_wait():
+async def test_rate_limited_account_gets_retry_after():
     dealer = loopback.account("dealer", "t1", rate_per_s=0.01)
     async with loopback.deployed(dealer) as deployment:
         async with _client(deployment, "t1", max_retries=0) as client:
@@ -103,7 +101,7 @@
     assert 50 < int(caught.value.response.headers["Retry-After"]) <= 100
 
 
-async def test_an_unknown_outcome_is_not_sent_again(monkeypatch):
+async def test_client_does_not_retry_an_unknown_outcome(monkeypatch):
     """The client must not retry a 5xx whose outcome is unknown.
 
     By default it retries every 5xx.
@@ -126,7 +124,7 @@
     assert caught.value.body["ran"] == "unknown"
 
 
-async def test_a_service_without_engines_answers_503_with_retry_after():
+async def test_service_without_engines_returns_503_with_retry_after():
     async with loopback.deployed() as deployment:
         for engine in deployment.engines.values():
             await engine.die()
@@ -141,7 +139,7 @@
     assert int(caught.value.response.headers["Retry-After"]) >= 1
 
 
-async def test_an_answer_that_breaks_off_is_an_error_and_never_whole():
+async def test_client_raises_on_a_truncated_stream():
     """The client raises if all engines die while it reads a stream."""
     slow = dataclasses.replace(loopback.FAST, step_base_ms=30.0)
     async with loopback.deployed(spec=slow) as deployment:
--- a/tests/callers/test_plain.py
+++ b/tests/callers/test_plain.py
@@ -77,7 +77,7 @@
     raise AssertionError("the configuration never came")
 
 
-async def test_bodies_and_headers_go_through_both_ways():
+async def test_bodies_and_headers_are_forwarded_in_both_directions():
     async with loopback.deployed() as deployment:
         shop = await _deploy(deployment)
         url = f"{deployment.base}/s/photos"
@@ -114,7 +114,7 @@
             assert await answer.read() == b"12345"
 
 
-async def test_a_compressed_body_goes_through_as_it_is():
+async def test_compressed_body_is_forwarded_unchanged():
     async with loopback.deployed() as deployment:
         shop = await _deploy(deployment)
         packed = gzip.compress(b"stock " * 100)
@@ -127,7 +127,7 @@
         assert shop.seen[0]["Content-Encoding"] == "gzip"
 
 
-async def test_a_broken_connection_is_never_sent_twice():
+async def test_request_is_not_resent_after_a_broken_connection():
     """A request whose connection breaks is sent once; its outcome is unknown.
 
     By default, aiohttp's client retries PUT and DELETE requests.
@@ -145,7 +145,7 @@
         assert shop.calls == ["PUT hang-up", "DELETE hang-up", "POST hang-up"]
 
 
-async def test_an_answer_that_breaks_off_is_not_taken_for_whole():
+async def test_truncated_response_is_not_completed():
     async with loopback.deployed() as deployment:
         await _deploy(deployment)
         with pytest.raises(aiohttp.ClientError):
@@ -156,7 +156,7 @@
                 await answer.read()
 
 
-async def test_a_caller_that_stops_sending_is_told_and_the_endpoint_freed():
+async def test_stalled_request_body_is_refused_and_frees_the_endpoint():
     """A caller that stops in the middle of its body gets a 408.
 
     The endpoint has received a part, so the request may have run.
@@ -179,7 +179,7 @@
         assert deployment.entry.core.plain_limits.in_flight("photos") == 0
 
 
-async def test_a_caller_that_leaves_ends_the_call():
+async def test_disconnected_caller_ends_the_call():
     async with loopback.deployed() as deployment:
         shop = await _deploy(deployment)
         host, port = deployment.base.removeprefix("http://").split(":")
--- a/tests/telemetry/test_counter_totals.py
+++ b/tests/telemetry/test_counter_totals.py
@@ -7,7 +7,7 @@
 from jujubewharf.telemetry import counter_totals
 
 
-def test_totals_are_by_reason_over_all_other_attributes(monkeypatch):
+def test_totals_by_reason_sum_over_other_attributes(monkeypatch):
     monkeypatch.setattr(counter_totals, "_readers", [])
     assert counter_totals.by_reason("callers.refusals") is None
     provider = sdk_metrics.MeterProvider([counter_totals.make_reader()])
--- a/tests/telemetry/test_explanation.py
+++ b/tests/telemetry/test_explanation.py
@@ -22,7 +22,7 @@
     return files
 
 
-def test_a_life_over_several_files(tmp_path):
+def test_history_from_several_files(tmp_path):
     files = _files(
         tmp_path,
         "\n".join(
@@ -50,7 +50,7 @@
     assert "-2000 ms" in text
 
 
-def test_foreign_and_cut_lines_are_skipped_and_counted(tmp_path):
+def test_unparsable_lines_are_skipped_and_counted(tmp_path):
     files = _files(
         tmp_path,
         "Traceback\n"
@@ -66,13 +66,13 @@
     assert "3 lines skipped" in explanation.render(history)
 
 
-def test_a_request_that_isnt_there_says_so(tmp_path):
+def test_unknown_request_id(tmp_path):
     history = explanation.read("r9", _files(tmp_path, _line(1.0, "x")))
     assert not history.lines
     assert explanation.render(history).startswith("no line of request r9")
 
 
-def test_a_silent_endpoint_is_named(tmp_path):
+def test_engine_without_response_is_named(tmp_path):
     files = _files(
         tmp_path,
         "\n".join(
--- a/tests/telemetry/test_line_writer.py
+++ b/tests/telemetry/test_line_writer.py
@@ -29,7 +29,7 @@
     assert stream.getvalue().split() == [str(n) for n in range(1_000)]
 
 
-def test_a_stalled_reader_stops_nobody_and_the_loss_is_counted():
+def test_stalled_reader_drops_lines_without_blocking():
     """A stalled reader neither blocks writers nor lets the queue grow.
 
     The number of dropped lines is logged once the reader continues.
--- a/tests/telemetry/test_log_rate_limiter.py
+++ b/tests/telemetry/test_log_rate_limiter.py
@@ -15,7 +15,7 @@
         return None
 
 
-def test_a_storm_is_cut_and_counted():
+def test_frequent_events_are_dropped_and_counted():
     now_s = [0.0]
     bound = log_rate_limiter.LogRateLimiter(max_per_s=3, now_s=lambda: now_s[0])
     storm = [_written(bound, "refused") for _ in range(10)]
@@ -29,6 +29,6 @@
 
 
 @pytest.mark.parametrize("count", [1, 200])
-def test_what_is_within_the_bound_is_all_written(count):
+def test_events_within_the_limit_are_written(count):
     bound = log_rate_limiter.LogRateLimiter(now_s=lambda: 0.0)
     assert all(_written(bound, "refused") for _ in range(count))
--- a/tests/telemetry/test_logs.py
+++ b/tests/telemetry/test_logs.py
@@ -75,9 +75,7 @@
     monkeypatch.setattr(deployment.entry.core, "answer", answer)
 
 
-async def test_no_line_of_a_session_holds_a_token_or_a_prompt(
-    stream, monkeypatch
-):
+async def test_log_lines_contain_no_token_or_prompt(stream, monkeypatch):
     loop = asyncio.get_running_loop()
     logs.handle_loop_errors(loop)
     account = loopback.account("dealer", TOKEN)
@@ -102,7 +100,7 @@
     assert crashed["frames"]
 
 
-def test_lines_of_other_libraries_are_json_too(stream):
+def test_records_of_other_libraries_are_json(stream):
     logging.getLogger("mode.services").warning("Stopping %s\nmore", "it")
     # asyncio may log the creation of pytest-asyncio's event loop as well.
     (line,) = [x for x in _lines(stream) if x["logger"] != "asyncio"]
@@ -111,7 +109,7 @@
     assert line["level"] == "warning"
 
 
-def test_ids_bound_to_the_task_are_on_its_lines(stream):
+def test_bound_request_id_is_logged(stream):
     with structlog.contextvars.bound_contextvars(request="r1"):
         structlog.get_logger().info("one", attempt="r1.1")
         logging.getLogger("aiohttp.server").warning("two")
--- a/tests/telemetry/test_metrics.py
+++ b/tests/telemetry/test_metrics.py
@@ -47,7 +47,7 @@
     assert listed == made
 
 
-async def test_the_prometheus_endpoint_tells_what_was_counted():
+async def test_prometheus_endpoint_exposes_counters():
     registry = prometheus_client.CollectorRegistry()
     reader = metrics._prometheus_reader(registry)
     provider = sdk_metrics.MeterProvider(metric_readers=[reader])
@@ -67,7 +67,7 @@
     assert 'jujubewharf_callers_x_total{reason="rate_limited"} 3.0' in text
 
 
-def test_nothing_is_set_up_unless_asked_for():
+def test_metrics_are_off_by_default():
     before = api.get_meter_provider()
     identity = metrics.Identity("e1", "r", "d")
     assert metrics.configure(models.TelemetrySettings(), identity) is None
--- a/tests/test_bearer.py
+++ b/tests/test_bearer.py
@@ -35,14 +35,14 @@
     "token",
     ["k" * 100_000, "ключ", "a\x01b", "\udcff\udcfe", "a b", "key, other"],
 )
-def test_odd_tokens_are_just_unknown(token):
+def test_unusual_tokens_are_unknown(token):
     """A token that is not UTF-8 leads to a 401 rather than a 500."""
     table = bearer.DigestTable([(bearer.token_digest("known"), 1)])
     assert table.find(token) is None
     assert table.find("known") == 1
 
 
-def test_a_token_of_two_owners_finds_neither():
+def test_ambiguous_token_matches_nothing():
     digest = bearer.token_digest("same")
     other = bearer.token_digest("other")
     table = bearer.DigestTable([(digest, 1), (digest.upper(), 2), (other, 3)])
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -19,5 +19,5 @@
         assert 400 <= answer.http_status < 600
 
 
-def test_the_page_is_what_the_command_prints():
+def test_documentation_page_is_up_to_date():
     assert PAGE.read_text() == error_page.render()
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -20,7 +20,7 @@
         ("1,5", None),
     ],
 )
-def test_amounts(text, amount):
+def test_parse_decimal(text, amount):
     assert header_values.parse_decimal(text) == amount
 
 
@@ -28,5 +28,5 @@
     ("text", "whole"),
     [("12", 12), (" 7 ", 7), ("-1", None), ("1.5", None), ("9" * 16, None)],
 )
-def test_whole_numbers(text, whole):
+def test_parse_integer(text, whole):
     assert header_values.parse_integer(text) == whole
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -14,7 +14,7 @@
 """
 
 
-def test_the_daemon_loads_no_library_of_the_tools():
+def test_daemon_imports_no_libraries_of_the_tools():
     """Libraries of the tools would add to the memory of each instance."""
     done = subprocess.run(
         [sys.executable, "-c", _SCRIPT],
@@ -48,7 +48,7 @@
 """
 
 
-def test_an_instance_that_forwards_loads_nothing_that_it_doesnt_serve():
+def test_forwarding_instance_imports_no_unused_modules():
     """Unused modules would slow down each start of a forwarding instance."""
     platform = pathlib.Path(__file__).parents[1] / "platform"
     done = subprocess.run(
@@ -69,7 +69,7 @@
 """
 
 
-def test_the_core_loads_nothing_of_the_operator_interface():
+def test_core_imports_no_operator_modules():
     """The core must not depend on the operator interface, which uses it."""
     done = subprocess.run(
         [sys.executable, "-c", _CORE_SCRIPT],
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_random_failures_break_no_promise(seed):
+def test_random_faults_cause_no_violation(seed):
     assert soak.run_seed(seed).violations == []
 
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -7,7 +7,7 @@
 from tests import loopback
 
 
-async def test_requests_of_all_kinds_are_answered_whole():
+async def test_all_kinds_of_requests_are_answered():
     async with loopback.deployed() as deployment:
         session, base = deployment.session, deployment.base
         prompt = "answer_tokens=9 " + "word " * 200
--- a/tests/users_platform/test_boundary.py
+++ b/tests/users_platform/test_boundary.py
@@ -24,7 +24,7 @@
 )
 
 
-def test_no_word_of_the_platform_outside_its_folder():
+def test_platform_terms_stay_in_the_adapter():
     found = [
         f"{path.relative_to(ROOT)}: {match.group()}"
         for path in SOURCE.rglob("*.py")
@@ -33,14 +33,14 @@
     assert found == []
 
 
-def test_the_folder_stays_small():
+def test_adapter_stays_small():
     lines = sum(
         len(path.read_text().splitlines()) for path in ADAPTER.rglob("*.py")
     )
     assert lines < MAX_LINES
 
 
-def test_the_folder_doesnt_decide():
+def test_adapter_imports_no_policy_modules():
     """The adapter must not import modules that implement policies."""
     decides = ("placement", "pool", "budget", "role_plan", "plain", "stream")
     imported = [
--- a/tests/users_platform/test_edge.py
+++ b/tests/users_platform/test_edge.py
@@ -170,7 +170,7 @@
         "TENANT: other\r\ntenant: other",
     ],
 )
-async def test_what_the_system_sets_is_not_taken_from_callers(forged):
+async def test_reserved_headers_of_callers_are_dropped(forged):
     async with _connected(_reply(b"ok", length=2)) as caller:
         await caller.send(_request(forged))
         await caller.read()
@@ -179,7 +179,7 @@
         assert name not in {n.lower() for n, _ in call.headers}
 
 
-async def test_what_a_trailer_says_of_the_account_is_left_out():
+async def test_account_in_trailer_is_ignored():
     async with _connected(_reply(b"ok", length=2)) as caller:
         await caller.send(
             _request("Transfer-Encoding: chunked", "Trailer: Tenant")
@@ -196,7 +196,7 @@
     "sizes",
     ["", ",", "5", "-1,5", "1,-5", "a,b", "1.5,2", "²,5", "9" * 5_000 + ",1"],
 )
-async def test_a_malformed_size_is_no_size(sizes):
+async def test_malformed_token_counts_are_ignored(sizes):
     async with _connected(_reply(b"ok", length=2)) as caller:
         await caller.send(_request(f"Token-Counts: {sizes}"))
         status, _, _ = await caller.read()
@@ -206,7 +206,7 @@
 
 
 @pytest.mark.parametrize("key", ["k" * 100_000, "\x01", "ключ"])
-async def test_an_odd_key_ends_in_an_answer(key):
+async def test_unusual_api_keys_get_a_response(key):
     """Unusual keys must not break the connection or the instance."""
     fail = _fail(errors.ErrorKind.UNAUTHENTICATED)
     async with _connected(fail) as caller:
@@ -215,7 +215,7 @@
         assert status in (400, 401)
 
 
-async def test_a_caller_without_a_key_is_told_which_kind_is_asked_for():
+async def test_missing_key_gets_www_authenticate():
     async with _connected(_fail(errors.ErrorKind.UNAUTHENTICATED)) as caller:
         await caller.send(_request())
         status, headers, body = await caller.read()
@@ -223,7 +223,7 @@
         assert headers["www-authenticate"] == "Bearer"
 
 
-async def test_headers_of_one_connection_stay_there():
+async def test_hop_by_hop_headers_are_not_forwarded():
     async with _connected(_reply(b"ok", length=2)) as caller:
         await caller.send(_request("Connection: X-Hop", "X-Hop: 1", "TE: x"))
         await caller.read()
@@ -242,7 +242,7 @@
         ["Content-Length : 4"],
     ],
 )
-async def test_a_request_with_two_ends_is_refused_and_the_connection_closed(
+async def test_ambiguous_body_length_is_refused_and_closes_the_connection(
     smuggled,
 ):
     """Guards against request smuggling by ambiguous body lengths."""
@@ -256,7 +256,7 @@
         assert caller.forwarding.calls == []
 
 
-async def test_a_body_in_chunks_is_whole():
+async def test_chunked_body_is_reassembled():
     async with _connected(_reply(b"ok", length=2)) as caller:
         await caller.send(
             _request("Transfer-Encoding: chunked")
@@ -304,7 +304,7 @@
             assert (await caller.read())[0] == 200
 
 
-async def test_a_refusal_says_when_to_come_back():
+async def test_refusal_has_retry_after():
     script = _fail(errors.ErrorKind.QUEUE_FULL, retry_after_ms=2_345.0)
     async with _connected(script) as caller:
         await caller.send(_request())
@@ -314,7 +314,7 @@
         assert "server-seal" not in headers
 
 
-async def test_what_may_have_run_is_not_called_refused():
+async def test_possibly_run_request_is_not_refused_with_503():
     """Callers retry every 503, so one must not be sent if it may have run."""
     script = _fail(
         errors.ErrorKind.QUEUE_FULL,
@@ -328,7 +328,7 @@
         assert "retry-after" not in headers
 
 
-async def test_a_stream_is_passed_on_as_it_comes():
+async def test_stream_is_forwarded_as_it_arrives():
     async with _connected(_reply(b"id: 1\n\n", b"id: 2\n\n")) as caller:
         await caller.send(_request())
         status, headers, body = await caller.read()
@@ -336,7 +336,7 @@
         assert (status, body) == (200, b"id: 1\n\nid: 2\n\n")
 
 
-async def test_a_broken_stream_doesnt_look_whole():
+async def test_failed_stream_resets_the_connection():
     """The connection of a failed stream is reset, not closed in order."""
     broken = errors.WharfError(errors.ErrorKind.ANSWER_BROKEN)
     async with _connected(_reply(b"id: 1\n\n", broken)) as caller:
@@ -345,7 +345,7 @@
             await caller.read()
 
 
-async def test_a_caller_that_leaves_cancels_its_request():
+async def test_disconnected_caller_cancels_its_request():
     has_begun = asyncio.Event()
     was_cancelled = asyncio.Event()
 
@@ -364,7 +364,7 @@
         await asyncio.wait_for(was_cancelled.wait(), 5)
 
 
-async def test_a_caller_that_leaves_a_stream_cancels_it():
+async def test_disconnected_caller_cancels_its_stream():
     async def endless():
         while True:
             yield b"id: 1\n\n"
@@ -380,7 +380,7 @@
         await asyncio.wait_for(caller.forwarding.was_cancelled.wait(), 5)
 
 
-async def test_before_a_shutdown_callers_are_asked_to_go_elsewhere():
+async def test_connections_are_closed_before_a_shutdown():
     async with _connected(_reply(b"ok", length=2)) as caller:
         caller.forwarding.is_ready = False
         await caller.send(_request())
@@ -389,7 +389,7 @@
         assert await caller.is_closed()
 
 
-async def test_a_sender_that_stops_inside_a_head_is_let_go():
+async def test_incomplete_head_times_out():
     """Slow clients must not use up all file descriptors."""
     async with _connected(_reply(b"ok", length=2)) as caller:
         await caller.send(b"GET /a/1 HTTP/1.1\r\nHost: a\r\nX-Slow: ")
@@ -397,7 +397,7 @@
         assert caller.forwarding.calls == []
 
 
-async def test_a_head_in_pieces_is_taken():
+async def test_head_in_several_packets():
     async with _connected(_reply(b"ok", length=2)) as caller:
         sent = _request("X-Own: 1")
         await caller.send(sent[:30])
@@ -410,7 +410,7 @@
         assert (await caller.read())[0] == 200
 
 
-async def test_a_body_that_stops_is_refused():
+async def test_stalled_body_is_refused():
     async with _connected(_reply(b"ok", length=2)) as caller:
         await caller.send(_request("Content-Length: 50") + b"part")
         status, headers, _ = await caller.read()
@@ -419,7 +419,7 @@
         assert caller.forwarding.calls == []
 
 
-async def test_a_caller_that_waits_for_a_word_gets_it():
+async def test_expect_100_continue():
     async with _connected(_reply(b"ok", length=2)) as caller:
         await caller.send(_request("Content-Length: 4", "Expect: 100-continue"))
         word = await caller.reader.readuntil(b"\r\n\r\n")
@@ -429,7 +429,7 @@
         assert caller.forwarding.calls[0].body == b"body"
 
 
-async def test_an_unknown_host_is_told_so():
+async def test_unknown_host_returns_404():
     script = _fail(errors.ErrorKind.UNKNOWN_SERVICE)
     async with _connected(script) as caller:
         await caller.send(_request())
--- a/tests/users_platform/test_endpoint_notices.py
+++ b/tests/users_platform/test_endpoint_notices.py
@@ -41,9 +41,7 @@
         (raw_server.answer("500 Failed", Request_Id="r1"), None, False),
     ],
 )
-async def test_a_limit_is_told_as_the_engine_names_it(
-    answer, limit, ends_limit
-):
+async def test_rate_limit_notices(answer, limit, ends_limit):
     """A rate limit ends only with a response that proves to be the engine's.
 
     Malformed limits or responses of a proxy must not lift the limit.
@@ -62,9 +60,7 @@
         ("200 OK", "2", 0.0),
     ],
 )
-async def test_how_long_an_engine_wants_nothing(
-    status, retry_after, backoff_ms
-):
+async def test_backoff_notices(status, retry_after, backoff_ms):
     answer = raw_server.answer(
         status, Request_Id="r1", Not_Executed="1", Retry_After=retry_after
     )
@@ -75,7 +71,7 @@
 @pytest.mark.parametrize(
     "status", ["200 OK", "421 Other", "500 Failed", "503 Busy"]
 )
-async def test_every_answer_says_whether_its_engine_leaves(status):
+async def test_leaving_notice_is_read_from_every_response(status):
     more = {"Instance_Id": "i-1"} if status == "421 Other" else {}
     answer = raw_server.answer(
         status, Request_Id="r1", Server_Leaving="1", **more
@@ -87,7 +83,7 @@
 @pytest.mark.parametrize(
     "more", [{"Request_Id": "r2"}, {"Instance_Id": "i-2"}, {}]
 )
-async def test_nothing_is_told_of_an_engine_by_another(more):
+async def test_no_notice_from_another_engine(more):
     """Responses of another engine or to another request give no notice.
 
     Otherwise a healthy engine would be taken for one that is leaving.
--- a/tests/users_platform/test_engines.py
+++ b/tests/users_platform/test_engines.py
@@ -41,7 +41,7 @@
         return error.fault
 
 
-async def test_a_request_is_sent_as_it_came():
+async def test_request_is_sent_unchanged():
     server, _ = await _send(lambda r: [engine_calls.good()])
     (received,) = server.received
     assert received.line == "POST /a%20b/?x=%2F HTTP/1.1"
@@ -58,7 +58,7 @@
     }
 
 
-async def test_what_the_system_sets():
+async def test_router_headers_are_set():
     sending = calls.OutboundRequest(
         engine_calls.call(),
         500.0,
@@ -73,13 +73,13 @@
     assert sent["last-event-id"] == "12"
 
 
-async def test_an_engine_is_told_the_account():
+async def test_account_header_is_set():
     sending = calls.OutboundRequest(engine_calls.call(account="huka"), 500.0)
     server, _ = await _send(lambda r: [engine_calls.good()], sending)
     assert server.received[0].headers["tenant"] == "huka"
 
 
-async def test_an_answer_comes_through_without_what_is_for_this_system():
+async def test_internal_response_headers_are_removed():
     good = engine_calls.good(
         Engine_Load="1,0,8", Instance_Id="i-1", X_Other="y"
     )
@@ -112,37 +112,37 @@
         ("503 Busy", {"Request_Id": "r1"}, FAULT.LOST),
     ],
 )
-async def test_what_refusals_and_foreign_answers_mean(status, headers, fault):
+async def test_faults_of_refusals_and_foreign_responses(status, headers, fault):
     bad = raw_server.answer(status, **headers)
     _, found = await _send(lambda r: [bad])
     assert found == [fault]
 
 
-async def test_an_engines_own_failure_is_an_answer():
+async def test_error_status_of_an_engine_is_returned():
     bad = engine_calls.good(status="500 Oops")
     _, [(status, body, _)] = await _send(lambda r: [bad])
     assert (status, body) == (500, b"ok")
 
 
-async def test_an_answer_that_is_cut_short_is_lost():
+async def test_truncated_response_is_lost():
     _, found = await _send(lambda r: [engine_calls.good()[:-1]])
     assert found == [FAULT.LOST]
 
 
-async def test_an_answer_without_length_ends_with_its_connection():
+async def test_response_without_length_ends_with_its_connection():
     whole = engine_calls.good(length=False, body=b"all of it")
     _, [(_, body, _)] = await _send(lambda r: [whole])
     assert body == b"all of it"
 
 
-async def test_an_answer_without_length_that_is_reset_is_lost():
+async def test_reset_response_without_length_is_lost():
     """A truncated response without a length must not look complete."""
     part = engine_calls.good(length=False, body=b"part of it")
     _, found = await _send(lambda r: [part, raw_server.RESET])
     assert found == [FAULT.LOST]
 
 
-async def test_a_second_answer_is_not_taken_for_the_next_ones():
+async def test_duplicate_response_is_not_taken_for_the_next():
     """A duplicate response is not taken for that to the next request."""
     twice = engine_calls.good() + engine_calls.good(body=b"second")
     server, found = await _send(lambda r: [twice], count=3)
@@ -151,14 +151,14 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE", "POST"])
-async def test_a_closed_connection_is_never_sent_to_twice(method):
+async def test_request_is_not_resent_after_a_reset(method):
     sending = calls.OutboundRequest(engine_calls.call(method=method), 500.0)
     server, found = await _send(lambda r: [raw_server.RESET], sending)
     assert found == [FAULT.LOST]
     assert len(server.received) == 1
 
 
-async def test_nobody_there_means_that_nothing_was_sent():
+async def test_refused_connection_is_unreachable():
     async with raw_server.serving(lambda r: []) as (_, address):
         pass
     async with engine_calls.connected() as backends:
@@ -168,7 +168,7 @@
     assert found is FAULT.UNREACHABLE
 
 
-async def test_leaving_the_block_ends_the_engines_connection():
+async def test_leaving_the_context_closes_the_connection():
     async with raw_server.serving(
         lambda r: [engine_calls.good(length=False), raw_server.SILENCE]
     ) as (server, address):
@@ -189,7 +189,7 @@
             ), server.received[0]
 
 
-async def test_a_prompt_is_read_apart():
+async def test_prefill():
     answer = raw_server.answer(body=b'{"kvHandle":"h7","tokens":5}')
     found, received = await _ask(
         answer,
@@ -202,7 +202,7 @@
     assert received.headers["request-id"] == "r1"
 
 
-async def test_memory_is_reserved_at_the_engine_that_is_meant():
+async def test_reservation_names_the_expected_engine():
     answer = raw_server.answer(body=b'{"hold":"x"}')
     found, received = await _ask(
         answer, lambda b, e: b.reserve(e, tokens=7, ttl_ms=900.0)
@@ -222,7 +222,7 @@
         ("421 Other", FAULT.REFUSED_IDENTITY),
     ],
 )
-async def test_orders_that_are_refused(status, fault):
+async def test_faults_of_refused_orders(status, fault):
     order = ports.RoleOrder(resources.Role.PREFILL, "e1", 41)
     with pytest.raises(client.EngineError) as caught:
         await _ask(
@@ -231,7 +231,7 @@
     assert caught.value.fault is fault
 
 
-async def test_an_order():
+async def test_role_order():
     order = ports.RoleOrder(resources.Role.PREFILL, "e1", 41)
     _, received = await _ask(
         raw_server.answer("202 Accepted"), lambda b, e: b.order_role(e, order)
@@ -242,13 +242,13 @@
     )
 
 
-async def test_an_engine_in_the_middle_of_an_order():
+async def test_engine_that_is_switching_roles():
     answer = raw_server.answer(body=b'{"busy":true}')
     found, _ = await _ask(answer, lambda b, e: b.is_changing(e))
     assert found is True
 
 
-async def test_a_report_of_another_start_tells_nothing_of_this_one():
+async def test_report_of_a_restarted_engine_is_refused():
     """A restarted engine is not busy with an order to its predecessor."""
     answer = raw_server.answer(body=b'{"busy":true,"born":2000}')
 
@@ -282,7 +282,7 @@
 
 
 @pytest.mark.parametrize("sent_bytes", range(0, len(_STREAM), 5))
-async def test_a_stream_that_is_reset_never_looks_whole(sent_bytes):
+async def test_reset_stream_never_looks_complete(sent_bytes):
     """A stream whose connection is reset at any byte must not look complete."""
 
     def script(received):
@@ -302,7 +302,7 @@
     assert b"".join(_EVENTS).startswith(body)
 
 
-async def test_a_kept_connection_that_was_reset_says_nothing_of_the_engine():
+async def test_reset_keep_alive_connection_is_replaced():
     """A call is retried if the engine had closed the idle connection."""
     connections = 0
 
@@ -337,7 +337,7 @@
     assert third in ("h2", "h3")
 
 
-async def test_a_late_answer_on_a_kept_connection_is_not_this_calls():
+async def test_late_response_on_keep_alive_connection_is_lost():
     """A response with the id of another call is an unknown outcome."""
 
     def script(received):
@@ -353,7 +353,7 @@
     assert raised.value.fault is FAULT.LOST
 
 
-async def test_a_pause_of_this_process_in_a_connect_changes_no_answer():
+async def test_pause_during_connect_is_tolerated():
     """These tests must not fail if the process is paused during a connect."""
     sending = calls.OutboundRequest(engine_calls.call(), 1_234.9)
     async with raw_server.serving(lambda r: [engine_calls.good()]) as (
--- a/tests/users_platform/test_records.py
+++ b/tests/users_platform/test_records.py
@@ -156,7 +156,7 @@
     )
 
 
-def test_callers_need_a_key_where_accounts_are_declared_if_only_none():
+def test_empty_account_list_requires_keys():
     """An empty list of accounts admits nobody; no list admits everybody."""
     assert _configuration().accounts is None
     assert _accounts() == ()
@@ -170,7 +170,7 @@
         {"ratePerS": None},
     ],
 )
-def test_a_limit_that_bounds_nothing(limits):
+def test_non_positive_rate_means_no_quota(limits):
     tenant = TENANT | limits
     if tenant["ratePerS"] is None:
         del tenant["ratePerS"]
@@ -187,18 +187,18 @@
     assert found.quota.burst > 0.0
 
 
-def test_a_configuration_that_cant_be_understood_tells_no_key():
+def test_configuration_errors_do_not_quote_api_keys():
     with pytest.raises(ValueError, match="validation error") as refused:
         _accounts(TENANT | {"name": 7, "apiKeys": ["very-secret", 3]})
     assert "very-secret" not in str(refused.value)
 
 
-def test_records_of_other_matters_are_none():
+def test_other_configuration_keys_are_ignored():
     assert records.decode_configuration("other", b"{}") is None
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b"{}", b'{"version":"x"}'])
-def test_what_cant_be_understood_is_said(value):
+def test_invalid_records_raise_value_error(value):
     with pytest.raises(ValueError, match="validation error"):
         records.decode_configuration("config", value)
     with pytest.raises(ValueError, match="validation error"):
@@ -217,7 +217,7 @@
     )
 
 
-def test_each_start_under_one_id_is_an_endpoint_of_its_own():
+def test_each_start_has_its_own_endpoint_name():
     first, second = _endpoint(born=1_000), _endpoint(born=2_000)
     assert first.name != second.name
     assert first.registered_as == second.registered_as == "i-1"
@@ -264,14 +264,14 @@
         {"born": -1},
     ],
 )
-def test_an_entry_of_another_writer_names_no_endpoint(more):
+def test_invalid_entry_is_no_endpoint(more):
     """Requests must not be sent to the address of an invalid entry."""
     with pytest.raises(ValueError):
         _endpoint(**more)
 
 
 @pytest.mark.parametrize("missing", sorted(SERVER.keys() - {"stage"}))
-def test_an_entry_that_lacks_a_field_names_no_endpoint(missing):
+def test_incomplete_entry_is_no_endpoint(missing):
     entry = {k: v for k, v in SERVER.items() if k != missing}
     with pytest.raises(ValueError):
         records.decode_endpoint("i-1", json.dumps(entry).encode())
--- a/tests/users_platform/test_start.py
+++ b/tests/users_platform/test_start.py
@@ -24,7 +24,7 @@
 """
 
 
-def test_a_settings_signal_during_the_start_ends_nothing():
+def test_sighup_during_start_is_ignored():
     """SIGHUP must not end the process before its handler is installed."""
     done = subprocess.run(
         [sys.executable, "-c", _SCRIPT, str(_START)],
--- a/tests/users_platform/test_store.py
+++ b/tests/users_platform/test_store.py
@@ -46,7 +46,7 @@
     return raw_server.answer(body=body)
 
 
-async def test_a_whole_table_is_read_over_its_pages():
+async def test_whole_table_is_read_page_by_page():
     pages = {
         "": {"items": [_item("a", b"1", 3)], "hasMore": True, "end": 7},
         "a": {"items": [_item("b", b"2", 9)], "hasMore": False, "end": 10},
@@ -66,7 +66,7 @@
     assert page.end == 7
 
 
-async def test_changes_are_numbered_and_removals_told():
+async def test_changes_have_offsets_and_removals():
     sent = _changes(9, 2, b"\x01a1", b"\x01b", b"\x02cc22")
     async with _table(lambda r: [sent]) as (table, server):
         page = await table.changes(5, wait_ms=300.0)
@@ -80,7 +80,7 @@
     assert "waitMs=300" in server.received[0].line
 
 
-async def test_a_record_that_is_cut_off_is_read_next_time():
+async def test_truncated_record_is_read_again():
     whole = _changes(9, 2, b"\x01a1")
     cut = whole.replace(b"Content-Length: 23", b"Content-Length: 27")
     cut += struct.pack(">I", 50)
@@ -89,7 +89,7 @@
     assert page.end == 6
 
 
-async def test_a_record_that_isnt_understood_has_no_value():
+async def test_undecodable_record_has_no_value():
     """An invalid record replaces the earlier valid one of its key."""
     sent = _changes(9, 2, b"\x01abad", b"", b"\x01b2")
     async with _table(lambda r: [sent]) as (table, _):
@@ -101,7 +101,7 @@
     assert page.end == 8
 
 
-async def test_forgotten_changes_are_told():
+async def test_truncated_log_raises():
     gone = raw_server.answer("410 Gone", b'{"first":44}')
     async with _table(lambda r: [gone]) as (table, _):
         with pytest.raises(log.LogTruncatedError) as caught:
@@ -120,7 +120,7 @@
         [raw_server.answer()[:-1]],
     ],
 )
-async def test_what_is_no_answer_is_unavailable(steps):
+async def test_failed_calls_raise_unavailable(steps):
     async with _table(lambda r: steps) as (table, _):
         with pytest.raises(log.LogUnavailableError):
             await table.newest()
@@ -128,7 +128,7 @@
             await table.changes(0, wait_ms=0.0)
 
 
-async def test_a_silent_store_is_unavailable(monkeypatch):
+async def test_call_timeout_raises_unavailable(monkeypatch):
     monkeypatch.setattr(store, "_TIMEOUT_MS", 50.0)
     async with _table(lambda r: [raw_server.SILENCE]) as (table, _):
         with pytest.raises(log.LogUnavailableError):
@@ -150,7 +150,7 @@
     assert (sent["group"], sent["generation"], sent["ttlMs"]) == ("g", 6, 3000)
 
 
-async def test_records_are_written_under_their_keys_in_one_call():
+async def test_records_are_written_in_one_call():
     async with _table(lambda r: [_json({"offset": 0, "end": 2})]) as (
         table,
         server,
@@ -166,13 +166,13 @@
 
 
 @pytest.mark.parametrize("status", ["503 Busy", "507 Full", "404 None"])
-async def test_a_write_that_is_refused_is_an_error(status):
+async def test_refused_write_raises(status):
     async with _table(lambda r: [raw_server.answer(status)]) as (table, _):
         with pytest.raises(log.LogUnavailableError):
             await table.write({"a": b"1"})
 
 
-async def test_a_store_that_knows_no_such_table_is_no_empty_one():
+async def test_missing_table_raises_unavailable():
     """A missing table must not look like one without endpoints."""
     absent = raw_server.answer("404 Not Found", b"{}")
     async with _table(lambda r: [absent]) as (table, _):
