--- a/src/jujubewharf/standins/__init__.py
+++ b/src/jujubewharf/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for engines, endpoints and the platform, for tests."""
+"""In-memory stand-ins for engines, endpoints and the platform."""
--- a/src/jujubewharf/standins/backend_state.py
+++ b/src/jujubewharf/standins/backend_state.py
@@ -1,4 +1,4 @@
-"""One engine or endpoint that forwarding can be run against, and its faults."""
+"""State and injected faults of a stand-in engine or endpoint."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ran:
-    """One run that an engine began, and what it was told of the caller."""
+    """A run that an engine started, with the request data it received."""
 
     request_id: str
     engine: str
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Asked:
-    """A request or a prompt that reached a backend, also one it refused."""
+    """A request or prefill that reached a backend, even if rejected."""
 
     instance: str
     at_ms: float
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crashed:
-    """A backend that crashed under a request."""
+    """A crash of a backend caused by a request."""
 
     body: bytes
     engine: str
@@ -47,42 +47,43 @@
 
 @dataclasses.dataclass(slots=True)
 class StandInBackend:
-    """One engine or endpoint and its faults.
+    """An engine or plain endpoint and its injected faults.
 
     Attributes:
-        endpoint: What it registers.
-        memory_tokens: Tokens that can be reserved at once.
-        events: Events of each of its answers.
-        event_ms: Time between them.
-        prefill_token_ms: Time to read a token.
-        work_ms: Time for a plain answer.
-        status: Status of its answers.
-        is_unreachable: No connection is made.
-        is_changing: It carries out an order and refuses runs.
-        is_replaced: Another engine has its address.
-        is_silent: It never answers a run that it began.
-        loses_answers: It runs a request and the answer is lost.
-        refuses_sources: Prefill results can't be fetched.
-        refuses_readings: It has no room to read a prompt.
-        loses_readings: It reads prompts and the results are lost.
-        skips: Its streams leave this event out.
-        breaks_after: Its streams break after this event.
-        stalls_after: Its streams fall silent after this event.
-        held: Memory reserved now, by reservation or run.
-        lapses_ms: When reservations end that no run has taken.
-        at_work: Requests that it works on now.
-        orders: Orders that it accepted.
-        next_fault: Fault of the next order, once.
-        refused_readings: Prompts that it was asked to read and had no room
-            for.
-        rate_limit_per_s: Limit that it names in its answers.
-        is_leaving: It says in its answers that it leaves.
-        backoff_ms: It refuses all, and asks to back off for so long.
-        asked: Requests and prompts that reached it, in order.
-        asked_memory: Calls that asked it for memory.
-        told_ms: When it first answered each instance with such a word.
-        has_crashed: Its process is gone, with all that it ran.
-        is_cut: It only seems so to all instances, which can't reach it.
+        endpoint: The registered endpoint.
+        memory_tokens: Decode memory in tokens.
+        events: Number of events in each answer.
+        event_ms: Time between two events.
+        prefill_token_ms: Prefill time per token.
+        work_ms: Response time of a plain endpoint.
+        status: HTTP status of its answers.
+        is_unreachable: Whether connecting to it fails.
+        is_changing: Whether it is executing an order and rejects runs.
+        is_replaced: Whether another engine has taken its address.
+        is_silent: Whether it never answers a run that it started.
+        loses_answers: Whether it runs requests but their answers are lost.
+        refuses_sources: Whether it rejects fetching prefill results.
+        refuses_readings: Whether it rejects prefills as full.
+        loses_readings: Whether it prefills but the results are lost.
+        skips: Number of the event that its streams leave out.
+        breaks_after: Number of the event after which its streams break.
+        stalls_after: Number of the event after which its streams stall.
+        held: Reserved memory in tokens, by reservation or run.
+        lapses_ms: Expiry times of reservations, in clock milliseconds.
+        at_work: Ids of the running requests.
+        orders: Accepted orders.
+        next_fault: Fault raised by the next order only.
+        refused_readings: Number of prefills rejected as full.
+        rate_limit_per_s: Rate limit announced in its answers.
+        is_leaving: Whether its answers announce that it is leaving.
+        backoff_ms: Backoff requested with a rejection of every call; 0 to
+            accept calls.
+        asked: Requests and prefills that reached it, in order.
+        asked_memory: Reservation calls that reached it, in order.
+        told_ms: Clock time of the first announcement to each instance.
+        has_crashed: Set once its process has crashed.
+        is_cut: Whether it is partitioned from all instances rather than
+            crashed.
     """
 
     endpoint: resources.Endpoint
@@ -122,11 +123,11 @@
 
     @property
     def name(self) -> str:
-        """Its registered name."""
+        """Name of the endpoint."""
         return self.endpoint.name
 
     def error(
         self, fault: client.EngineFault, detail: str = ""
     ) -> client.EngineError:
-        """A failure of a call to it."""
+        """Returns an error of a call to this backend."""
         return client.EngineError(fault, self.name, detail)
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -1,8 +1,7 @@
-"""Engines and plain endpoints that forwarding can be run against, in memory.
+"""In-memory engines and plain endpoints for tests of request forwarding.
 
-They keep the promises that forwarding relies on: memory is reserved or
-refused, a prefill result can be fetched once, a run ends when its connection
-does. Faults are switched on by attributes.
+Memory is either reserved or refused, a prefill result can be fetched once, and
+a run ends with its connection. Faults are injected through attributes.
 """
 
 from __future__ import annotations
@@ -26,22 +25,22 @@
 
 
 class StandInBackends:
-    """Implements ``ports.Backends`` over stand-ins.
+    """Implements ``ports.Backends`` with stand-ins.
 
     Args:
-        clock: Time.
-        backends: The engines and endpoints.
+        clock: Clock of the simulation.
+        backends: Engines and endpoints.
 
     Attributes:
-        by_name: The engines and endpoints by name.
-        runs: Runs that began, in order.
-        prefills: Prompts that were read, by request and engine.
-        dropped: Prefill results that were freed unused.
-        instance: Whose calls these are.
-        crashing: Bodies that crash each engine that begins to run them.
-        crash_after_ms: How long after it has begun.
-        crashes: Crashes under such bodies, in order.
-        on_crash: Told of each backend that crashed.
+        by_name: Engines and endpoints by name.
+        runs: Started runs, in order.
+        prefills: Request id and engine name of each prefill, in order.
+        dropped: Handles of prefill results that were dropped.
+        instance: Name of the calling instance.
+        crashing: Request bodies that crash the backend that runs them.
+        crash_after_ms: Time from the start of such a run to the crash.
+        crashes: Crashes caused by such bodies, in order.
+        on_crash: Callbacks called with each crashed backend.
     """
 
     def __init__(
@@ -68,17 +67,17 @@
 
     @property
     def checks(self) -> int:
-        """Calls of ``is_changing``."""
+        """Number of ``is_changing`` calls."""
         return len(self._checked)
 
     def called_by(self, instance: str) -> StandInBackends:
-        """The same backends as one instance of several calls them."""
+        """Returns a view of the same backends for a calling instance."""
         seen = copy.copy(self)
         seen.instance = instance
         return seen
 
     def listen(self, listener: notices.Listener) -> None:
-        """Tells what answers say; see ``ports.Backends``."""
+        """Sets the listener for notices; see ``ports.Backends``."""
         self._listener = listener
 
     @contextlib.asynccontextmanager
@@ -169,7 +168,7 @@
     async def prefill(
         self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
     ) -> calls.PrefillSource:
-        """Reads a prompt; see ``ports.Backends``."""
+        """Prefills a prompt; see ``ports.Backends``."""
         backend = self._reached(endpoint)
         if backend.endpoint.role is not resources.Role.PREFILL:
             raise backend.error(client.EngineFault.REFUSED_ROLE)
@@ -191,7 +190,7 @@
     async def drop_source(
         self, endpoint: resources.Endpoint, source: calls.PrefillSource
     ) -> None:
-        """Frees a prefill result; see ``ports.Backends``."""
+        """Drops a prefill result; see ``ports.Backends``."""
         self._reached(endpoint)
         self._sources.discard(source.handle)
         self.dropped.append(source.handle)
@@ -216,18 +215,18 @@
     async def drop_reservation(
         self, endpoint: resources.Endpoint, hold: str
     ) -> None:
-        """Gives a reservation back; see ``ports.Backends``."""
+        """Releases a reservation; see ``ports.Backends``."""
         self._reached(endpoint).held.pop(hold, None)
 
     async def is_changing(self, endpoint: resources.Endpoint) -> bool:
-        """Whether an order is carried out; see ``ports.Backends``."""
+        """Whether an order is being executed; see ``ports.Backends``."""
         self._checked.append(endpoint.name)
         return self._reached(endpoint).is_changing
 
     async def order_role(
         self, endpoint: resources.Endpoint, order: ports.RoleOrder
     ) -> None:
-        """Takes an order; see ``ports.Backends``."""
+        """Accepts an order; see ``ports.Backends``."""
         backend = self._reached(endpoint)
         fault, backend.next_fault = backend.next_fault, None
         if fault is not None:
@@ -235,12 +234,12 @@
         backend.orders.append(order)
 
     async def has_crashed(self, endpoint: resources.Endpoint) -> bool:
-        """Whether its process is gone; see ``ports.Backends``."""
+        """Whether the process has crashed; see ``ports.Backends``."""
         backend = self.by_name[endpoint.name]
         return backend.has_crashed.is_set() and not backend.is_cut
 
     def crash(self, backend: backend_state.StandInBackend) -> None:
-        """Ends a backend's process, with all that it works on."""
+        """Crashes a backend and all its runs."""
         if backend.has_crashed.is_set():
             return
         backend.has_crashed.set()
@@ -250,7 +249,7 @@
     def _work_ms(
         self, backend: backend_state.StandInBackend, call: calls.Call
     ) -> float:
-        """Time for a plain answer; one that crashes its endpoint has none."""
+        """Returns the response time, or an endless one for crashing bodies."""
         return _ENDLESS_MS if call.body in self.crashing else backend.work_ms
 
     def _crash_soon(
@@ -270,10 +269,10 @@
     async def _pass_time(
         self, backend: backend_state.StandInBackend, for_ms: float
     ) -> None:
-        """Works for a while, unless the backend crashes meanwhile.
+        """Waits for a duration or until the backend crashes.
 
         Raises:
-            EngineError: It has crashed.
+            EngineError: The backend has crashed.
         """
         with contextlib.suppress(TimeoutError):
             async with self._clock.timeout_ms(for_ms):
@@ -281,7 +280,7 @@
             raise backend.error(client.EngineFault.LOST, "crashed")
 
     def lapse(self) -> None:
-        """Ends reservations whose time is over."""
+        """Removes expired reservations."""
         now_ms = self._clock.now_ms()
         for backend in self.by_name.values():
             for hold, until_ms in list(backend.lapses_ms.items()):
@@ -304,7 +303,11 @@
         backend: backend_state.StandInBackend,
         sending: calls.OutboundRequest,
     ) -> float:
-        """Notes that a request reached a backend, which may refuse it."""
+        """Records a request to a backend and returns its time in clock ms.
+
+        Raises:
+            EngineError: The backend asks callers to back off.
+        """
         now_ms = self._clock.now_ms()
         call = sending.call
         backend.asked.append(
@@ -347,7 +350,7 @@
 
 
 def event(request_id: str, number: int) -> bytes:
-    """One event of a stand-in's answer."""
+    """Returns one server-sent event of a stand-in's answer."""
     return f"id: {number}\ndata: {request_id}\n\n".encode()
 
 
--- a/src/jujubewharf/standins/declarations.py
+++ b/src/jujubewharf/standins/declarations.py
@@ -1,4 +1,4 @@
-"""Puts resources on the log without an operator, for benches and tests."""
+"""Encodes resource declarations for the configuration log."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def put(resource: resources.Resource, operation_id: str) -> bytes:
-    """The record that declares a resource, whatever was there before."""
+    """Returns the record that creates or replaces a resource."""
     kind = resources.KIND_OF[type(resource)]
     change = records.Change(
         operation_id=operation_id,
--- a/src/jujubewharf/standins/endpoint.py
+++ b/src/jujubewharf/standins/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint of a plain service in miniature: it echoes and counts."""
+"""Stand-in endpoint of a plain service that echoes and counts requests."""
 
 from __future__ import annotations
 
@@ -12,10 +12,15 @@
 
 
 class PlainEndpoint:
-    """Answers any request with what it was sent.
+    """HTTP endpoint that echoes each request.
+
+    Args:
+        name: Name of the endpoint.
+        clock: Clock that times the answers.
+        answer_ms: Response time.
 
     Attributes:
-        runs: Times each request id ran here.
+        runs: Number of requests, by request id.
     """
 
     def __init__(
@@ -27,7 +32,7 @@
         self._answer_ms = answer_ms
 
     def app(self) -> web.Application:
-        """The aiohttp application; ``GET /-/runs`` tells the counts."""
+        """Returns the application; ``GET /-/runs`` returns the counts."""
         app = web.Application(client_max_size=64_000_000)
         app.router.add_get("/-/runs", self._runs)
         app.router.add_route("*", "/{path:.*}", self._echo)
--- a/src/jujubewharf/standins/engine.py
+++ b/src/jujubewharf/standins/engine.py
@@ -1,10 +1,9 @@
-"""A model engine in miniature: batching, prefill, KV transfer, decode.
+"""Stand-in for a model engine with batching, prefill, KV transfer and decode.
 
-It models what the router's decisions depend on: decode memory for about
-twenty requests, prefill time in proportion to the prompt, a prefill result
-that dies in under a second, links of limited rate, a small prefix cache, late
-load reports and orders with or without fencing. Answers are a function of the
-prompt, so a test can check that one came whole.
+It models what routing decisions depend on: a limited number of decode slots,
+prefill time proportional to the prompt, expiring prefill results, links of
+limited rate, a prefix cache, delayed load reports and orders with or without
+fencing. Answers are a function of the prompt, so that tests can verify them.
 """
 
 from __future__ import annotations
@@ -38,19 +37,19 @@
 
 
 class Engine:
-    """The engine; speaks ``engines.client.EngineClient`` in process.
+    """In-process engine that implements ``engines.client.EngineClient``.
 
     Args:
-        name: Its name.
-        spec: How it behaves.
-        clock: Time.
-        rng: Random numbers of its own.
+        name: Name of the engine.
+        spec: Behaviour of the engine.
+        clock: Clock of the simulation.
+        rng: Random number generator of the prefix cache.
 
     Attributes:
-        lose_answers: Number of coming calls, by name, that take effect but
-            whose answer is lost.
-        lag_ms: Time until a call, by name, takes effect; a call that was
-            given up on then lands late.
+        lose_answers: Number of next calls that take effect but whose answers
+            are lost, by method name.
+        lag_ms: Time until a call takes effect, by method name; it may take
+            effect after its caller has timed out.
     """
 
     def __init__(
@@ -92,7 +91,7 @@
         return f"Engine({self.name!r}, {len(self._slots)} slots held)"
 
     async def reserve(self, attempt: client.Attempt) -> None:
-        """Takes a decode slot; see ``client.EngineClient``."""
+        """Reserves a decode slot; see ``client.EngineClient``."""
         await self._arrive("reserve")
         self._take_slot(attempt)
         self._answer("reserve")
@@ -113,7 +112,7 @@
     async def prefill(
         self, attempt: client.Attempt, job: client.PrefillJob
     ) -> client.PrefillResult:
-        """Reads a prompt; see ``client.EngineClient``."""
+        """Prefills a prompt; see ``client.EngineClient``."""
         self._check_alive()
         self._check_model(job.model)
         if self.is_leaving:
@@ -167,7 +166,7 @@
     async def decode(
         self, attempt: client.Attempt, job: client.DecodeJob
     ) -> AsyncIterator[client.TokenChunk]:
-        """Writes the answer; see ``client.EngineClient``."""
+        """Decodes and streams the answer; see ``client.EngineClient``."""
         self._check_alive()
         self._check_model(job.model)
         self._take_slot(attempt)
@@ -186,7 +185,7 @@
             yield chunk
 
     async def release(self, attempt_id: str) -> None:
-        """Cancels and frees an attempt; see ``client.EngineClient``."""
+        """Cancels and releases an attempt; see ``client.EngineClient``."""
         await self._arrive("release")
         await self._release(attempt_id)
         self._answer("release")
@@ -206,13 +205,13 @@
         await slot.break_off()
 
     async def load(self) -> client.LoadReport:
-        """The load some while ago; see ``client.EngineClient``."""
+        """Returns the load of ``report_lag_ms`` ago; see ``EngineClient``."""
         self._check_alive()
         self._note()
         return self._history.at(self._clock.now_ms() - self.spec.report_lag_ms)
 
     def load_now(self) -> client.LoadReport:
-        """The load without lag, for the oracle and for checks only."""
+        """Returns the current load, for the oracle and for checks only."""
         return client.LoadReport(
             measured_ms=self._clock.now_ms(),
             slots_total=self.spec.slots,
@@ -228,7 +227,7 @@
         )
 
     async def held(self) -> tuple[client.HeldAttempt, ...]:
-        """Everything held; see ``client.EngineClient``."""
+        """Returns the held attempts; see ``client.EngineClient``."""
         self._check_alive()
         now_ms = self._clock.now_ms()
         return tuple(
@@ -239,12 +238,12 @@
     async def cache_events(
         self, after_sequence: int
     ) -> tuple[client.CacheEvent, ...]:
-        """Cache events; see ``client.EngineClient``."""
+        """Returns cache events; see ``client.EngineClient``."""
         self._check_alive()
         return self.cache.events(after_sequence)
 
     async def order(self, order: client.Order) -> None:
-        """Obeys an order; see ``client.EngineClient``."""
+        """Executes an order; see ``client.EngineClient``."""
         self._check_alive()
         if self.spec.capabilities.checks_fencing and order.fence < self._fence:
             raise self._error(client.EngineFault.REFUSED_FENCE)
@@ -265,18 +264,18 @@
         self._note()
 
     async def _drop_all(self) -> None:
-        """New weights or another role leave no request its memory."""
+        """Drops all requests, as a change of weights or role does."""
         self.counts.cut_by_orders += len(self._slots)
         for slot in list(self._slots.values()):
             await slot.break_off()
         self._slots.clear()
 
     async def fetch_weights(self) -> None:
-        """Takes a while; a bench puts the weight store's rate here."""
+        """Simulates loading model weights."""
         await self._clock.sleep_ms(self.spec.load_ms)
 
     async def die(self) -> None:
-        """Stops at once and forgets everything, as a crash does."""
+        """Crashes the engine, which loses all its state."""
         self.is_dead = True
         for reading in self._prefills.values():
             reading.cancel()
@@ -290,7 +289,7 @@
         self._note()
 
     def restart(self) -> None:
-        """Comes back empty."""
+        """Restarts the engine after a crash, without its state."""
         self.is_dead = False
         self._queued_tokens = 0
         self._turns = turns.Turns()
--- a/src/jujubewharf/standins/engine_counts.py
+++ b/src/jujubewharf/standins/engine_counts.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine did, for checks after a run."""
+"""Counters of a stand-in engine."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Counts:
-    """What an engine did, for checks after a run.
+    """Counters of an engine, for checks after a run.
 
     Attributes:
-        prefilled_tokens: Prompt tokens read.
-        used_prefill_tokens: Those whose result was used.
-        wasted_prefill_tokens: Those whose result died or was released.
-        decoded_tokens: Tokens written.
-        answers: Answers written to their end, by digest of the prompt.
-        dispatches: Answers begun, by attempt id.
-        cut_by_orders: Attempts that lost their memory to an order.
+        prefilled_tokens: Prompt tokens prefilled.
+        used_prefill_tokens: Prefilled tokens whose result was used.
+        wasted_prefill_tokens: Prefilled tokens whose result expired, was
+            released or was lost in a crash.
+        decoded_tokens: Tokens generated.
+        answers: Completed answers, by digest of the prompt.
+        dispatches: Started answers, by attempt id.
+        cut_by_orders: Attempts dropped because of an order.
     """
 
     prefilled_tokens: int = 0
--- a/src/jujubewharf/standins/engine_http.py
+++ b/src/jujubewharf/standins/engine_http.py
@@ -1,4 +1,4 @@
-"""The HTTP face of a stand-in engine, as ``engines.http`` speaks it."""
+"""HTTP server of a stand-in engine, for ``engines.http``."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class _HttpKvSource:
-    """Pulls KV cache from another engine process."""
+    """KV source that pulls from another engine process over HTTP."""
 
     def __init__(self, address: str, session: aiohttp.ClientSession) -> None:
         self._url = f"http://{address}/export_kv"
@@ -32,7 +32,7 @@
 
 
 class _Sources(dict[str, engines.KvSource]):
-    """Makes a source for any address that is asked for."""
+    """Creates a KV source for any address."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         super().__init__()
@@ -43,11 +43,11 @@
 
 
 class EngineFace:
-    """Serves one engine's calls.
+    """HTTP server of one engine.
 
     Args:
-        engine: The engine.
-        session: For pulling KV cache from other engines.
+        engine: Engine that handles the calls.
+        session: HTTP session for pulling KV cache from other engines.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         engine.sources = _Sources(session)
 
     def app(self) -> web.Application:
-        """The aiohttp application."""
+        """Returns the aiohttp application."""
         app = web.Application(client_max_size=64_000_000)
         app.router.add_post("/decode", self._decode)
         app.router.add_post("/{verb}", self._call)
--- a/src/jujubewharf/standins/engine_spec.py
+++ b/src/jujubewharf/standins/engine_spec.py
@@ -1,4 +1,4 @@
-"""How one stand-in engine behaves."""
+"""Configuration of a stand-in engine."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """How one engine behaves.
+    """Behaviour of an engine.
 
     Attributes:
-        slots: Requests its decode memory holds.
-        prefill_ms_per_token: Reading time.
-        step_base_ms: Time between tokens of a lone request.
-        step_ms_per_request: What each further request adds.
-        prefill_slowdown: Factor on the step while a prefill runs here.
-        prefill_survives_ms: Time until an unused prefill result is gone.
-        kv_bytes_per_token: Size of a prefill result.
-        link_bytes_per_s: Rate of its link.
-        report_lag_ms: Age of its load reports.
-        chunk_tokens: Tokens a chunk.
-        load_ms: Time a model load takes.
-        capabilities: What it can do.
-        role: Role it starts in.
-        model: Model it starts with.
-        model_version: Version it starts with.
+        slots: Number of decode slots.
+        prefill_ms_per_token: Prefill time per token.
+        step_base_ms: Decode step time of a single request.
+        step_ms_per_request: Additional step time per further request.
+        prefill_slowdown: Factor on the step time during a prefill.
+        prefill_survives_ms: Time until an unused prefill result expires.
+        kv_bytes_per_token: Size of a prefill result per token.
+        link_bytes_per_s: Bandwidth of the KV link.
+        report_lag_ms: Age of the load reports.
+        chunk_tokens: Tokens per chunk of an answer.
+        load_ms: Time to load a model.
+        capabilities: Supported operations.
+        role: Initial role.
+        model: Initial model.
+        model_version: Initial model version.
     """
 
     slots: int = 20
--- a/src/jujubewharf/standins/generation.py
+++ b/src/jujubewharf/standins/generation.py
@@ -1,4 +1,4 @@
-"""One running answer of an engine: a buffer read from any place."""
+"""Deterministic answers and a buffer for an answer being generated."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 def answer_token(prompt: str, index: int) -> str:
-    """The token that every engine writes at one place of one answer."""
+    """Returns the token at ``index`` of the answer to a prompt."""
     return f" {hashing.digest(prompt.encode())[:6]}-{index}"
 
 
 def answer_tokens(prompt: str, first_index: int, count: int) -> list[str]:
-    """A run of an answer's tokens; see ``answer_token``."""
+    """Returns ``count`` consecutive tokens; see ``answer_token``."""
     stem = hashing.digest(prompt.encode())[:6]
     return [f" {stem}-{first_index + place}" for place in range(count)]
 
 
 def answer_length(prompt: str, max_tokens: int) -> int:
-    """Length of the answer.
+    """Returns the length of the answer in tokens.
 
-    A prompt may ask for one by its first word or, when it shares its
-    beginning with others, by its last.
+    The first or last word of a prompt may set it as ``answer_tokens=N``; the
+    last word serves prompts that start with a shared prefix.
     """
     for words in (prompt.split(maxsplit=1)[:1], prompt.rsplit(maxsplit=1)[-1:]):
         for word in words:
@@ -37,13 +37,13 @@
 
 
 class Generation:
-    """A running answer.
+    """An answer being generated, with any number of readers.
 
     Args:
-        first_index: Number of its first token.
+        first_index: Index of the first generated token.
 
     Attributes:
-        task: Writes it, once started.
+        task: Task that generates the tokens, once started.
     """
 
     def __init__(self, first_index: int) -> None:
@@ -55,14 +55,14 @@
         self._changed = asyncio.Condition()
 
     async def add(self, tokens: list[str], *, is_done: bool) -> None:
-        """Adds tokens for the readers."""
+        """Appends tokens and notifies the readers."""
         async with self._changed:
             self._tokens.extend(tokens)
             self.is_done = is_done
             self._changed.notify_all()
 
     async def lose(self) -> None:
-        """Breaks it off for all readers."""
+        """Aborts the answer for all readers."""
         async with self._changed:
             self._is_lost = True
             self._changed.notify_all()
@@ -70,11 +70,11 @@
     async def follow(
         self, first_index: int, error: client.EngineError
     ) -> AsyncIterator[client.TokenChunk]:
-        """Reads from a place to the end.
+        """Streams the tokens from an index to the end.
 
         Args:
-            first_index: Number of the first token wanted.
-            error: Raised when the answer is broken off.
+            first_index: Index of the first token to return.
+            error: Raised if the answer is aborted.
         """
         sent = first_index - self.first_index
         while True:
--- a/src/jujubewharf/standins/link.py
+++ b/src/jujubewharf/standins/link.py
@@ -1,4 +1,4 @@
-"""A link of limited rate that carries one transfer after another."""
+"""A link of limited bandwidth with sequential transfers."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class KvSource(Protocol):
-    """Where an engine pulls KV cache from."""
+    """Source from which an engine pulls KV cache."""
 
     async def export_kv(self, attempt_id: str) -> int:
-        """Sends an attempt's prefill result and returns its bytes."""
+        """Sends an attempt's prefill result and returns its size in bytes."""
         ...
 
 
 class Link:
-    """One engine's link.
+    """KV link of one engine.
 
     Args:
-        rate_bytes_per_s: What it carries.
-        clock: Time.
+        rate_bytes_per_s: Bandwidth.
+        clock: Clock of the simulation.
     """
 
     def __init__(self, rate_bytes_per_s: float, clock: clocks.Clock) -> None:
@@ -32,14 +32,14 @@
         self._free_at_ms = 0.0
 
     def book(self, size_bytes: int) -> float:
-        """Takes the next turn and returns when it ends, in clock ms."""
+        """Queues a transfer and returns its end in clock ms."""
         start_ms = max(self._clock.now_ms(), self._free_at_ms)
         duration_ms = size_bytes / self.rate_bytes_per_s * MS_PER_S
         self._free_at_ms = start_ms + duration_ms
         return self._free_at_ms
 
     async def carry(self, size_bytes: int) -> None:
-        """Waits for a turn and the transfer; never ends while stalled."""
+        """Queues a transfer and waits for its end, also while stalled."""
         end_ms = self.book(size_bytes)
         await self._clock.sleep_until_ms(end_ms)
         while self.is_stalled:
--- a/src/jujubewharf/standins/live_list.py
+++ b/src/jujubewharf/standins/live_list.py
@@ -1,4 +1,4 @@
-"""The platform's live list in miniature, lagging behind the truth."""
+"""Stand-in for the platform's live list, with a configurable lag."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class MemoryLiveList:
-    """Speaks ``platform.live_list.LiveList`` in process.
+    """In-process implementation of ``platform.live_list.LiveList``.
 
     Args:
-        clock: Time.
-        lag_ms: How far the list lies behind.
+        clock: Clock of the simulation.
+        lag_ms: Time until a published list becomes visible.
 
     Attributes:
-        is_down: Refuses everything while true.
-        lag_ms: How far the list lies behind.
+        is_down: Whether all calls fail.
+        lag_ms: Time until a published list becomes visible.
     """
 
     def __init__(self, clock: clocks.Clock, *, lag_ms: float = 0.0) -> None:
@@ -35,12 +35,12 @@
         self._versions: list[_Version] = []
 
     def publish(self, members: tuple[live_list.LiveMember, ...]) -> None:
-        """Sets the truth; readers see it after the lag."""
+        """Publishes the members; readers see them after ``lag_ms``."""
         at_ms = self._clock.now_ms() if self._versions else float("-inf")
         self._versions.append(_Version(at_ms, members))
 
     async def fetch(self) -> tuple[live_list.LiveMember, ...]:
-        """Reads the list; see ``live_list.LiveList``."""
+        """Fetches the members; see ``live_list.LiveList``."""
         if self.is_down:
             raise live_list.LiveListUnavailableError("down")
         until_ms = self._clock.now_ms() - self.lag_ms
@@ -52,13 +52,13 @@
 
 
 class LiveListFace:
-    """The HTTP face; ``POST /list`` publishes."""
+    """HTTP server of a live list; ``POST /list`` publishes members."""
 
     def __init__(self, memory_list: MemoryLiveList) -> None:
         self._list = memory_list
 
     def app(self) -> web.Application:
-        """The aiohttp application."""
+        """Returns the aiohttp application."""
         app = web.Application()
         app.router.add_get("/list", self._get)
         app.router.add_post("/list", self._post)
--- a/src/jujubewharf/standins/log.py
+++ b/src/jujubewharf/standins/log.py
@@ -1,4 +1,4 @@
-"""The platform's log in miniature, with its outages and lost answers."""
+"""Stand-in for the platform's log, with outages and lost answers."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from jujubewharf import clock as clocks
 from jujubewharf.platform import log
 
-# A virtual clock rounds; a wait that is shorter than its step never ends.
+# Virtual time is rounded, so shorter waits would never end.
 _LEAST_WAIT_MS = 0.001
 
 
 class _Stream:
-    """One stream's kept records and the offset of the first of them."""
+    """Retained records of a stream."""
 
     def __init__(self) -> None:
         self.records: list[log.LogRecord] = []
@@ -30,22 +30,22 @@
 
 
 class MemoryLog:
-    """Speaks ``platform.log.Log`` in process.
+    """In-process implementation of ``platform.log.Log``.
 
     Args:
-        clock: Time.
-        retention_ms: Age at which records are forgotten; ``None`` keeps all.
-        append_ms: Time an append takes.
+        clock: Clock of the simulation.
+        retention_ms: Age at which records are dropped; ``None`` keeps all.
+        append_ms: Duration of an append.
 
     Attributes:
-        is_down: Refuses everything while true.
-        lose_answers: Number of coming appends that take effect but whose
-            answer is lost.
-        append_ms: Time an append takes; a slow log takes long.
-        retention_ms: Age at which records are forgotten.
-        falls_after_append: Goes down the moment the next append took effect,
-            before anybody can read it; its answer is lost.
-        appends: Append calls that took effect, by stream.
+        is_down: Whether all calls fail.
+        lose_answers: Number of next appends that take effect but whose
+            answers are lost.
+        append_ms: Duration of an append.
+        retention_ms: Age at which records are dropped; ``None`` keeps all.
+        falls_after_append: Whether the log goes down right after the next
+            append, before anyone can read it; its answer is lost.
+        appends: Number of appends that took effect, by stream.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         return log.LogPage(records, kept.first_offset, kept.next_offset)
 
     def truncate(self, stream: str, first_offset: int) -> None:
-        """Forgets a stream's records below an offset."""
+        """Drops a stream's records below an offset."""
         kept = self._streams[stream]
         count = min(len(kept.records), first_offset - kept.first_offset)
         del kept.records[:count]
@@ -119,7 +119,7 @@
         kept.first_offset += count
 
     def wipe(self) -> None:
-        """Begins anew with empty streams at offset 0, as an old copy would."""
+        """Drops all streams; offsets restart at 0."""
         self._streams.clear()
 
     async def _wait(self, left_ms: float) -> None:
@@ -148,13 +148,13 @@
 
 
 class LogFace:
-    """The HTTP face of a stand-in log, as ``platform.http_log`` speaks it."""
+    """HTTP server of a log, for ``platform.http_log``."""
 
     def __init__(self, memory_log: MemoryLog) -> None:
         self._log = memory_log
 
     def app(self) -> web.Application:
-        """The aiohttp application; ``POST /control`` sets faults."""
+        """Returns the application; ``POST /control`` sets faults."""
         app = web.Application(client_max_size=64_000_000)
         app.router.add_post("/append", self._append)
         app.router.add_get("/read", self._read)
--- a/src/jujubewharf/standins/network.py
+++ b/src/jujubewharf/standins/network.py
@@ -1,9 +1,8 @@
-"""Streams between instances in memory: a delay, and cuts between domains.
+"""In-memory streams between instances, with delays and partitions.
 
-Bytes written arrive after the delay, in order. A cut holds back what is
-written across it, as a partition does: nobody is told, and what was held back
-arrives once the cut ends, as TCP sends it again. A new dial across a cut
-hangs and then fails.
+Bytes arrive in order after the delay. A partition holds back bytes without an
+error; they arrive when it ends, as with TCP retransmission. Connecting across
+a partition times out.
 """
 
 from __future__ import annotations
@@ -31,15 +30,15 @@
 
 
 class MemoryNetwork:
-    """All streams of one bench.
+    """Network of the streams of a bench.
 
     Args:
-        clock: Time.
-        near_ms: One-way delay within a domain.
-        far_ms: One-way delay between domains.
+        clock: Clock of the simulation.
+        near_ms: One-way delay within a failure domain.
+        far_ms: One-way delay between failure domains.
 
     Attributes:
-        bytes_sent: Bytes written by each instance's transports.
+        bytes_sent: Bytes written, by instance.
     """
 
     def __init__(
@@ -62,23 +61,23 @@
     def transport(
         self, instance: str, domain: str, *, address: str | None = None
     ) -> MemoryTransport:
-        """The transport of one instance.
+        """Returns the transport of one instance.
 
         Args:
-            instance: The instance.
-            domain: Its failure domain.
-            address: Where it listens; ``None`` takes a free one.
+            instance: Name of the instance.
+            domain: Failure domain of the instance.
+            address: Listening address; ``None`` chooses a free one.
         """
         return MemoryTransport(self, instance, domain, address)
 
     def cut(self, domain: str, other: str, *, one_way: bool = False) -> None:
-        """Holds back everything from one domain to another."""
+        """Partitions two domains, in both directions unless ``one_way``."""
         self._cuts.add((domain, other))
         if not one_way:
             self._cuts.add((other, domain))
 
     def heal(self) -> None:
-        """Ends all cuts."""
+        """Ends all partitions and delivers the bytes held back."""
         self._cuts.clear()
         self._changed.set()
         self._changed = asyncio.Event()
@@ -86,35 +85,35 @@
             writer.flush()
 
     def is_cut(self, domain: str, other: str) -> bool:
-        """Whether bytes from one domain don't reach another."""
+        """Whether traffic from one domain to another is held back."""
         return (domain, other) in self._cuts
 
     async def passable(self, domain: str, other: str) -> None:
-        """Waits until bytes from one domain reach another."""
+        """Waits until traffic from one domain to another can pass."""
         while self.is_cut(domain, other):
             await self._changed.wait()
 
     def delay_ms(self, domain: str, other: str) -> float:
-        """One-way delay."""
+        """Returns the one-way delay between two domains."""
         return self._near_ms if domain == other else self._far_ms
 
     def set_delays(self, *, far_ms: float | None = None) -> None:
-        """Changes the far delay of what is sent from now on.
+        """Sets the one-way delay between domains for later traffic.
 
         Args:
-            far_ms: The new one; ``None`` is the one it began with.
+            far_ms: New delay; ``None`` restores the initial delay.
         """
         self._far_ms = self._usual_far_ms if far_ms is None else far_ms
 
     def drop_instance(self, instance: str) -> None:
-        """Closes all that an instance has open, as its death does."""
+        """Closes all listeners and streams of a dead instance."""
         for address, site in list(self._sites.items()):
             if site.instance == instance:
                 del self._sites[address]
         self.drop_streams(instance)
 
     def drop_streams(self, instance: str) -> None:
-        """Closes all streams of an instance, which goes on listening."""
+        """Closes all streams of an instance but not its listeners."""
         for writer in list(self._writers):
             if writer.instance == instance:
                 writer.close()
@@ -126,14 +125,17 @@
         on_stream: streams.OnStream,
         address: str | None = None,
     ) -> str:
-        """Opens a listening address, a free one where none is given."""
+        """Adds a listener and returns its address.
+
+        Without ``address``, a free one is chosen.
+        """
         address = address or f"127.0.0.1:{next(self._ports)}"
         context = contextvars.copy_context()
         self._sites[address] = _Site(instance, domain, on_stream, context)
         return address
 
     def remove_site(self, address: str) -> None:
-        """Closes a listening address."""
+        """Removes a listener."""
         self._sites.pop(address, None)
 
     async def connect(
@@ -142,7 +144,8 @@
         """Opens a stream.
 
         Raises:
-            OSError: Nobody listens there, or a cut lies between.
+            OSError: Nothing listens on the address, or the domains are
+                partitioned.
         """
         site = self._sites.get(address)
         if site is None:
@@ -164,15 +167,15 @@
         outward.twin, inward.twin = inward, outward
         self._writers[outward] = None
         self._writers[inward] = None
-        # The stream is served by the instance that listens, not by the one
-        # that dialled: a pause of either must stop only its own side.
+        # Run the handler in the listener's context, so that pausing the
+        # dialling instance does not pause the listening one.
         asyncio.get_running_loop().create_task(
             _serve(site.on_stream, there, inward), context=site.context.copy()
         )
         return here, outward
 
     def forget(self, writer: _MemoryWriter) -> None:
-        """Drops a writer whose end has arrived."""
+        """Removes a writer after its end of stream has been delivered."""
         self._writers.pop(writer, None)
 
 
@@ -185,7 +188,7 @@
 
 
 class _MemoryWriter:
-    """One direction of a stream; ``None`` in its queues is the end."""
+    """One direction of a stream; ``None`` in its queues marks the end."""
 
     def __init__(
         self,
@@ -233,14 +236,14 @@
         return default
 
     def flush(self) -> None:
-        """Sends what is held back, unless the way is cut."""
+        """Sends the bytes held back, unless the domains are partitioned."""
         if self._network.is_cut(*self._way):
             return
         delay_ms = self._network.delay_ms(*self._way)
         loop = asyncio.get_running_loop()
         while self._held:
             self._in_flight.append(self._held.popleft())
-            # Bytes under way belong to no instance: they arrive though their
+            # Bytes in flight belong to no instance: they arrive even if the
             # sender is paused or dead.
             loop.call_later(
                 delay_ms / clocks.MS_PER_S,
@@ -249,8 +252,8 @@
             )
 
     def _arrive(self) -> None:
-        # Timers due at one moment may fire in any order; taking the oldest
-        # each time keeps the stream's order.
+        # Timers with equal deadlines may fire in any order, so each takes the
+        # oldest item to keep the stream in order.
         data = self._in_flight.popleft()
         if data is None:
             self._end()
@@ -274,7 +277,7 @@
 
 
 class MemoryTransport:
-    """Speaks ``peers.streams.Transport`` in process."""
+    """In-process implementation of ``peers.streams.Transport``."""
 
     def __init__(
         self,
@@ -297,7 +300,7 @@
         )
 
     async def listen(self, on_stream: streams.OnStream) -> streams.Listener:
-        """Listens; see ``streams.Transport``."""
+        """Starts listening; see ``streams.Transport``."""
         address = self._network.add_site(
             self._instance, self._domain, on_stream, self._address
         )
--- a/src/jujubewharf/standins/prefill_results.py
+++ b/src/jujubewharf/standins/prefill_results.py
@@ -1,4 +1,4 @@
-"""Prefill results that a stand-in engine holds, until sent or expired."""
+"""Prefill results held by a stand-in engine until sent or expired."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     """The KV cache of one prompt.
 
     Attributes:
-        attempt_id: Whose prompt it is.
-        kv_bytes: Size.
-        expires_at_ms: When it dies, unless it is being sent.
+        attempt_id: Attempt that the result belongs to.
+        kv_bytes: Size of the KV cache.
+        expires_at_ms: Clock time of expiry; delayed by running transfers.
         prompt_tokens: Length of the prompt.
-        transfers: Number of transfers that run.
+        transfers: Number of running transfers.
     """
 
     attempt_id: str
@@ -35,12 +35,12 @@
 
 
 class PrefillResults:
-    """Results by attempt, with what became of them.
+    """Prefill results by attempt.
 
     Args:
-        clock: Time.
-        counts: Where used and wasted tokens are counted.
-        ledger: Where the fate of each is noted.
+        clock: Clock of the simulation.
+        counts: Counters of used and wasted tokens.
+        ledger: Ledger that records the fate of each result.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._results: dict[str, PrefillResult] = {}
 
     def get(self, attempt_id: str) -> PrefillResult | None:
-        """The result of an attempt, if it still lives."""
+        """Returns the result of an attempt, if still held."""
         return self._results.get(attempt_id)
 
     def add(self, result: PrefillResult) -> None:
@@ -65,7 +65,7 @@
 
     @contextlib.contextmanager
     def transfer_of(self, result: PrefillResult) -> Iterator[None]:
-        """Keeps a result alive for the block."""
+        """Prevents the expiry of a result within the block."""
         result.transfers += 1
         try:
             yield
@@ -74,19 +74,19 @@
             self._expire_if_due(result)
 
     def note_sent(self, result: PrefillResult) -> None:
-        """Drops a result as used, unless it expired meanwhile."""
+        """Removes a result as used, if still held."""
         if self._results.pop(result.attempt_id, None) is not None:
             self._counts.used_prefill_tokens += result.prompt_tokens
             self._ledger.settle(result.attempt_id, readings.Fate.SENT)
 
     def release(self, attempt_id: str) -> None:
-        """Drops the result of an attempt that does not need it any more."""
+        """Removes the result of a released attempt as wasted."""
         result = self._results.pop(attempt_id, None)
         if result is not None:
             self._waste(result, readings.Fate.RELEASED)
 
     def lose_all(self) -> None:
-        """Drops all, as a crash does."""
+        """Removes all results as wasted after a crash."""
         for result in self._results.values():
             self._waste(result, readings.Fate.ENGINE_DIED)
         self._results.clear()
@@ -100,7 +100,7 @@
         self._expire_if_due(result)
 
     def _expire_if_due(self, result: PrefillResult) -> None:
-        """Forgets a result that is due, but not under a running transfer."""
+        """Removes a result that is past its expiry and not being sent."""
         is_due = self._clock.now_ms() >= result.expires_at_ms
         is_kept = self._results.get(result.attempt_id) is result
         if is_kept and is_due and not result.transfers:
--- a/src/jujubewharf/standins/prefix_cache.py
+++ b/src/jujubewharf/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""An engine's prefix cache of limited memory and its late, gappy events."""
+"""Prefix cache of a stand-in engine, with delayed and lossy events."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class PrefixCache:
-    """Least recently used blocks go first.
+    """Prefix cache with LRU eviction.
 
     Args:
-        clock: Time.
-        rng: Decides which events are lost.
-        max_blocks: Blocks it holds.
-        event_lag_ms: Time until an event can be read.
-        event_loss_ratio: Share of events that never can be.
+        clock: Clock of the simulation.
+        rng: Random number generator that selects lost events.
+        max_blocks: Capacity in blocks.
+        event_lag_ms: Time until an event becomes visible.
+        event_loss_ratio: Share of events that are lost.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self._sequence = 0
 
     def cached_tokens(self, prompt: str) -> int:
-        """Tokens of the prompt's longest cached prefix."""
+        """Returns the length of the longest cached prefix in tokens."""
         blocks = 0
         for prefix_hash in prefixes.prefix_hashes(prompt):
             if prefix_hash not in self._blocks:
@@ -64,7 +64,7 @@
         return blocks * prefixes.BLOCK_TOKENS
 
     def store(self, prompt: str) -> None:
-        """Adds a prompt's blocks and drops the oldest over the bound."""
+        """Stores a prompt's blocks and evicts blocks over the capacity."""
         for prefix_hash in prefixes.prefix_hashes(prompt):
             if prefix_hash not in self._blocks:
                 self._blocks[prefix_hash] = None
@@ -74,11 +74,11 @@
             self._emit(prefix_hash, is_stored=False)
 
     def clear(self) -> None:
-        """Forgets all blocks, as a restart does."""
+        """Removes all blocks without events, as in a crash."""
         self._blocks.clear()
 
     def events(self, after_sequence: int) -> tuple[client.CacheEvent, ...]:
-        """Events that got through by now."""
+        """Returns the visible events after a sequence number."""
         now_ms = self._clock.now_ms()
         return tuple(
             dated.event
--- a/src/jujubewharf/standins/readings.py
+++ b/src/jujubewharf/standins/readings.py
@@ -1,4 +1,4 @@
-"""What became of every prompt an engine read: the truth behind waste."""
+"""Ledger of prefills and the fate of their results."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Fate(enum.Enum):
-    """What became of a prompt that was read, or partly read."""
+    """Outcome of a complete or partial prefill."""
 
     READING = "reading"
     SENT = "sent"
@@ -26,13 +26,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Reading:
-    """One prompt read for one attempt.
+    """One prefill of an attempt.
 
     Attributes:
-        attempt_id: The attempt.
-        started_ms: When the reading began.
-        tokens: Tokens read, those from the prefix cache left out.
-        fate: What became of the result.
+        attempt_id: Id of the attempt.
+        started_ms: Clock time of the start.
+        tokens: Tokens prefilled, without those from the prefix cache.
+        fate: Outcome of the prefill.
     """
 
     attempt_id: str
@@ -42,14 +42,14 @@
 
 
 class Ledger:
-    """All readings of one engine, in the order they began.
+    """Prefills and generated tokens of one engine.
 
-    A result that was sent counts as used only if the answer was then begun:
-    ``written`` of the engine that took it tells.
+    A sent result counts as used only if ``written`` of the receiving engine
+    has tokens of the attempt.
 
     Attributes:
-        readings: All readings.
-        written: Tokens written, by attempt.
+        readings: All prefills, in order of their start.
+        written: Number of generated tokens, by attempt id.
     """
 
     def __init__(self) -> None:
@@ -58,20 +58,20 @@
         self._latest: dict[str, Reading] = {}
 
     def begin(self, attempt_id: str, now_ms: float) -> Reading:
-        """Notes that a prompt begins to be read."""
+        """Records the start of a prefill."""
         reading = Reading(attempt_id, now_ms)
         self.readings.append(reading)
         self._latest[attempt_id] = reading
         return reading
 
     def settle(self, attempt_id: str, fate: Fate) -> None:
-        """Notes what became of an attempt's latest reading."""
+        """Records the outcome of an attempt's latest prefill."""
         reading = self._latest.pop(attempt_id, None)
         if reading is not None:
             reading.fate = fate
 
     def write(self, attempt_id: str, tokens: int) -> None:
-        """Notes tokens written for an attempt."""
+        """Records generated tokens of an attempt."""
         self.written[attempt_id] = self.written.get(attempt_id, 0) + tokens
 
 
@@ -84,15 +84,15 @@
     ms_per_token: float,
     is_dead: Callable[[], bool],
 ) -> None:
-    """Reads a prompt, which takes its time, and notes how far it came.
+    """Simulates a prefill and records it, even if it is cancelled.
 
     Args:
-        ledger: Where it is noted.
-        clock: Time.
-        attempt_id: Whose prompt it is.
-        tokens: Tokens to read.
-        ms_per_token: Time for each.
-        is_dead: Whether the engine died, asked when the reading is cut short.
+        ledger: Ledger that records the prefill.
+        clock: Clock of the simulation.
+        attempt_id: Id of the attempt.
+        tokens: Number of tokens to prefill.
+        ms_per_token: Prefill time per token.
+        is_dead: Whether the engine has died; called on cancellation.
     """
     began_ms = clock.now_ms()
     reading = ledger.begin(attempt_id, began_ms)
--- a/src/jujubewharf/standins/slots.py
+++ b/src/jujubewharf/standins/slots.py
@@ -1,4 +1,4 @@
-"""Decode memory of a stand-in engine, held for one attempt."""
+"""Decode slot of a stand-in engine."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Slot:
-    """One slot.
+    """A decode slot held by an attempt.
 
     Attributes:
-        attempt: Who holds it.
-        taken_at_ms: Since when.
-        has_kv: Whether a prefill result was pulled into it.
-        generation: The answer, once begun.
+        attempt: Attempt that holds the slot.
+        taken_at_ms: Clock time at which it was reserved.
+        has_kv: Whether a prefill result has been imported.
+        generation: The answer, once decoding has started.
     """
 
     attempt: client.Attempt
@@ -27,7 +27,7 @@
     generation: generations.Generation | None = None
 
     async def break_off(self) -> None:
-        """Ends a running answer for all who read it."""
+        """Aborts a running answer for all its readers."""
         if self.generation is None:
             return
         if self.generation.task is not None:
--- a/src/jujubewharf/standins/tables.py
+++ b/src/jujubewharf/standins/tables.py
@@ -1,4 +1,4 @@
-"""A table and a group of the platform's store, in memory."""
+"""In-memory stand-ins for the platform's tables and groups."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class StandInTable(Generic[T]):
-    """Implements ``tables.Table``.
+    """In-memory implementation of ``tables.Table``.
 
     Args:
-        clock: Time.
+        clock: Clock of the simulation.
 
     Attributes:
-        is_down: Calls are refused.
-        first_offset: Older changes are forgotten.
-        is_late: A waiting read hears of changes only when its wait is over.
-        reads: Calls that were answered.
-        writes: Writing calls of instances that were answered.
+        is_down: Whether all calls fail.
+        first_offset: Offset of the oldest retained change.
+        is_late: Whether ``changes`` returns only at the end of ``wait_ms``.
+        reads: Number of successful reads.
+        writes: Number of successful ``write`` calls.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -52,11 +52,11 @@
             self.put(key, value)
 
     def forget(self) -> None:
-        """Forgets all changes; the newest record of each key stays."""
+        """Truncates the changes; the newest record of each key is kept."""
         self.first_offset = len(self._records)
 
     async def newest(self) -> tables.TablePage[T]:
-        """The newest record of each key; see ``tables.Table``."""
+        """Returns the newest record of each key; see ``tables.Table``."""
         self._check()
         self.reads += 1
         newest = {record.key: record for record in self._records}
@@ -66,7 +66,7 @@
     async def changes(
         self, from_offset: int, *, wait_ms: float
     ) -> tables.TablePage[T]:
-        """Later records; see ``tables.Table``."""
+        """Returns records from an offset on; see ``tables.Table``."""
         until_ms = self._clock.now_ms() + wait_ms
         while True:
             self._check()
@@ -85,15 +85,15 @@
 
 
 class StandInGroups:
-    """All members of one group; ``member`` gives each its own view.
+    """Shared state of one group; ``member`` returns a member's view.
 
     Args:
-        clock: Time.
-        part_count: Parts that are dealt.
-        ttl_ms: Silence after which a member is out.
+        clock: Clock of the simulation.
+        part_count: Number of partitions assigned to the members.
+        ttl_ms: Time without a heartbeat after which a member is removed.
 
     Attributes:
-        cut_off: Members whose calls fail.
+        cut_off: Names of the members whose calls fail.
     """
 
     def __init__(
@@ -107,11 +107,11 @@
         self._heard_ms: dict[str, float] = {}
 
     def member(self, name: str) -> StandInGroup:
-        """The group as one member speaks to it."""
+        """Returns the group as seen by one member."""
         return StandInGroup(self, name)
 
     def contacts(self) -> dict[int, str]:
-        """The member that holds each part; its name is its contact."""
+        """Returns the contact of each partition: its member's name."""
         self._lapse()
         names = sorted(self._heard_ms)
         if not names:
@@ -125,7 +125,7 @@
                 self.leave(other)
 
     def join(self, name: str) -> groups.GroupAssignment:
-        """Takes note of a member and tells what it holds."""
+        """Records a member's heartbeat and returns its partitions."""
         self._lapse()
         now_ms = self._clock.now_ms()
         if name not in self._heard_ms:
@@ -136,13 +136,13 @@
         return groups.GroupAssignment(self.generation, frozenset(parts))
 
     def leave(self, name: str) -> None:
-        """Takes a member out."""
+        """Removes a member."""
         if self._heard_ms.pop(name, None) is not None:
             self.generation += 1
 
 
 class StandInGroup:
-    """Implements ``groups.Group`` for one member."""
+    """In-memory implementation of ``groups.Group`` for one member."""
 
     def __init__(self, group: StandInGroups, name: str) -> None:
         self._group = group
@@ -151,22 +151,22 @@
         self.ttl_ms = group.ttl_ms
 
     async def join(self, generation: int) -> groups.GroupAssignment:
-        """Joins or stays; see ``groups.Group``."""
+        """Joins or renews the membership; see ``groups.Group``."""
         self._check()
         return self._group.join(self._name)
 
     async def contacts(self) -> dict[int, str]:
-        """The members that hold parts; see ``groups.Group``."""
+        """Returns the contact of each partition; see ``groups.Group``."""
         self._check()
         return self._group.contacts()
 
     async def evict(self, contact: str) -> None:
-        """Takes a member out; see ``groups.Group``."""
+        """Removes a member; see ``groups.Group``."""
         self._check()
         self._group.leave(contact)
 
     async def leave(self) -> None:
-        """Gives all parts back; see ``groups.Group``."""
+        """Releases all partitions; see ``groups.Group``."""
         self._check()
         self._group.leave(self._name)
 
--- a/src/jujubewharf/standins/turns.py
+++ b/src/jujubewharf/standins/turns.py
@@ -1,4 +1,4 @@
-"""One turn at a time, the highest priority first, then the oldest."""
+"""A priority lock that serves equal priorities in FIFO order."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Turns:
-    """A lock whose waiters are served by priority."""
+    """A lock that is granted by priority, then in order of arrival."""
 
     def __init__(self) -> None:
         self._waiters: list[tuple[int, int, asyncio.Future[None]]] = []
@@ -18,7 +18,7 @@
 
     @contextlib.asynccontextmanager
     async def turn(self, priority: int):  # type: ignore[no-untyped-def]
-        """Waits for the turn and holds it for the block."""
+        """Acquires the lock for the block."""
         await self._take(priority)
         try:
             yield
--- a/src/jujubewharf/standins/weights.py
+++ b/src/jujubewharf/standins/weights.py
@@ -1,4 +1,4 @@
-"""The platform's weight store in miniature: a rate, shared by fetches."""
+"""Stand-in for the platform's weight store."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MemoryWeightStore:
-    """Speaks ``platform.weights.WeightStore`` in process."""
+    """In-process implementation of ``platform.weights.WeightStore``."""
 
     def __init__(self, rate_bytes_per_s: float = 2e9) -> None:
         self.is_down = False
@@ -16,20 +16,20 @@
         self._rate_bytes_per_s = rate_bytes_per_s
 
     async def status(self) -> weights.WeightStatus:
-        """Reads rate and load; see ``weights.WeightStore``."""
+        """Returns rate and load; see ``weights.WeightStore``."""
         if self.is_down:
             raise weights.WeightStoreUnavailableError("down")
         return weights.WeightStatus(self._rate_bytes_per_s, self.active_fetches)
 
 
 class WeightStoreFace:
-    """The HTTP face."""
+    """HTTP server of a weight store."""
 
     def __init__(self, store: MemoryWeightStore) -> None:
         self._store = store
 
     def app(self) -> web.Application:
-        """The aiohttp application."""
+        """Returns the aiohttp application."""
         app = web.Application()
         app.router.add_get("/status", self._status)
         return app
