--- a/tests/experiments/test_bench.py
+++ b/tests/experiments/test_bench.py
@@ -1,4 +1,4 @@
-"""The bench answers a request on virtual time, the same way every run."""
+"""Tests of the bench: requests are answered deterministically."""
 
 from __future__ import annotations
 
--- a/tests/experiments/test_comparison.py
+++ b/tests/experiments/test_comparison.py
@@ -1,4 +1,4 @@
-"""Rows and plot of a comparison."""
+"""Tests of the aggregated rows and the plot of a comparison."""
 
 from __future__ import annotations
 
--- a/tests/experiments/test_faults.py
+++ b/tests/experiments/test_faults.py
@@ -1,4 +1,4 @@
-"""Each fault of the bench does what it says, and only that."""
+"""Tests of the faults that the bench can inject."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 async def _bench(domains: tuple[str, ...] = ("a",)) -> benches.Bench:
-    """One decode engine in the first domain, one instance in each."""
+    """One engine in the first domain and one instance in each domain."""
     bench = benches.Bench()
     await bench.declare(_SERVICE)
     endpoint = resources.Endpoint(
@@ -56,11 +56,9 @@
 
 
 def test_a_killed_instance_says_no_goodbye():
-    """The caller's stream breaks; the engine hears nothing of it.
+    """Guards against code of a dead process that runs or reaches the engine.
 
-    The engine writes on to the end, for it was never told to stop. Nothing
-    of the dead process runs again, and should its clean-up code run when
-    the run is torn down, its calls go nowhere.
+    The caller's stream breaks, while the engine keeps decoding.
     """
 
     async def run():
@@ -114,10 +112,9 @@
 
 
 def test_a_paused_instance_notices_no_time():
-    """It sends nothing while paused, and runs on with what it believed.
+    """Guards against timers and answers of a paused instance that proceed.
 
-    Its timer, due in the pause, fires only after it; the engine's own work
-    and the caller's clock go on.
+    The engine and the caller are not paused.
     """
 
     async def run():
@@ -150,7 +147,7 @@
 
 
 def test_a_cut_domain_reaches_no_engine_elsewhere_until_healed():
-    """A dial across the cut fails; an answer under way is held back."""
+    """Connecting across a partition fails; answers are held back."""
 
     async def run():
         bench = await _bench(("a", "b"))
@@ -227,7 +224,7 @@
 
 
 def test_a_graceful_stop_cuts_no_answer_off():
-    """The answer under way comes whole; only then does the instance end."""
+    """Guards against a drain that interrupts a running answer."""
 
     async def run():
         bench = await _bench()
--- a/tests/experiments/test_runner.py
+++ b/tests/experiments/test_runner.py
@@ -1,4 +1,4 @@
-"""The experiment tool: the same seed gives the same bytes, and true counts."""
+"""Tests of the experiment runner: determinism and reported counts."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def test_the_same_seed_gives_the_same_bytes_in_any_process(tmp_path):
-    """Two processes whose sets and dicts of strings are hashed otherwise."""
+    """Guards against results that depend on the string hash seed."""
     path = _small_file(
         tmp_path,
         duration_s=5,
@@ -81,7 +81,7 @@
 
 
 def test_wasted_prefill_is_counted_by_cause(tmp_path):
-    """A stalled link outlives the prefill results that wait behind it."""
+    """Prefill results lost with their engine count as wasted."""
     result = runner.run(
         _small(
             tmp_path,
--- a/tests/experiments/test_virtual_time.py
+++ b/tests/experiments/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""The virtual loop moves on whatever the code on it does."""
+"""Tests of the virtual event loop."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def test_waiting_for_what_rounding_left_ends():
-    """A rest too small to move the clock must not stop it for ever."""
+    """Guards against an endless loop if a wait cannot advance the clock."""
 
     async def run():
         loop = asyncio.get_running_loop()
--- a/tests/standins/test_network.py
+++ b/tests/standins/test_network.py
@@ -1,4 +1,4 @@
-"""Streams of the in-memory network: order, cuts and ends."""
+"""Tests of the in-memory network: ordering, partitions and closing."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def test_a_cut_holds_bytes_back_and_heal_lets_them_through():
-    """What was written in the cut arrives late, but without a hole."""
+    """Guards against bytes that are lost in a partition."""
 
     async def run():
         clock, net, listener, (here, writer), (there, back) = await _pair()
