--- a/src/jujubewharf/platform/tables.py
+++ b/src/jujubewharf/platform/tables.py
@@ -69,7 +69,7 @@
 
 
 class WritableTable(Table[bytes], Protocol):
-    """A table to which the router itself writes, e.g. crash records."""
+    """A table of the router's own data, which outlives all instances."""
 
     async def write(self, values: Mapping[str, bytes | None]) -> None:
         """Writes records atomically.
--- a/src/jujubewharf/settings/models.py
+++ b/src/jujubewharf/settings/models.py
@@ -69,7 +69,7 @@
         bootstrap_token_sha256: Hex SHA-256 of the token of a built-in admin,
             for the first change on an empty log. Empty disables it.
         max_changes_per_s: Average rate of changes per operator at this
-            instance; bursts of ten times as many are allowed.
+            instance; a burst may use the changes of ten seconds.
         max_reads_per_s: The same for read-only calls.
         max_watches: Maximum number of open watches at this instance, over all
             operators.
