--- a/src/jujubewharf/callers/openai_bodies.py
+++ b/src/jujubewharf/callers/openai_bodies.py
@@ -134,7 +134,7 @@
 
     prefix = "cmpl"
     chunk_object = "text_completion"
-    whole_object = "text_completion"
+    response_object = "text_completion"
 
     def __init__(self, request: model_request.ModelRequest) -> None:
         self._request = request
@@ -169,7 +169,7 @@
         choice |= {"index": 0, "finish_reason": self._finish_reason(end)}
         return {
             **self._base,
-            "object": self.whole_object,
+            "object": self.response_object,
             "choices": [choice],
             "usage": usage.body(),
             EXTENSION: self._extension(end),
@@ -198,7 +198,7 @@
 
     prefix = "chatcmpl"
     chunk_object = "chat.completion.chunk"
-    whole_object = "chat.completion"
+    response_object = "chat.completion"
 
     def _chunk_content(self, text: str, *, is_first: bool) -> Json:
         if is_first:
