--- a/src/jujubewharf/core.py
+++ b/src/jujubewharf/core.py
@@ -100,7 +100,7 @@
         peers: Connections to the other instances.
         facts: Facts that are replicated to all instances.
         membership: Tracks which instances are present.
-        runner: Runs model requests and counts their outcomes.
+        runner: Runs model requests, and has their counters.
         answers: Runs the answers that this instance serves.
         claims: Claims of requests that may not be repeated.
     """
