--- a/src/jujubewharf/demo/__init__.py
+++ b/src/jujubewharf/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A whole deployment on loopback, for the demonstration and for tests."""
+"""Runs a complete deployment on loopback, for the demo and for tests."""
--- a/src/jujubewharf/demo/checks.py
+++ b/src/jujubewharf/demo/checks.py
@@ -1,4 +1,4 @@
-"""What engines and endpoints themselves say after the load."""
+"""Checks against the counters of engines and endpoints after the load."""
 
 from __future__ import annotations
 
@@ -22,10 +22,12 @@
     deployment: deployments.Deployment,
     session: aiohttp.ClientSession,
 ) -> list[str]:
-    """Requests that more or fewer than one engine or endpoint answered.
+    """Finds requests that did not run exactly once.
+
+    A cancelled request may have run once or not at all.
 
     Returns:
-        One line for each; a cancelled request may have run or not.
+        One line for each request that ran too often or not at all.
     """
     answers = await _answers(deployment, session)
     plain_runs = await _plain_runs(deployment, session)
@@ -37,14 +39,14 @@
             times = answers[outcome.prompt_digest]
         is_cancelled = outcome.kind is load.Kind.CANCELLED
         if times > 1 or (times < 1 and not is_cancelled):
-            lines.append(f"{outcome.kind.value}: ran {times} times")
+            lines.append(f"{outcome.kind.value}: request ran {times} times")
     return lines
 
 
 async def held_memory(
     deployment: deployments.Deployment, session: aiohttp.ClientSession
 ) -> list[str]:
-    """What engines still hold after releases had a while to arrive."""
+    """Lists memory that engines still hold once releases had time to arrive."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + _RELEASE_WAIT_S
     while True:
@@ -64,7 +66,9 @@
         )
         for item in await client.held():
             attempt_id = item.attempt.attempt_id
-            lines.append(f"{endpoint.name} holds memory for {attempt_id}")
+            lines.append(
+                f"{endpoint.name} still holds memory for attempt {attempt_id}"
+            )
     return lines
 
 
--- a/src/jujubewharf/demo/deployment.py
+++ b/src/jujubewharf/demo/deployment.py
@@ -1,4 +1,4 @@
-"""The demonstration's deployment: two failure domains on loopback."""
+"""Starts the demo deployment: two failure domains on loopback."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     resources.Role.DECODE,
     resources.Role.BOTH,
 )
-# A newcomer's machine may be slow; the default would refuse requests there.
+# Generous, because the default target causes refusals on slow machines.
 _FIRST_ANSWER_TARGET_MS = 10_000.0
 _READY_TIMEOUT_S = 20.0
 _READY_POLL_S = 0.1
@@ -39,7 +39,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryAddress:
-    """Where one entry instance listens, as ``IP:PORT``."""
+    """Addresses on which an entry instance listens, as ``IP:PORT``.
+
+    Attributes:
+        instance: Name of the instance.
+        domain: Failure domain of the instance.
+        callers: Address for callers.
+        operators: Address of the operator RPC.
+        peers: Address for other instances.
+    """
 
     instance: str
     domain: str
@@ -50,11 +58,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replaced:
-    """How an instance was replaced.
+    """Result of replacing an instance.
 
     Attributes:
         exit_code: Exit code of the drained process.
-        drained_s: From the signal to the end of that process.
+        drained_s: Seconds from SIGTERM until that process exited.
     """
 
     exit_code: int
@@ -70,10 +78,10 @@
 
     Attributes:
         entries: The entry instances.
-        children: Their processes, by instance.
-        endpoints: Engines and plain endpoints, as declared.
-        log_url: The platform's log.
-        live_list_url: The platform's live list.
+        children: Processes of the entry instances, by instance name.
+        endpoints: Engines and plain endpoints.
+        log_url: URL of the platform log.
+        live_list_url: URL of the platform's live list.
         operator_token: Token of the built-in administrator.
     """
 
@@ -85,7 +93,7 @@
     operator_token: str
 
     def declared(self) -> list[resources.Resource]:
-        """The configuration that operators would apply."""
+        """Returns the resources that operators apply to this deployment."""
         return [
             resources.Model(MODEL, versions=("1",)),
             resources.Service(
@@ -99,7 +107,7 @@
         ]
 
     def engines(self) -> list[resources.Endpoint]:
-        """The model engines."""
+        """Returns the endpoints that serve a model."""
         plain = resources.Role.PLAIN
         return [e for e in self.endpoints if e.role is not plain]
 
@@ -107,10 +115,10 @@
 async def start(
     running: processes.Processes, directory: pathlib.Path
 ) -> Deployment:
-    """Starts everything, the platform first.
+    """Starts the platform stand-ins, then the endpoints and instances.
 
     Raises:
-        StartError: A process did not start.
+        StartError: If a process does not start.
     """
     platform = await asyncio.gather(
         running.start_standin("log", "log"),
@@ -153,7 +161,7 @@
 async def publish_live_list(
     deployment: Deployment, session: aiohttp.ClientSession
 ) -> None:
-    """Puts every instance and endpoint on the live list."""
+    """Publishes every instance and endpoint on the live list."""
     live = live_list.LiveState.LIVE.value
     members = [
         {
@@ -181,7 +189,7 @@
 
 
 async def is_ready(entry: EntryAddress, session: aiohttp.ClientSession) -> bool:
-    """What an instance tells its balancer."""
+    """Returns whether the readiness probe of an instance succeeds."""
     try:
         async with session.get(f"http://{entry.callers}/readyz") as answer:
             return answer.status == _HTTP_OK
@@ -192,10 +200,10 @@
 async def wait_until_ready(
     deployment: Deployment, session: aiohttp.ClientSession
 ) -> None:
-    """Waits until every instance takes requests.
+    """Waits until every instance is ready.
 
     Raises:
-        StartError: One did not in time, or its process ended.
+        StartError: If an instance exits or does not become ready in time.
     """
     waits = [
         _wait_for(deployment, entry, is_ready, session)
@@ -210,7 +218,7 @@
     """Waits until every instance answers a plain and a model request.
 
     Raises:
-        StartError: One did not in time, or its process ended.
+        StartError: If an instance exits or does not answer in time.
     """
     waits = [
         _wait_for(deployment, entry, _answers, session)
@@ -225,10 +233,10 @@
     entry: EntryAddress,
     session: aiohttp.ClientSession,
 ) -> Replaced:
-    """Drains an instance by SIGTERM and starts it anew at its address.
+    """Drains an instance with SIGTERM and restarts it on the same address.
 
-    It is out of the rotation for as long as its readiness says so, as with a
-    balancer.
+    While its readiness probe fails, the instance is removed from
+    ``deployment.entries`` and gets no load, as behind a load balancer.
     """
     loop = asyncio.get_running_loop()
     began_s = loop.time()
@@ -265,7 +273,9 @@
         if await holds(entry, session):
             return
         await asyncio.sleep(_READY_POLL_S)
-    raise processes.StartError(f"{entry.instance}: see {child.log_path}")
+    raise processes.StartError(
+        f"{entry.instance} exited or timed out; see {child.log_path}"
+    )
 
 
 async def _answers(entry: EntryAddress, session: aiohttp.ClientSession) -> bool:
@@ -320,10 +330,10 @@
 
 
 def _free_ports(count: int) -> list[int]:
-    """Ports that are free now.
+    """Returns ports that are currently free.
 
-    Peers dial an instance by the address on the live list, so its ports have
-    to be known before it starts.
+    Peers connect to the address on the live list, so the ports of an instance
+    must be known before it starts.
     """
     sockets = [socket.socket() for _ in range(count)]
     try:
--- a/src/jujubewharf/demo/load.py
+++ b/src/jujubewharf/demo/load.py
@@ -1,4 +1,4 @@
-"""A mixed load on several instances, and the check of every answer."""
+"""Sends a mix of requests to several instances and checks every answer."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Kind(enum.Enum):
-    """Kinds of request in the mix."""
+    """Kind of a request in the mix."""
 
     STREAMED = "streamed"
     WHOLE = "whole"
@@ -54,14 +54,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of one request.
+    """Result of one request.
 
     Attributes:
-        kind: Its place in the mix.
-        duration_ms: From sending to the last byte.
-        fault: What was wrong; empty when the answer came once and whole.
-        prompt_digest: Names the answer at the engines; empty for plain calls.
-        request_ids: Ids that instances gave to its tries.
+        kind: Kind of the request.
+        duration_ms: Time from sending until the last byte.
+        fault: Description of the failure; empty on success.
+        prompt_digest: Digest by which engines count answers; empty for plain
+            requests.
+        request_ids: Request IDs that instances assigned to its attempts.
     """
 
     kind: Kind
@@ -72,12 +73,12 @@
 
 
 class WrongAnswerError(Exception):
-    """An answer was refused, cut or not the one asked for."""
+    """A response was an error, truncated or had unexpected content."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Ask:
-    """One model request and the answer it must get."""
+    """A model request and its expected answer."""
 
     number: int
 
@@ -104,11 +105,11 @@
 
 
 class Load:
-    """Sends the mix and checks what comes back.
+    """Sends the mix of requests and checks the answers.
 
     Args:
-        entries: Instances to send to, in turn.
-        session: HTTP client.
+        entries: Instances to send to, round-robin.
+        session: HTTP client session.
     """
 
     def __init__(
@@ -122,7 +123,12 @@
     async def run(
         self, count: int, on_outcome: Callable[[Outcome], None]
     ) -> list[Outcome]:
-        """Sends a number of requests, some at a time."""
+        """Sends ``count`` requests with bounded concurrency.
+
+        Args:
+            count: Number of requests.
+            on_outcome: Called with the result of each request.
+        """
         gate = asyncio.Semaphore(_CONCURRENT)
 
         async def one(number: int) -> Outcome:
@@ -178,7 +184,9 @@
             await _check_status(answer)
             echoed = await answer.json()
             if echoed["body"] != data:
-                raise WrongAnswerError("another call's answer")
+                raise WrongAnswerError(
+                    "response body belongs to another request"
+                )
             return answer.headers[http_endpoint.REQUEST_HEADER]
 
     async def _whole(
@@ -192,7 +200,7 @@
             return answer.headers[request_options.REQUEST_HEADER]
 
     async def _retried(self, ask: _Ask) -> tuple[str, ...]:
-        """The same key at two instances, as after a caller's timeout."""
+        """Sends one idempotency key to two instances, like a caller's retry."""
         tries = await asyncio.gather(
             self._whole(ask, ask.number),
             self._whole(ask, ask.number + 1),
@@ -209,7 +217,7 @@
                     break
                 texts.append(_text_of(data))
             else:
-                raise WrongAnswerError("the stream was cut")
+                raise WrongAnswerError("stream ended before [DONE]")
             _check_text(ask, "".join(texts))
             return answer.headers[request_options.REQUEST_HEADER]
 
@@ -255,9 +263,11 @@
 
 async def _check_status(answer: aiohttp.ClientResponse) -> None:
     if answer.status != _HTTP_OK:
-        raise WrongAnswerError(f"{answer.status}: {await answer.text()}")
+        raise WrongAnswerError(f"HTTP {answer.status}: {await answer.text()}")
 
 
 def _check_text(ask: _Ask, text: str) -> None:
     if text != ask.expected:
-        raise WrongAnswerError(f"answer {ask.number} is not whole")
+        raise WrongAnswerError(
+            f"answer {ask.number} differs from the expected text"
+        )
--- a/src/jujubewharf/demo/processes.py
+++ b/src/jujubewharf/demo/processes.py
@@ -1,4 +1,4 @@
-"""Child processes that never outlive their parent's block."""
+"""Starts child processes and ends them when the context exits."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class StartError(Exception):
-    """A child process ended or kept silent instead of starting."""
+    """A child process exited or did not report its port in time."""
 
 
 @dataclasses.dataclass(slots=True)
 class Child:
-    """One running process.
+    """A child process.
 
     Attributes:
-        name: What it stands for.
-        process: The process; it is only ever ended by its own id.
-        log_path: Where its standard error goes.
-        settings_path: Its settings file, if it has one.
+        name: Name of the process; also the name of its log file.
+        process: The process itself.
+        log_path: File that receives standard error.
+        settings_path: Settings file; an empty path if there is none.
     """
 
     name: str
@@ -36,24 +36,24 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended yet."""
+        """Whether the process has not exited yet."""
         return self.process.returncode is None
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal, if it still runs."""
+        """Sends a signal if the process is still running."""
         if self.is_running:
             self.process.send_signal(number)
 
 
 class Processes:
-    """Starts ``jujubewharf`` commands and ends them with the block.
+    """Starts ``jujubewharf`` commands and ends them when the context exits.
 
-    The children stand in sessions of their own: Ctrl-C in a terminal goes to
-    every process of the foreground group, and children that died of it before
-    their parent could end them in order would look like failures.
+    Each child runs in its own session, so that Ctrl-C in a terminal reaches
+    only the parent. Children killed by Ctrl-C before the orderly shutdown
+    would look like failures.
 
     Args:
-        directory: Where the children's logs are written.
+        directory: Directory for the log files of the children.
     """
 
     def __init__(self, directory: pathlib.Path) -> None:
@@ -72,7 +72,13 @@
         *arguments: str,
         settings_path: pathlib.Path = pathlib.Path(),
     ) -> Child:
-        """Starts one command."""
+        """Starts a ``jujubewharf`` command.
+
+        Args:
+            name: Name of the process and of its log file.
+            *arguments: Command-line arguments.
+            settings_path: Settings file to remember with the process.
+        """
         log_path = self._directory / f"{name}.log"
         with log_path.open("ab") as log_file:
             process = await asyncio.create_subprocess_exec(
@@ -94,7 +100,7 @@
         """Starts a stand-in and returns the ``IP:PORT`` it listens on.
 
         Raises:
-            StartError: It did not say where it listens.
+            StartError: If the stand-in does not report its port.
         """
         child = await self.start(name, "standin", *arguments)
         assert child.process.stdout is not None
@@ -103,10 +109,12 @@
                 line = await child.process.stdout.readline()
             return f"127.0.0.1:{json.loads(line)['port']}"
         except (TimeoutError, ValueError) as error:
-            raise StartError(f"{name}: see {child.log_path}") from error
+            raise StartError(
+                f"{name} did not report its port; see {child.log_path}"
+            ) from error
 
     async def end(self, children: list[Child]) -> None:
-        """Ends processes: SIGTERM first, SIGKILL for those that stay."""
+        """Sends SIGTERM, then SIGKILL to processes that do not exit in time."""
         for child in children:
             child.send(signal.SIGTERM)
         waits = [child.process.wait() for child in children]
--- a/src/jujubewharf/demo/show.py
+++ b/src/jujubewharf/demo/show.py
@@ -1,4 +1,4 @@
-"""Runs the demonstration and shows it on the terminal."""
+"""Runs the demo and shows its progress on the terminal."""
 
 from __future__ import annotations
 
@@ -24,10 +24,13 @@
 
 
 async def run(requests: int) -> list[str]:
-    """Runs the demonstration to its end.
+    """Runs the demo.
+
+    Args:
+        requests: Number of requests to send.
 
     Returns:
-        What went wrong, one line each; empty when all was well.
+        One line for each failure; empty on success.
     """
     console = consoles.Console()
     with tempfile.TemporaryDirectory(prefix="jujubewharf-demo-") as name:
@@ -86,14 +89,16 @@
 
 
 async def _apply(deployment: deployments.Deployment) -> None:
-    """Declares everything over the operator RPC, as operators would."""
+    """Applies the configuration over the operator RPC."""
     addresses = [entry.operators for entry in deployment.entries]
     async with operator_client.OperatorClient(
         addresses, deployment.operator_token
     ) as client:
         reply = await client.apply(deployment.declared())
     if reply.failed:
-        raise processes.StartError(f"not applied: {reply.failed}")
+        raise processes.StartError(
+            f"configuration was rejected: {reply.failed}"
+        )
 
 
 async def _load(
--- a/tests/demo/test_processes.py
+++ b/tests/demo/test_processes.py
@@ -1,8 +1,6 @@
-"""The demonstration leaves nothing running, however its block ends.
+"""Tests that child processes are ended when the context exits.
 
-A caller interrupts the demonstration, or a process of it does not start; the
-children must be gone when the block is left, or a second run would meet
-engines and ports of the first.
+Children that survive a run would occupy ports of the next one.
 """
 
 from __future__ import annotations
@@ -14,7 +12,7 @@
 from jujubewharf.demo import processes
 
 
-async def test_children_are_gone_after_the_block_was_cancelled(tmp_path):
+async def test_children_are_ended_when_the_context_is_cancelled(tmp_path):
     started: list[processes.Child] = []
     ready = asyncio.Event()
 
@@ -35,7 +33,7 @@
     assert not started[0].is_running
 
 
-async def test_a_child_that_does_not_start_is_an_error(tmp_path):
+async def test_child_that_does_not_start_raises_start_error(tmp_path):
     async with processes.Processes(tmp_path) as running:
         with pytest.raises(processes.StartError):
             await running.start_standin("bad", "no-such-standin")
--- a/tests/scenarios/steps.py
+++ b/tests/scenarios/steps.py
@@ -1,4 +1,4 @@
-"""What all scenarios share: a bench on virtual time, a step at a time."""
+"""Shared state of the scenarios: a bench that runs on virtual time."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class World:
-    """A bench whose time runs only while a step runs."""
+    """A bench whose virtual clock advances only while a step runs."""
 
     def __init__(self) -> None:
         self.loop = virtual_time.VirtualLoop()
         self.bench = benches.Bench()
 
     def run(self, work: Coroutine[Any, Any, Any]) -> Any:
-        """Runs a step's work to its end."""
+        """Runs a coroutine to completion."""
         return self.loop.run_until_complete(work)
 
     def act(self, action: Callable[[], Any]) -> Any:
-        """Calls something that needs the running loop."""
+        """Calls a function within the running event loop."""
 
         async def call() -> Any:
             return action()
@@ -33,13 +33,13 @@
         return self.run(call())
 
     def wait_s(self, duration_s: float) -> None:
-        """Lets time pass."""
+        """Advances the virtual clock."""
         self.run(self.bench.clock.sleep_ms(duration_s * 1_000))
 
     def holds_within_s(
         self, duration_s: float, holds: Callable[[], bool]
     ) -> bool:
-        """Whether something comes to hold in time."""
+        """Waits for a condition; returns whether it became true in time."""
 
         async def watch() -> bool:
             until_ms = self.bench.clock.now_ms() + duration_s * 1_000
@@ -52,7 +52,7 @@
         return bool(self.run(watch()))
 
     def close(self) -> None:
-        """Stops the bench and ends all that is left."""
+        """Stops the bench and cancels all remaining tasks."""
         self.run(self.bench.stop())
         self.loop.let_all_go()
         rest = asyncio.all_tasks(self.loop)
@@ -64,10 +64,10 @@
 
 
 class LoadedWorld(World):
-    """A world on which callers send requests while steps run.
+    """A world in which callers send requests while steps run.
 
     Attributes:
-        sent: Tasks of requests, for ``end_load`` to wait for.
+        sent: Request tasks that ``end_load`` waits for.
     """
 
     def __init__(self) -> None:
@@ -76,7 +76,7 @@
         self._sending: asyncio.Task[None] | None = None
 
     def start_load(self, sending: Coroutine[Any, Any, None]) -> None:
-        """Begins to send."""
+        """Starts sending requests in the background."""
 
         async def start() -> None:
             self._sending = asyncio.create_task(sending)
@@ -84,7 +84,7 @@
         self.run(start())
 
     def end_load(self) -> None:
-        """Sends no more and waits for all answers."""
+        """Stops sending and waits for all answers."""
         assert self._sending is not None
         self._sending.cancel()
 
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -34,7 +34,7 @@
 
 
 class Fleet(steps.World):
-    """The world, and what operators were told."""
+    """The world, the accepted changes and the observed state updates."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -59,7 +59,7 @@
             "log_retention_ms": self._retention_ms,
             "live_list_poll_ms": 4_000,
         }
-        # Slower heartbeats than usual: these scenarios last for minutes.
+        # Slow heartbeats, because these scenarios simulate minutes.
         peers = {"heartbeat_ms": 2_000, "suspect_after_ms": 7_000}
         await self.bench.start_instance(
             name, name[0], settings={"platform": platform, "peers": peers}
@@ -71,7 +71,7 @@
         self._watch(name)
 
     async def submit(self, name: str) -> states.Verdict:
-        """Changes an endpoint at an instance."""
+        """Submits a change of an endpoint to an instance."""
         number = next(self._numbers)
         self.last_operation = f"change-{number}"
         change = builders.put(
@@ -351,7 +351,7 @@
         if item.verdict.operation_id == fleet.last_operation
     ]
     assert len(found) == 1
-    # The declaration and the change, each appended once.
+    # One append for the declaration and one for the change.
     assert fleet.bench.log.appends[records.STREAM] == 2
     assert fleet.bench.log.appends[checkpoints.MANIFEST_STREAM] >= 1
 
--- a/tests/scenarios/test_forwarding.py
+++ b/tests/scenarios/test_forwarding.py
@@ -1,8 +1,7 @@
-"""Scenarios of several instances that forward.
+"""Steps of ``forwarding.feature``.
 
-What a caller sees is an answer, whole, or a word that is true. The store is
-away, instances die all at once, engines die in the middle of answers, and the
-instance that gives orders is cut off.
+Guard against truncated answers, duplicate executions and false errors when the
+store, the instances or the engines fail.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
 
 
 class Story:
-    """A deployment on a loop of its own, and what its callers saw."""
+    """A deployment on a virtual-time event loop and the answers it gave."""
 
     def __init__(self) -> None:
         self.loop = virtual_time.VirtualLoop()
@@ -41,18 +40,18 @@
         self.next_ms = 0.0
 
     def run(self, coroutine):
-        """Runs until a coroutine is done."""
+        """Runs a coroutine to completion."""
         return self.loop.run_until_complete(coroutine)
 
     def set_store(self, *, is_down: bool) -> None:
-        """Takes the store away, or brings it back."""
+        """Makes the store unavailable or available again."""
         self.world.endpoints.is_down = is_down
         self.world.configurations.is_down = is_down
         cut_off = set(INSTANCES) if is_down else set()
         self.world.groups.cut_off = cut_off
 
     async def send(self, streams: int, sales: int, over_s: float) -> None:
-        """Sends requests evenly over a time, to one instance after another."""
+        """Sends requests at a constant rate, round-robin over the instances."""
         self.answers = []
         paths = ["/verdicts/1"] * streams + ["/sale/1"] * sales
         asked = []
--- a/tests/scenarios/test_operators.py
+++ b/tests/scenarios/test_operators.py
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Story:
-    """The world and what operators were told so far."""
+    """The world and the results of the latest operator calls."""
 
     world: steps.World
     accepted: resources.Resource | None = None
@@ -46,7 +46,7 @@
         return core.configuration.current.get(*key)
 
     def attempt(self, *calls) -> None:
-        """Makes calls at once and keeps what became of each."""
+        """Makes calls concurrently and records their results."""
 
         async def together():
             return await asyncio.gather(*calls, return_exceptions=True)
--- a/tests/scenarios/test_orders.py
+++ b/tests/scenarios/test_orders.py
@@ -26,7 +26,14 @@
 
 
 class Orders(steps.LoadedWorld):
-    """A world with one pool, a steady load and what was seen of both."""
+    """A world with one pool of engines under a steady load.
+
+    Attributes:
+        endpoints: Endpoints of the pool, by name.
+        ends: Last event of each request.
+        serving: Samples of the number of engines that accept work.
+        paused: Name of the paused instance.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -226,8 +233,7 @@
 
 @pytest_bdd.then("every answer came whole")
 def all_whole(world):
-    # Requests after the change count too; how many came before it depends on
-    # how soon it was made.
+    # Few requests may precede the change, so send some more after it.
     world.wait_s(4)
     world.end_load()
     assert len(world.ends) > 10
--- a/tests/scenarios/test_peers.py
+++ b/tests/scenarios/test_peers.py
@@ -39,7 +39,7 @@
 
 
 def _group(world: steps.World, words: str) -> list[str]:
-    """Names meant by 'all', 'all but x', 'those in a' or a name."""
+    """Resolves 'all', 'all but x', 'those in a' or a name to names."""
     everyone = sorted(world.bench.instances)
     if words == "all":
         return everyone
--- a/tests/scenarios/test_policy.py
+++ b/tests/scenarios/test_policy.py
@@ -1,9 +1,7 @@
-"""Scenarios of keepers and their grants.
+"""Steps of ``policy.feature``: slot coordinators and their grants.
 
-The caller sees whole answers whatever happens to keepers: a grant only
-steers, the engine's own answer decides. What goes wrong without keepers is
-that instances with old reports all pick the engine that looked empty, read a
-prompt for it, and find it full.
+Guard against instances with stale load reports all choosing the same engine,
+and against lost answers when a coordinator fails.
 """
 
 from __future__ import annotations
@@ -33,7 +31,7 @@
 
 
 class Story:
-    """A world, its engines, and what was answered."""
+    """A world, its engines and the last event of each request."""
 
     def __init__(self):
         self.world = steps.World()
--- a/tests/scenarios/test_requests.py
+++ b/tests/scenarios/test_requests.py
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass
 class Sending:
-    """One sending of the request, and what came back."""
+    """An attempt of the caller and the events it received."""
 
     request_id: str
     events: list
@@ -32,7 +32,7 @@
 
 
 class Story:
-    """Collects what happens and plays it on virtual time."""
+    """Collects the actions of a scenario and runs them on virtual time."""
 
     def __init__(self):
         self.acts = []
@@ -42,7 +42,7 @@
         self.held = None
 
     def play(self):
-        """Runs everything once; the checks look at what is left."""
+        """Runs the collected actions once and keeps the results."""
         if not self.is_played:
             self.is_played = True
             virtual_time.run(self._play())
--- a/tests/scenarios/test_shutdown.py
+++ b/tests/scenarios/test_shutdown.py
@@ -29,7 +29,7 @@
 
 
 class Leaving(steps.LoadedWorld):
-    """A world with both pools and a steady load on listed instances."""
+    """A world with both pools under a steady load on the ready instances."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -214,7 +214,7 @@
 
 @pytest_bdd.when(parsers.re(r"one list reader says that (?P<name>\S+) leaves"))
 def reader_says(world, name):
-    """Only entry-b2 sees the list in time; the others lie behind."""
+    """Only entry-b2 reads the current live list; the others lag behind."""
     endpoint = world.endpoints[name]
     member = live_list.LiveMember(
         name,
