--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of real processes on loopback; not tests."""
+"""Benchmarks of capacity, memory and processor time; not tests."""
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,8 +1,7 @@
-"""Works the tables of docs/CAPACITY.md out from measured slopes.
+"""Computes the tables of ``docs/CAPACITY.md`` from measured inputs.
 
-``benchmarks/measured.json`` holds what was measured, with its commands; the
-sizes are the letter's. ``python -m benchmarks.capacity --write`` puts the
-tables into the page, so that no figure is typed twice.
+``benchmarks/measured.json`` holds the measured inputs and the commands that
+produce them. ``python -m benchmarks.capacity --write`` updates the page.
 """
 
 from __future__ import annotations
@@ -28,7 +27,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Size:
-    """The letter's size and budget."""
+    """Target size of the fleet and the budget of one instance.
+
+    Attributes:
+        instances: Instances in the fleet.
+        engines: Engines in the fleet.
+        domains: Failure domains.
+        requests_per_s: Requests per second to the fleet.
+        tokens_per_s: Tokens per second of the fleet.
+        changes_per_day: Configuration changes per day.
+        accounts: Client accounts.
+        starts_per_day: Starts of instances per day.
+        slots: Decode slots per engine.
+        step_ms: Time per token of an answer.
+        core_percent: Budget for control work, in percent of a core.
+        memory_mb: Budget for memory, in megabytes.
+        bytes_per_s: Budget for control traffic.
+    """
 
     instances: int = 380
     engines: int = 5_900
@@ -46,55 +61,55 @@
 
     @property
     def engines_kept(self) -> float:
-        """Engines of one instance."""
+        """Engines per instance."""
         return self.engines / self.instances
 
     @property
     def requests_per_instance_s(self) -> float:
-        """Requests a second at one instance."""
+        """Requests per second at one instance."""
         return self.requests_per_s / self.instances
 
     @property
     def in_flight(self) -> float:
-        """Requests in flight at one instance."""
+        """Mean number of requests in flight at one instance."""
         return self.tokens_per_s * self.step_ms / 1_000 / self.instances
 
     @property
     def changes_per_s(self) -> float:
-        """Changes of configuration a second, the mean of a day."""
+        """Mean number of configuration changes per second."""
         return self.changes_per_day / _DAY_S
 
 
 class Measured:
-    """Measured inputs by name: a value, or a line ``base + per_unit * n``."""
+    """Measured inputs by name: a constant or ``base + per_unit * units``."""
 
     def __init__(self, data: dict[str, Any]) -> None:
         self.data = data
 
     @classmethod
     def from_file(cls, path: pathlib.Path = MEASURED) -> Measured:
-        """Reads the inputs."""
+        """Reads the inputs from a JSON file."""
         return cls(json.loads(path.read_text(encoding="utf-8")))
 
     def at(self, name: str, units: float = 0.0) -> float:
-        """An input at some number of units."""
+        """Returns an input evaluated at a number of units."""
         item = self.data[name]
         return float(item["base"] + item.get("per_unit", 0.0) * units)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One role at one instance; ``None`` is not measured.
+    """Cost of one role at one instance; ``None`` if not measured.
 
     Attributes:
-        role: The role.
-        mechanism: What carries it.
-        state: What it holds.
-        bytes_per_s: Control bytes a second.
-        core_percent: Share of a core.
-        memory_mb: Memory beyond the idle process.
-        breaks_first: What gives way first when it grows.
-        is_control: Whether it counts against the budget for control.
+        role: Name of the role.
+        mechanism: How the role is implemented.
+        state: State that the role holds.
+        bytes_per_s: Control bytes per second.
+        core_percent: Processor time in percent of a core.
+        memory_mb: Memory in megabytes beyond the idle process.
+        breaks_first: Resource that limits growth first.
+        is_control: Whether the cost counts against the control budget.
     """
 
     role: str
@@ -108,7 +123,7 @@
 
 
 def rows(size: Size, measured: Measured) -> Iterator[Row]:
-    """All roles, each for the instance that holds it."""
+    """Yields the cost of every role at the instance that holds it."""
     yield _relay(size, measured)
     yield from _peers(size, measured)
     yield _restarts(size, measured)
@@ -271,7 +286,7 @@
 
 
 def role_table(size: Size, measured: Measured) -> str:
-    """The table of roles as Markdown."""
+    """Returns the table of roles as Markdown."""
     lines = [
         "| Role | Mechanism | State | Bytes/s | Core % | Memory MB | "
         "Breaks first |",
@@ -287,7 +302,7 @@
 
 
 def budget_table(size: Size, measured: Measured) -> str:
-    """Sums of what was measured against the budget, as Markdown."""
+    """Returns a Markdown table that compares total costs to the budget."""
     control = [row for row in rows(size, measured) if row.is_control]
     spent_bytes = sum(row.bytes_per_s or 0 for row in control)
     spent_core = sum(row.core_percent or 0 for row in control)
@@ -308,7 +323,7 @@
 
 
 def input_table(measured: Measured) -> str:
-    """What was measured, as Markdown."""
+    """Returns the measured inputs as a Markdown table."""
     lines = [
         "| Input | Value | Range | Largest residual | Where from |",
         "|---|---|---|---|---|",
@@ -325,7 +340,7 @@
 
 
 def written(page: str, size: Size, measured: Measured) -> str:
-    """The page with its tables worked out anew."""
+    """Returns the page with its tables recomputed."""
     for name, table in (
         ("roles", role_table(size, measured)),
         ("budget", budget_table(size, measured)),
@@ -343,7 +358,7 @@
 
 
 def main() -> None:
-    """Prints the page's tables, or writes them into the page."""
+    """Prints the tables, or writes them into the page with ``--write``."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--write", action="store_true")
     options = parser.parse_args()
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,4 +1,4 @@
-"""What configuration costs an instance, and how fast a change is in force.
+"""Cost of configuration per instance, and propagation time of a change.
 
 Run from the root of the repository, one case at a time:
 
@@ -84,17 +84,17 @@
 
 
 class _Filling:
-    """A state that grows step by step, and what each step cost."""
+    """Applies resources to a state and measures the cost of each batch."""
 
     def __init__(self) -> None:
         self.state = states.State()
         self._number = 0
 
     def fold(self, made: Iterator[resources.Resource]) -> tuple[float, float]:
-        """Folds resources.
+        """Applies resources to the state.
 
         Returns:
-            Bytes and processor microseconds for each.
+            Mean bytes and processor microseconds per resource.
         """
         payloads = []
         for resource in made:
@@ -119,11 +119,11 @@
 
 @app.command()
 def size() -> None:
-    """Memory, processor time and bytes of the state at the target size."""
+    """Measures memory, processor time and snapshot at the target size."""
     tracing = _Filling()
     tracemalloc.start()
     tracing.fold(_service(number) for number in range(_SERVICES))
-    # The history fills up first, so that it isn't counted as endpoints.
+    # Fill the bounded history first, so that it isn't counted as endpoints.
     history = tracing.fold(_endpoint(0, slots=n + 1) for n in range(2_048))
     endpoints = tracing.fold(_endpoint(n) for n in range(1, _ENDPOINTS))
     accounts = tracing.fold(_account(n) for n in range(_ACCOUNTS))
@@ -157,7 +157,7 @@
 
 @app.command()
 def spread(instances: int = 6, cut: bool = False) -> None:
-    """Time from accepted to in force everywhere, on the virtual clock."""
+    """Measures propagation time to all instances on a virtual clock."""
     virtual_time.run(_spread(instances, cut))
 
 
@@ -192,7 +192,7 @@
 async def _costs(
     bench: benches.Bench, changes: int, delays_ms: list[float] | None = None
 ) -> tuple[float, float]:
-    """Processor ms and peer bytes a second of all instances together."""
+    """Returns processor ms and peer bytes per second of all instances."""
     began_ms = bench.clock.now_ms()
     began_s = time.process_time()
     before = sum(bench.network.bytes_sent.values())
@@ -221,7 +221,7 @@
     core: cores.EntryCore,
     change: records.Change,
 ) -> list[float]:
-    """Milliseconds from the answer until each instance has folded it."""
+    """Returns the ms from acceptance until each instance applied a change."""
     waiting = {name: one.core for name, one in bench.instances.items()}
     done_ms: dict[str, float] = {}
 
@@ -244,7 +244,7 @@
 
 @app.command()
 def wire(seconds: float = 20.0) -> None:
-    """Bytes between one instance and a log over HTTP, idle and busy."""
+    """Measures traffic between an instance and an HTTP log, idle and busy."""
     asyncio.run(_wire(seconds))
 
 
@@ -280,7 +280,7 @@
 
 @app.command()
 def loopback(instances: int = 6) -> None:
-    """Time from accepted to in force over HTTP, all in one process."""
+    """Measures propagation time over HTTP, with all readers in one process."""
     asyncio.run(_loopback(instances))
 
 
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -1,9 +1,9 @@
-"""Control bytes and processor time of an instance over the fleet's size.
+"""Control traffic and processor time per instance by fleet size.
 
-Runs 6 to 48 real cores on one virtual clock, idle, under load or under churn.
+Runs 6 to 48 entry cores on one virtual clock: idle, under load or under churn.
 Bytes are those of peer streams. Processor time is that of the whole process,
-stand-ins included, shared out over the instances: an upper bound for code,
-without the sockets' own cost. ``python -m benchmarks.control_cost``.
+stand-ins included, divided by the number of instances; it excludes the cost of
+sockets. ``python -m benchmarks.control_cost``.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 _SERVICE = resources.Service("m", resources.ServiceKind.MODEL, model="x")
 _STEP_MS = 50.0
 _PATIENCE_MS = 20_000.0
-# Headers of one TCP segment over IPv4 with timestamps, and of its
-# acknowledgement; a worked-out allowance, for the bench has no packets.
+# Headers of a TCP segment over IPv4 with timestamps, and of its
+# acknowledgement. The bench doesn't model packets.
 _SEGMENT_BYTES = 104
 _FITTED = (
     "control_bytes_per_s",
@@ -51,7 +51,7 @@
 
 
 class State(enum.StrEnum):
-    """What the fleet does while it is measured."""
+    """Activity of the fleet during the measurement."""
 
     IDLE = "idle"
     LOAD = "load"
@@ -60,16 +60,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """How a fleet is run.
+    """Parameters of a measurement.
 
     Attributes:
-        state: What it does.
-        engines_each: Engines for each instance.
+        state: Activity of the fleet.
+        engines_each: Engines per instance.
         domains: Number of failure domains.
-        settle_s: Virtual seconds after the start that are left out.
-        duration_s: Virtual seconds to measure over.
-        churn_per_min: Instances killed and started anew a minute, under
-            churn, in the whole fleet.
+        settle_s: Virtual seconds between start and measurement.
+        duration_s: Virtual seconds of the measurement.
+        churn_per_min: Instances of the fleet killed and restarted per minute
+            under churn.
     """
 
     state: State
@@ -82,18 +82,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """What one instance costs a second, the mean of all.
+    """Mean cost per instance and second.
 
     Attributes:
         instances: Number of instances.
-        state: What the fleet did.
-        links: Mean number of open links, before the measured time.
+        state: Activity of the fleet.
+        links: Mean number of open links before the measurement.
         control_bytes_per_s: Mean bytes written to peers.
-        max_bytes_per_s: The same of the instance that wrote most.
+        max_bytes_per_s: Bytes written by the instance that wrote most.
         frames_per_s: Mean messages written to peers.
-        processor_ms_per_s: Time of a processor core.
-        spread_ms: Time until a fact was known to all; infinite when it took
-            more than 20 s.
+        processor_ms_per_s: Processor time.
+        spread_ms: Time until a fact reached all instances; infinite if it
+            took longer than 20 s.
     """
 
     instances: int
@@ -107,11 +107,11 @@
 
     @property
     def wire_bytes_per_s(self) -> float:
-        """Bytes with an allowance for TCP, a segment for each message."""
+        """Bytes including TCP headers, at one segment per message."""
         return self.control_bytes_per_s + self.frames_per_s * _SEGMENT_BYTES
 
     def to_json(self) -> str:
-        """One line with all figures."""
+        """Returns all values as one line of JSON."""
         figures = dataclasses.asdict(self)
         figures["wire_bytes_per_s"] = self.wire_bytes_per_s
         return json.dumps(
@@ -123,7 +123,7 @@
 
 
 async def measure(instances: int, plan: Plan) -> Cost:
-    """Runs a fleet of so many instances and measures it."""
+    """Runs a fleet and measures its cost per instance."""
     bench = await _started(instances, plan)
     links = statistics.mean(
         instance.core.peers.link_count()
@@ -174,7 +174,7 @@
 
 
 async def _run(bench: benches.Bench, plan: Plan) -> int:
-    """Lets time pass; returns the messages of instances killed meanwhile."""
+    """Runs the plan; returns the messages sent by killed instances."""
     duration_ms = plan.duration_s * 1_000
     if plan.state is State.CHURN:
         return await _restart_on(bench, duration_ms, plan.churn_per_min)
@@ -234,7 +234,7 @@
 
 
 async def _spread_ms(bench: benches.Bench) -> float:
-    """Publishes a fact and waits until all know it."""
+    """Publishes a fact and waits until it reaches all instances."""
     cores = [instance.core for instance in bench.instances.values()]
     topic = facts.Topic.ENDPOINT_LEAVING
     began_ms = bench.clock.now_ms()
@@ -254,17 +254,19 @@
 
 
 def slope(costs: Sequence[Cost], field: str) -> slopes.Slope:
-    """The line of a field over the number of instances."""
+    """Fits a field of the costs against the number of instances."""
     sizes = [cost.instances for cost in costs]
     return slopes.Slope.fit(sizes, [getattr(cost, field) for cost in costs])
 
 
 def main() -> None:
-    """Measures all states at all sizes and fits lines."""
+    """Measures all states at all fleet sizes and fits lines."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--instances", default="6,12,24,48")
     parser.add_argument("--states", default="idle,load,churn")
-    parser.add_argument("--engines", type=int, default=1, help="an instance")
+    parser.add_argument(
+        "--engines", type=int, default=1, help="engines per instance"
+    )
     parser.add_argument("--domains", type=int, default=_DOMAINS)
     parser.add_argument("--settle-s", type=float, default=_SETTLE_S)
     parser.add_argument("--duration-s", type=float, default=_DURATION_S)
--- a/benchmarks/crash_checks.py
+++ b/benchmarks/crash_checks.py
@@ -1,8 +1,8 @@
-"""What it costs to know requests that crash engines.
+"""Cost of recognizing requests that crash engines.
 
-``python -m benchmarks.crash_checks``: microseconds a check, of which each
-request needs two to four, by what is remembered and by the size of its body;
-bytes of what instances tell each other and keep; memory of all that is kept.
+``python -m benchmarks.crash_checks`` prints the microseconds per check (a
+request needs two to four) by recorded crashes and body size, the size of crash
+messages and stored records, and the memory of a full history.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 
 
 async def main() -> None:
-    """Prints a row a size, then what is told and kept."""
+    """Prints check times by body size, then sizes and memory."""
     print("body bytes  nothing known  others known  looks alike")
     for size_bytes in _SIZES_BYTES:
         call = _call("/verdicts/1", b"a" * size_bytes)
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,9 +1,9 @@
-"""Processor time of one placement decision, by the engines in view.
+"""Processor time of a placement decision by number of engines.
 
-Run: ``python -m benchmarks.decision_cost``. One decision is everything that
-an instance and the keepers it asks compute for a request: picking engines,
-the grant, the read's announcement, the slot, and giving all back. Messages
-are handed over in process; their encoding is measured in ``overhead``.
+Run: ``python -m benchmarks.decision_cost``. A decision covers everything that
+an instance and the slot coordinators compute for a request: choice of engines,
+grant, prefill announcement, decode slot and release. Messages are delivered in
+process; ``overhead`` includes their encoding.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class _Alone:
-    """Peers and membership of an instance that keeps all engines itself."""
+    """Peers and membership of an instance that coordinates all engines."""
 
     instance = "e1"
     local_member = membership.Member("e1", "127.0.0.1:1", "a")
@@ -122,7 +122,7 @@
 
 
 def main() -> None:
-    """Prints a line for each size of the view."""
+    """Prints one line per number of engines."""
     for count in _ENGINES_IN_VIEW:
         print(f"{count:4d} engines: {asyncio.run(_decision_us(count)):7.0f} us")
 
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -1,4 +1,4 @@
-"""One entry instance before stand-in engines, as processes on loopback."""
+"""Starts an entry instance and stand-in engines as local processes."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deployment:
-    """What runs.
+    """A running deployment.
 
     Attributes:
-        entry_url: The entry instance's caller edge.
-        entry_pid: Its process.
+        entry_url: URL of the entry instance for callers.
+        entry_pid: Process ID of the entry instance.
         prefill: The prefill engine.
         decoders: The decode engines.
         till: The plain endpoint.
@@ -48,7 +48,7 @@
 
 @contextlib.asynccontextmanager
 async def running(*, step_ms: float) -> AsyncIterator[Deployment]:
-    """Starts all processes, and ends them with the block.
+    """Starts all processes and ends them when the context exits.
 
     Args:
         step_ms: Time between two tokens of an answer.
@@ -160,7 +160,7 @@
                     if answer.status == 200:
                         return
             await asyncio.sleep(0.1)
-    raise TimeoutError("the entry never became ready")
+    raise TimeoutError("entry instance did not answer a model request in time")
 
 
 def _free_port() -> int:
--- a/benchmarks/engine_calls.py
+++ b/benchmarks/engine_calls.py
@@ -1,7 +1,7 @@
-"""Processor time and bytes of the calls that a keeper makes to engines.
+"""Processor time and response sizes of calls from a coordinator to engines.
 
-Starts a stand-in engine in a process of its own on loopback and calls it as
-the daemon does. ``python -m benchmarks.engine_calls``.
+Starts a stand-in engine as a process on loopback and calls it with the
+client of the daemon. ``python -m benchmarks.engine_calls``.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallCost:
-    """One kind of call, the mean of many.
+    """Mean cost of one kind of call.
 
     Attributes:
         processor_us: Processor time at the caller.
-        answer_bytes: Bytes of the answer's body and headers.
+        answer_bytes: Size of the response, headers included.
     """
 
     processor_us: float
--- a/benchmarks/forwarding_parts.py
+++ b/benchmarks/forwarding_parts.py
@@ -1,4 +1,4 @@
-"""What benchmarks of forwarding share: one route, one instance, one request."""
+"""Helpers shared by the forwarding benchmarks."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def settings(name: str) -> all_settings.ForwardingSettings:
-    """Settings of an instance that listens nowhere."""
+    """Returns settings of an instance that opens no listeners."""
     return all_settings.ForwardingSettings.model_validate(
         {
             "instance": name,
@@ -52,7 +52,7 @@
     work: calls.ModelWork,
     headers: calls.Headers = (),
 ) -> None:
-    """Sends a request and reads its answer, or takes its refusal."""
+    """Sends a request and reads its answer; ignores a refusal."""
     call = calls.Call(
         f"request-{number}",
         "POST",
--- a/benchmarks/limits_share.py
+++ b/benchmarks/limits_share.py
@@ -1,8 +1,8 @@
-"""How well shares of an account's rate stand for its total.
+"""Accuracy of enforcing an account's rate limit by equal shares.
 
-Requests of one account come at random times and go to instances at random, as
-behind a balancer; each instance enforces its share by the product's own code,
-on the virtual clock. Run from the root of the repository:
+Requests of one account arrive at random times at random instances, as behind a
+load balancer. Each instance enforces its share of the limit with the
+production code, on a virtual clock. Run from the root of the repository:
 
     python -m benchmarks.limits_share
 """
@@ -29,7 +29,7 @@
 async def _admitted_share(
     members: int, rate_per_s: float, load: float
 ) -> tuple[float, float]:
-    """The share of requests admitted, and their rate over the limit."""
+    """Returns the admitted share and the admitted rate over the limit."""
     rng = np.random.default_rng([members, int(rate_per_s), int(load * 10)])
     account = resources.Account("dealer", "", rate_per_s=rate_per_s)
     clock = clocks.Clock()
@@ -57,7 +57,7 @@
 
 
 def main() -> None:
-    """Prints a row for each case."""
+    """Prints one row per combination."""
     print("instances  limit/s  asked/limit  admitted  admitted/limit")
     for members, rate, load in itertools.product(
         _MEMBERS, _RATES_PER_S, _LOADS
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -1,9 +1,9 @@
-"""Processor time of the log lines of one request.
+"""Processor time that log lines add to a request.
 
 Run: ``python -m benchmarks.log_cost``. An instance answers requests, or
-refuses them for want of memory, on stand-ins and a virtual clock; its HTTP
-sides are left out. Each kind is run with lines written to the null device and
-with none, in turn. The bound of lines a second, which is of real time, is off.
+refuses them for lack of engine memory, on stand-ins and a virtual clock,
+without HTTP. Each outcome runs with log lines written to the null device and
+without log lines. The log rate limiter, which uses real time, is disabled.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class Outcome(enum.Enum):
-    """What becomes of all requests of one run."""
+    """Outcome of all requests of a run."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -45,11 +45,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """What one run took.
+    """Mean cost per request of a run.
 
     Attributes:
-        request_us: Processor time of a request.
-        lines: Log lines of a request.
+        request_us: Processor time per request.
+        lines: Log lines per request.
     """
 
     request_us: float
@@ -57,7 +57,7 @@
 
 
 class _CountedLines(io.TextIOBase):
-    """The null device, with a count of what it took."""
+    """Writes to the null device and counts the lines."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -76,9 +76,9 @@
     """Runs requests one after the other.
 
     Args:
-        outcome: What becomes of them.
-        has_lines: Whether lines are written, as an instance does.
-        requests: How many.
+        outcome: Outcome of the requests.
+        has_lines: Whether log lines are written.
+        requests: Number of requests.
     """
     counted = _CountedLines()
     writer = line_writer.LineWriter(counted, max_queued=requests * 10)
@@ -153,7 +153,7 @@
 
 
 def main() -> None:
-    """Prints the best round of each kind."""
+    """Prints the best round for each outcome, with and without lines."""
     for outcome in Outcome:
         best: dict[bool, Cost] = {}
         for _ in range(_ROUNDS):
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,8 +1,8 @@
-"""Resident memory of an entry process over the size of its configuration.
+"""Resident memory of an entry process by size of its configuration.
 
-Starts the daemon against stand-ins on loopback with a number of plain
-endpoints and accounts on the log, waits until it has folded them, and reads
-its resident size. ``python -m benchmarks.memory``.
+Starts the daemon against stand-ins on loopback with plain endpoints or accounts
+on the log, waits until it has applied them, and reads its resident memory.
+``python -m benchmarks.memory``.
 """
 
 from __future__ import annotations
@@ -74,7 +74,7 @@
 
 
 async def measure(endpoints: int, accounts: int) -> float:
-    """Resident megabytes of an idle entry process."""
+    """Returns the resident megabytes of an idle entry process."""
     with tempfile.TemporaryDirectory() as name:
         directory = pathlib.Path(name)
         async with processes.Processes(directory) as children:
@@ -122,7 +122,7 @@
 
 
 def main() -> None:
-    """Measures both lines."""
+    """Measures and fits memory by endpoints and by accounts."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--counts", default="0,1000,3000,5900")
     counts = [int(c) for c in parser.parse_args().counts.split(",")]
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,7 +1,7 @@
-"""What the entry instance adds to a request, and what it can carry.
+"""Latency overhead and throughput of an entry instance.
 
-Each request is sent twice over: to the stand-in engines directly, by the same
-calls that the entry instance makes, and through the entry instance. All are
+Each load runs twice: directly against the stand-in engines, with the same calls
+that the entry instance makes, and through the entry instance. All are
 processes on loopback. Run from the root of the repository:
 
     python -m benchmarks.overhead
@@ -40,12 +40,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """One request as its caller saw it.
+    """Latency of one request at the caller.
 
     Attributes:
         first_ms: Time to the first token.
-        whole_ms: Time to the last.
-        tokens: Tokens it had.
+        whole_ms: Time to the last token.
+        tokens: Tokens of the answer.
     """
 
     first_ms: float
@@ -55,15 +55,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """How a run is loaded.
+    """Load of a run.
 
     Attributes:
-        in_flight: Requests at a time.
-        requests: Requests in all.
-        tokens: Tokens an answer.
-        spread_s: Time over which the first requests start. Answers of one
-            length that start together end together, and so would all later
-            requests come in waves.
+        in_flight: Concurrent requests.
+        requests: Total number of requests.
+        tokens: Tokens per answer.
+        spread_s: Time over which the first requests start. Without it, answers
+            of equal length end together and later requests come in waves.
     """
 
     in_flight: int
@@ -74,24 +73,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """What a run gave."""
+    """Result of a run.
+
+    Attributes:
+        timings: Latency of each request.
+        took_s: Duration of the run.
+    """
 
     timings: list[Timing]
     took_s: float
 
     def percentile(self, of: str, percent: float) -> float:
-        """A percentile of ``first_ms`` or ``whole_ms``."""
+        """Returns a percentile of ``first_ms`` or ``whole_ms``."""
         values = [getattr(timing, of) for timing in self.timings]
         return float(np.percentile(values, percent))
 
     @property
     def tokens(self) -> int:
-        """Tokens of all answers."""
+        """Total number of tokens."""
         return sum(timing.tokens for timing in self.timings)
 
 
 class Direct:
-    """Calls the engines as the entry instance would."""
+    """Calls the engines directly, as the entry instance does."""
 
     def __init__(
         self,
@@ -108,7 +112,7 @@
         )
 
     async def send(self, number: int) -> Timing:
-        """One request."""
+        """Sends one request and returns its timing."""
         decode = next(self._decoders)
         attempt = client.Attempt(f"d{number}-{time.monotonic_ns()}.1", "x")
         prompt = _prompt(number, self._tokens)
@@ -126,7 +130,7 @@
 
 
 class Through:
-    """Calls the entry instance."""
+    """Calls the model service through the entry instance."""
 
     def __init__(
         self,
@@ -139,7 +143,7 @@
         self._tokens = tokens
 
     async def send(self, number: int) -> Timing:
-        """One request."""
+        """Sends one request and returns its timing."""
         body = {
             "model": deployments.MODEL,
             "prompt": _prompt(number, self._tokens),
@@ -156,7 +160,7 @@
                 first_ms = first_ms or _since_ms(began_s)
                 data += part
         if not data.endswith(b"data: [DONE]\n\n"):
-            raise RuntimeError("an answer broke off")
+            raise RuntimeError("stream ended before [DONE]")
         whole_ms = _since_ms(began_s)
         count = int(data.rpartition(b'"token_count":')[2].split(b",")[0])
         return Timing(first_ms, whole_ms, count)
@@ -170,7 +174,7 @@
         self._session = session
 
     async def send(self, number: int) -> Timing:
-        """One request."""
+        """Sends one request and returns its timing."""
         began_s = time.perf_counter()
         async with self._session.get(f"{self._url}/stock/{number}") as answer:
             answer.raise_for_status()
@@ -179,7 +183,7 @@
 
 
 async def run_load(send: Send, load: Load) -> Run:
-    """Sends the load's requests, so many at a time."""
+    """Sends all requests of a load with its concurrency."""
     numbers = iter(range(load.requests))
     timings: list[Timing] = []
 
@@ -195,7 +199,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Use:
-    """What the entry process used during a block."""
+    """Processor time and peak memory of the entry process."""
 
     cpu_s: float = 0.0
     peak_mb: float = 0.0
@@ -203,7 +207,7 @@
 
 @contextlib.asynccontextmanager
 async def used(pid: int) -> AsyncIterator[Use]:
-    """Measures a process for the block."""
+    """Measures a process while the context is active."""
     process = psutil.Process(pid)
     use = Use()
 
@@ -223,7 +227,7 @@
 
 
 async def latency(step_ms: float, scale: float) -> None:
-    """Ratio and added time at 1, 16 and 128 in flight."""
+    """Compares latency at 1, 16 and 128 requests in flight."""
     tokens = 25
     async with deployments.running(step_ms=step_ms) as deployment:
         process = psutil.Process(deployment.entry_pid)
@@ -248,7 +252,7 @@
 
 
 async def target() -> None:
-    """An instance's load at the target size: 163 answers, 64 ms a token."""
+    """Runs the target load: 163 concurrent answers, 64 ms per token."""
     tokens = 200
     async with deployments.running(step_ms=64.0) as deployment:
         load = Load(163, 163, tokens)
@@ -260,9 +264,9 @@
 
 
 async def capacity(scale: float) -> None:
-    """Tokens and requests a second of a busy entry process."""
+    """Measures tokens and requests per second of a saturated entry."""
     async with deployments.running(step_ms=1.0) as deployment:
-        print("\nas fast as it goes:")
+        print("\nmaximum throughput:")
         for name, load in (
             ("long answers", Load(128, int(1_024 * scale), 200)),
             ("one token", Load(64, int(2_048 * scale), 1)),
@@ -356,7 +360,7 @@
 
 
 def main() -> None:
-    """Runs the parts that are named."""
+    """Runs the selected parts."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("parts", nargs="*", default=_PARTS)
     parser.add_argument("--step-ms", type=float, default=20.0)
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -1,6 +1,6 @@
-"""Processor time and bytes of the parts that control is made of.
+"""Processor time and message sizes of individual control operations.
 
-``python -m benchmarks.parts`` prints one JSON line a part.
+``python -m benchmarks.parts`` prints one JSON line per operation.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 
 
 def fold_us() -> slopes.Slope:
-    """Microseconds to fold a run of records, over its length."""
+    """Fits the microseconds to apply records against their number."""
     payloads = [_payload(_endpoint(n)) for n in range(max(_RECORDS))]
     values = []
     for count in _RECORDS:
@@ -75,7 +75,7 @@
 
 
 def rank_us() -> slopes.Slope:
-    """Microseconds of one rendezvous choice, over the candidates."""
+    """Fits the microseconds of a rendezvous choice against the candidates."""
     values = []
     for count in _CANDIDATES:
         names = [f"entry-{number}" for number in range(count)]
@@ -91,7 +91,7 @@
 
 
 def load_report_bytes() -> int:
-    """Bytes of one load report as JSON, HTTP headers left out."""
+    """Returns the size of a load report as JSON, without HTTP headers."""
     report = client.LoadReport(
         123_456.789, 20, 17, 12_345, 0, 36.0, False, "a-model", "2026-01"
     )
@@ -99,7 +99,7 @@
 
 
 def main() -> None:
-    """Prints all parts."""
+    """Measures all operations and prints the results."""
     parts: dict[str, object] = {
         "fold_us": dataclasses.asdict(fold_us()),
         "rank_us": dataclasses.asdict(rank_us()),
--- a/benchmarks/request_profile.py
+++ b/benchmarks/request_profile.py
@@ -1,9 +1,9 @@
-"""Where the processor time of a placed request goes, by module.
+"""Processor time of a placed request by module.
 
 Run: ``python -m benchmarks.request_profile``. A leader and three followers
-place streams of client accounts on stand-ins and a virtual clock, under the
-profiler; their HTTP sides are left out. The profiler itself makes short
-functions look dear, so the parts compare and their sum is no cost.
+place streams of client accounts on stand-ins and a virtual clock under the
+profiler, without HTTP. Profiling overstates short functions: compare modules
+with each other, but don't take the sum as the cost of a request.
 """
 
 from __future__ import annotations
@@ -45,11 +45,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModuleTime:
-    """What one module took.
+    """Processor time of one module.
 
     Attributes:
-        module: Name of the module, or of the library.
-        request_ms: Processor time of a request, under the profiler.
+        module: Name of the module or library.
+        request_ms: Processor time per request under the profiler.
     """
 
     module: str
@@ -57,7 +57,7 @@
 
 
 def measure(requests: int = _REQUESTS) -> list[ModuleTime]:
-    """Runs requests and tells what each module took, the dearest first."""
+    """Profiles requests and returns the modules, most expensive first."""
     logs.configure("critical")
     profile = cProfile.Profile()
     try:
@@ -174,7 +174,7 @@
 
 
 def main() -> None:
-    """Prints the dearest modules."""
+    """Prints the most expensive modules."""
     rows = measure()
     whole_ms = sum(row.request_ms for row in rows)
     print(f"{whole_ms:.2f} ms a request under the profiler")
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, with what they leave over."""
+"""Linear least-squares fits with their residuals."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Slope:
-    """``value = base + per_unit * units``, by least squares.
+    """Least-squares fit ``value = base + per_unit * units``.
 
     Attributes:
-        base: Value at none.
-        per_unit: Growth for each unit.
-        largest_residual: Farthest that a measured point lies off the line.
+        base: Value at zero units.
+        per_unit: Growth per unit.
+        largest_residual: Largest absolute residual.
         low: Smallest measured number of units.
-        high: Largest.
+        high: Largest measured number of units.
     """
 
     base: float
@@ -28,7 +28,7 @@
 
     @classmethod
     def fit(cls, units: Sequence[float], values: Sequence[float]) -> Slope:
-        """The line through two points or more."""
+        """Fits a line to two or more points."""
         per_unit, base = np.polyfit(units, values, 1)
         left = np.asarray(values) - (base + per_unit * np.asarray(units))
         return cls(
@@ -40,5 +40,5 @@
         )
 
     def at(self, units: float) -> float:
-        """The line's value, which may lie outside the measured range."""
+        """Returns the value of the line, also outside the measured range."""
         return self.base + self.per_unit * units
--- a/src/jujubewharf/demo/load.py
+++ b/src/jujubewharf/demo/load.py
@@ -263,7 +263,7 @@
 
 async def _check_status(answer: aiohttp.ClientResponse) -> None:
     if answer.status != _HTTP_OK:
-        raise WrongAnswerError(f"HTTP {answer.status}: {await answer.text()}")
+        raise WrongAnswerError(f"{answer.status}: {await answer.text()}")
 
 
 def _check_text(ask: _Ask, text: str) -> None:
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page says what its inputs give, and says so when over."""
+"""Tests of the capacity tables and of linear fits."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from benchmarks import slopes
 
 
-def test_the_page_is_what_the_measured_inputs_give():
+def test_page_matches_measured_inputs():
     page = capacity.PAGE.read_text(encoding="utf-8")
     measured = capacity.Measured.from_file()
     assert page == capacity.written(page, capacity.Size(), measured)
     assert "| Role |" in page
 
 
-def test_a_budget_that_is_not_met_is_said():
+def test_exceeded_budget_is_reported():
     measured = capacity.Measured.from_file()
     fits = capacity.Size(memory_mb=1e6, bytes_per_s=1e9, core_percent=1e5)
     assert "not met" not in capacity.budget_table(fits, measured)
@@ -21,7 +21,7 @@
     assert "**not met**" in capacity.budget_table(over, measured)
 
 
-def test_a_slope_tells_how_far_points_lie_off_it():
+def test_slope_reports_largest_residual():
     slope = slopes.Slope.fit([0, 1, 2], [1.0, 3.0, 5.0])
     assert round(slope.at(10), 6) == 21.0
     assert round(slope.largest_residual, 6) == 0.0
--- a/tests/benchmarks/test_control_cost.py
+++ b/tests/benchmarks/test_control_cost.py
@@ -1,4 +1,4 @@
-"""The measurement of control cost runs and counts."""
+"""Smoke tests of the control cost benchmark."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from jujubewharf.experiments import virtual_time
 
 
-def test_a_small_fleet_is_measured():
+def test_measures_small_fleet():
     plan = control_cost.Plan(
         control_cost.State.CHURN,
         engines_each=0,
@@ -23,7 +23,7 @@
     assert cost.spread_ms < 5_000
 
 
-def test_the_slope_is_the_growth_for_each_further_instance():
+def test_slope_is_growth_per_instance():
     costs = [
         control_cost.Cost(
             instances=size,
--- a/tests/deploy/test_deploy.py
+++ b/tests/deploy/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the platform builds and fills in is consistent with the project."""
+"""Tests that the deployment files are consistent with the project."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def _read(tmp_path, fields) -> settings.ForwardingSettings:
-    """The settings as the platform fills them in from its fields."""
+    """Fills in the settings template like the platform and reads it."""
 
     def section(match: re.Match[str]) -> str:
         try:
@@ -71,7 +71,7 @@
     return settings.read(path)
 
 
-def test_what_is_tolerated_beyond_quotas_is_read_where_it_is_told(tmp_path):
+def test_template_passes_optional_quota_slack(tmp_path):
     assert _read(tmp_path, FIELDS).quotas.slack == 0.0
     bounds = FIELDS["bounds"] | QUOTAS
     read = _read(tmp_path, FIELDS | {"bounds": bounds})
@@ -79,7 +79,7 @@
     assert read.stop_within_s == 8.0
 
 
-def test_the_template_gives_good_settings(tmp_path):
+def test_template_yields_valid_settings(tmp_path):
     read = _read(tmp_path, FIELDS)
     assert read.callers == "10.0.0.1:80"
     assert read.processor.cores == pytest.approx(1.074)
@@ -89,7 +89,7 @@
     assert read.stop_within_s == 8.0
 
 
-def test_the_metrics_port_is_the_one_that_is_asked():
+def test_metrics_port_matches_scrape_target():
     deploy = tomllib.loads((DEPLOY / "system.toml").read_text())
     port, _, path = deploy["roles"]["entry"]["metrics"].partition("/")
     template = (DEPLOY / "settings.json.template").read_text()
@@ -97,8 +97,8 @@
     assert path == "metrics"
 
 
-def test_what_runs_is_what_is_tested():
-    """A library in another version than the tests' is not a tested one."""
+def test_deployed_versions_are_tested_versions():
+    """Guards against deploying library versions that tests never used."""
     tested = set((ROOT / "requirements.lock").read_text().split())
     deployed = set((DEPLOY / "requirements.lock").read_text().split())
     assert deployed - tested == set()
--- a/tests/examples/test_deployments.py
+++ b/tests/examples/test_deployments.py
@@ -1,4 +1,4 @@
-"""Both example deployments are accepted as they stand."""
+"""Tests that the example deployments are valid."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(POOLS))
-def test_the_settings_are_accepted(name):
+def test_settings_are_valid(name):
     region, domain_count, _ = POOLS[name]
     files = sorted((EXAMPLES / name).glob("entry-*.json"))
     assert 6 <= len(files) <= 9
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(POOLS))
-def test_the_configuration_is_accepted(name):
+def test_configuration_is_valid(name):
     text = (EXAMPLES / name / "configuration.json").read_text()
     declared = documents.parse(text).unwrap()
     endpoints = [e for e in declared if isinstance(e, resources.Endpoint)]
