--- a/src/jujubewharf/experiments/adapters.py
+++ b/src/jujubewharf/experiments/adapters.py
@@ -135,9 +135,9 @@
         self, endpoint: resources.Endpoint, call: endpoint_client.PlainCall
     ) -> AsyncIterator[endpoint_client.PlainReply]:
         """Echoes; see ``endpoint_client.EndpointClient``."""
-        body = await _whole(call)
+        body = await _read_body(call)
         await self.run(endpoint.name, call)
-        yield endpoint_client.PlainReply(200, (), _once(body))
+        yield endpoint_client.PlainReply(200, (), _single_chunk(body))
 
     async def run(self, name: str, call: endpoint_client.PlainCall) -> None:
         """Runs a call at an endpoint once its body has been read.
@@ -168,17 +168,17 @@
         self, endpoint: resources.Endpoint, call: endpoint_client.PlainCall
     ) -> AsyncIterator[endpoint_client.PlainReply]:
         """Echoes; see ``endpoint_client.EndpointClient``."""
-        body = await _whole(call)
+        body = await _read_body(call)
         run = self._shared.run(endpoint.name, call)
         await self._process.call_out(run)
-        yield endpoint_client.PlainReply(200, (), _once(body))
+        yield endpoint_client.PlainReply(200, (), _single_chunk(body))
 
 
-async def _whole(call: endpoint_client.PlainCall) -> bytes:
+async def _read_body(call: endpoint_client.PlainCall) -> bytes:
     if call.body is None:
         return b""
     return b"".join([chunk async for chunk in call.body])
 
 
-async def _once(body: bytes) -> AsyncIterator[bytes]:
+async def _single_chunk(body: bytes) -> AsyncIterator[bytes]:
     yield body
--- a/src/jujubewharf/experiments/bench.py
+++ b/src/jujubewharf/experiments/bench.py
@@ -34,13 +34,13 @@
 from jujubewharf.standins import network
 from jujubewharf.standins import weights
 
-_NOWHERE = "http://127.0.0.1:9"
+_UNUSED_URL = "http://127.0.0.1:9"
 
 MakePolicy = Callable[[], policies.Policy | None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Start:
+class _StartParameters:
     """Start parameters of an instance, kept for restarts."""
 
     domain: str
@@ -98,7 +98,7 @@
         self._operations = itertools.count()
         self._seed = seed
         self._engine_domains: dict[str, str] = {}
-        self._starts: dict[str, _Start] = {}
+        self._start_parameters: dict[str, _StartParameters] = {}
         self._domains_without_log: list[str] = []
         self._listed: dict[str, platform_live_list.LiveMember] = {}
 
@@ -121,7 +121,7 @@
         engine = engines.Engine(
             endpoint.name, spec, self.clock, self.rng(endpoint.name)
         )
-        engine.sources = _Sources(self, endpoint.domain)
+        engine.sources = _ReachableSources(self, endpoint.domain)
         self.engines[endpoint.address] = engine
         self._engine_domains[endpoint.address] = endpoint.domain
         return engine
@@ -166,7 +166,7 @@
             clock: Clock of the instance; defaults to the bench's clock.
         """
         make_policy = make_policy or (lambda: policy)
-        self._starts[name] = _Start(
+        self._start_parameters[name] = _StartParameters(
             domain, make_policy, settings or {}, clock or self.clock
         )
         return await self._start(name)
@@ -267,23 +267,25 @@
 
     def engine_at(self, address: str, domain: str) -> engines.Engine | None:
         """Returns the engine at an address if reachable from ``domain``."""
-        here = self._engine_domains.get(address)
-        if here is None or self.engine_network.is_cut(here, domain):
+        engine_domain = self._engine_domains.get(address)
+        if engine_domain is None or self.engine_network.is_cut(
+            engine_domain, domain
+        ):
             return None
         return self.engines[address]
 
     async def _start(self, name: str) -> instances.Instance:
-        start = self._starts[name]
+        start = self._start_parameters[name]
         process = processes.Process(name, start.domain)
-        seen_log = adapters.InstanceLog(process, self.log)
-        seen_list = adapters.InstanceLiveList(process, self.live_list)
-        seen_log.is_cut = start.domain in self._domains_without_log
+        instance_log = adapters.InstanceLog(process, self.log)
+        instance_list = adapters.InstanceLiveList(process, self.live_list)
+        instance_log.is_cut = start.domain in self._domains_without_log
         core = cores.EntryCore(
             _settings(name, start),
             start.clock,
             cores.Adapters(
-                log=seen_log,
-                live_list=seen_list,
+                log=instance_log,
+                live_list=instance_list,
                 weight_store=adapters.InstanceWeightStore(
                     process, self.weight_store
                 ),
@@ -293,7 +295,9 @@
             ),
             policy=start.make_policy(),
         )
-        instance = instances.Instance(process, core, seen_log, seen_list)
+        instance = instances.Instance(
+            process, core, instance_log, instance_list
+        )
         self.instances[name] = instance
         await instance.start()
         self.list_member(
@@ -318,11 +322,11 @@
         self.network.drop_instance(instance.name)
 
     def _domains(self) -> list[str]:
-        domains = {start.domain for start in self._starts.values()}
+        domains = {start.domain for start in self._start_parameters.values()}
         return sorted(domains | set(self._engine_domains.values()))
 
 
-class _Sources(dict[str, engines.KvSource]):
+class _ReachableSources(dict[str, engines.KvSource]):
     """KV sources by address, as reachable from one failure domain."""
 
     def __init__(self, bench: Bench, domain: str) -> None:
@@ -334,16 +338,16 @@
         return self._bench.engine_at(key, self._domain)
 
 
-def _settings(name: str, start: _Start) -> models.EntrySettings:
+def _settings(name: str, start: _StartParameters) -> models.EntrySettings:
     return models.EntrySettings.model_validate(
         {
             "instance": name,
             "region": "region",
             "domain": start.domain,
             "platform": {
-                "log_url": _NOWHERE,
-                "live_list_url": _NOWHERE,
-                "weight_store_url": _NOWHERE,
+                "log_url": _UNUSED_URL,
+                "live_list_url": _UNUSED_URL,
+                "weight_store_url": _UNUSED_URL,
             },
             **start.settings,
         }
--- a/src/jujubewharf/experiments/callers.py
+++ b/src/jujubewharf/experiments/callers.py
@@ -28,20 +28,20 @@
 from jujubewharf.requests import retries
 from jujubewharf.standins import generation
 
-_SILENCE_MS = 10_000.0
-_NOBODY_MS = 100.0
+_RESPONSE_GRACE_MS = 10_000.0
+_RECONNECT_BACKOFF_MS = 100.0
 _CONNECTION_LOST = "connection_lost"
 _IMPATIENT = "impatient"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Refused:
+class _Rejection:
     kind: errors.ErrorKind
     ran: errors.Ran
     retry_after_ms: float | None
 
 
-class _ImpatienceError(Exception):
+class _FirstTokenTimeoutError(Exception):
     """No token arrived within ``impatient_after_ms``."""
 
 
@@ -81,13 +81,13 @@
         self.outcomes.append(outcome)
         try:
             async with self._clock.timeout_ms(call.cancel_after_ms):
-                await self._until_answered(outcome)
+                await self._send_until_answered(outcome)
         except TimeoutError:
             outcome.end = outcomes.End.CANCELLED
 
-    async def _until_answered(self, outcome: outcomes.Outcome) -> None:
+    async def _send_until_answered(self, outcome: outcomes.Outcome) -> None:
         service = self._services[outcome.call.service]
-        give_up_at_ms = outcome.began_ms + 2 * service.deadline_ms
+        retry_until_ms = outcome.began_ms + 2 * service.deadline_ms
         come_backs = outcome.call.come_backs
         avoided = ""
         for number in itertools.count(1):
@@ -96,29 +96,29 @@
             request_id = f"{outcome.call.key}-{number}"
             outcome.request_ids.append(request_id)
             try:
-                refused = await self._send(outcome, instance, request_id)
+                rejection = await self._send(outcome, instance, request_id)
             except processes.InstanceLostError:
                 outcome.retries[_CONNECTION_LOST] += 1
                 # The first lost connection is retried without backoff.
                 losses = outcome.retries[_CONNECTION_LOST]
-                wait_ms = _NOBODY_MS * (losses - 1)
+                wait_ms = _RECONNECT_BACKOFF_MS * (losses - 1)
                 avoided = instance.name
-            except _ImpatienceError:
+            except _FirstTokenTimeoutError:
                 outcome.retries[_IMPATIENT] += 1
                 avoided = instance.name
             else:
-                if refused is None:
+                if rejection is None:
                     return
-                self._note_refusal(outcome, refused, request_id)
-                if come_backs == 0 or not _may_come_back(refused):
+                self._record_rejection(outcome, rejection, request_id)
+                if come_backs == 0 or not _is_retryable(rejection):
                     return
                 come_backs -= 1
                 wait_ms = (
-                    refused.retry_after_ms or retries.DEFAULT_RETRY_AFTER_MS
+                    rejection.retry_after_ms or retries.DEFAULT_RETRY_AFTER_MS
                 )
                 wait_ms *= 1 + self._rng.random() / 2
-                outcome.retries[refused.kind.value] += 1
-            if self._clock.now_ms() + wait_ms > give_up_at_ms:
+                outcome.retries[rejection.kind.value] += 1
+            if self._clock.now_ms() + wait_ms > retry_until_ms:
                 outcome.end = outcome.end or outcomes.End.LOST
                 return
             await self._clock.sleep_ms(wait_ms)
@@ -128,12 +128,12 @@
         outcome: outcomes.Outcome,
         instance: instances.Instance,
         request_id: str,
-    ) -> _Refused | None:
+    ) -> _Rejection | None:
         send = self._send_plain if outcome.call.is_plain else self._send_model
         service = self._services[outcome.call.service]
         try:
             async with self._clock.timeout_ms(
-                service.deadline_ms + _SILENCE_MS
+                service.deadline_ms + _RESPONSE_GRACE_MS
             ):
                 return await send(outcome, instance, request_id)
         except TimeoutError:
@@ -145,7 +145,7 @@
         outcome: outcomes.Outcome,
         instance: instances.Instance,
         request_id: str,
-    ) -> _Refused | None:
+    ) -> _Rejection | None:
         call = outcome.call
         service = self._services[call.service]
         request = plain.PlainRequest(
@@ -155,17 +155,17 @@
             path_query=f"/{call.key}",
             arrived_ms=self._clock.now_ms(),
             deadline_ms=service.deadline_ms,
-            body=_once(call.key.encode()),
+            body=_single_chunk(call.key.encode()),
             key=call.key,
             is_repeatable=call.is_repeatable,
         )
         try:
             body = await instance.call_plain(request)
         except errors.WharfError as error:
-            return _Refused(error.kind, error.ran, error.retry_after_ms)
+            return _Rejection(error.kind, error.ran, error.retry_after_ms)
         if body != call.key.encode():
             outcome.broken += 1
-        outcome.first_ms = self._since(outcome)
+        outcome.first_ms = self._elapsed_ms(outcome)
         self._finish(outcome)
         return None
 
@@ -174,40 +174,40 @@
         outcome: outcomes.Outcome,
         instance: instances.Instance,
         request_id: str,
-    ) -> _Refused | None:
+    ) -> _Rejection | None:
         request = self._model_request(outcome.call, request_id)
         received: list[str] = []
         async with contextlib.aclosing(instance.answer(request)) as events:
-            async for event in self._with_patience(outcome, events):
+            async for event in self._with_first_token_timeout(outcome, events):
                 match event:
                     case model_request.Tokens():
-                        self._take(outcome, received, event)
+                        self._record_tokens(outcome, received, event)
                     case model_request.Finished():
-                        self._check(outcome, received, event)
+                        self._verify_answer(outcome, received, event)
                         self._finish(outcome)
                         return None
                     case model_request.Failed(kind, ran):
-                        return _Refused(kind, ran, event.retry_after_ms)
+                        return _Rejection(kind, ran, event.retry_after_ms)
         # The stream ended without a final event.
         outcome.broken += 1
         outcome.end = outcomes.End.LOST
         return None
 
-    async def _with_patience(
+    async def _with_first_token_timeout(
         self,
         outcome: outcomes.Outcome,
         events: AsyncIterator[model_request.Event],
     ) -> AsyncIterator[model_request.Event]:
-        patience_ms = outcome.call.impatient_after_ms
+        first_token_timeout_ms = outcome.call.impatient_after_ms
         if outcome.retries[_IMPATIENT]:
-            patience_ms = None
+            first_token_timeout_ms = None
         try:
-            async with self._clock.timeout_ms(patience_ms):
+            async with self._clock.timeout_ms(first_token_timeout_ms):
                 yield await anext(events)
         except StopAsyncIteration:
             return
         except TimeoutError:
-            raise _ImpatienceError from None
+            raise _FirstTokenTimeoutError from None
         async for event in events:
             yield event
 
@@ -229,56 +229,56 @@
             is_repeatable=call.is_repeatable,
         )
 
-    def _take(
+    def _record_tokens(
         self,
         outcome: outcomes.Outcome,
         received: list[str],
         event: model_request.Tokens,
     ) -> None:
         if outcome.first_ms is None:
-            outcome.first_ms = self._since(outcome)
+            outcome.first_ms = self._elapsed_ms(outcome)
         if event.first_index < len(received):
             outcome.repeated_tokens += len(received) - event.first_index
         received.extend(event.texts)
 
-    def _check(
+    def _verify_answer(
         self,
         outcome: outcomes.Outcome,
         received: list[str],
         event: model_request.Finished,
     ) -> None:
         call = outcome.call
-        wanted = generation.answer_tokens(call.prompt, 0, call.answer_tokens)
-        digest = hashing.digest("".join(wanted).encode())
-        if received != wanted or event.digest != digest:
+        expected = generation.answer_tokens(call.prompt, 0, call.answer_tokens)
+        digest = hashing.digest("".join(expected).encode())
+        if received != expected or event.digest != digest:
             outcome.broken += 1
         if event.attempt_id not in outcome.attempts_finished:
             outcome.attempts_finished.append(event.attempt_id)
 
     def _finish(self, outcome: outcomes.Outcome) -> None:
-        outcome.completion_ms = self._since(outcome)
+        outcome.completion_ms = self._elapsed_ms(outcome)
         outcome.end = outcomes.End.FINISHED
 
-    def _since(self, outcome: outcomes.Outcome) -> float:
+    def _elapsed_ms(self, outcome: outcomes.Outcome) -> float:
         passed_ms = self._clock.now_ms() - outcome.began_ms
         return passed_ms + 2 * self._caller_ms
 
-    def _note_refusal(
-        self, outcome: outcomes.Outcome, refused: _Refused, request_id: str
+    def _record_rejection(
+        self, outcome: outcomes.Outcome, rejection: _Rejection, request_id: str
     ) -> None:
         outcome.end = outcomes.End.REFUSED
-        outcome.reason = refused.kind
-        if refused.ran is errors.Ran.NO:
+        outcome.reason = rejection.kind
+        if rejection.ran is errors.Ran.NO:
             outcome.said_not_run.append(request_id)
 
 
-def _may_come_back(refused: _Refused) -> bool:
-    if refused.ran is errors.Ran.UNKNOWN:
+def _is_retryable(rejection: _Rejection) -> bool:
+    if rejection.ran is errors.Ran.UNKNOWN:
         return False
-    return errors.TABLE[refused.kind].retryable
+    return errors.TABLE[rejection.kind].retryable
 
 
-async def _once(body: bytes) -> AsyncIterator[bytes]:
+async def _single_chunk(body: bytes) -> AsyncIterator[bytes]:
     yield body
 
 
--- a/src/jujubewharf/experiments/instances.py
+++ b/src/jujubewharf/experiments/instances.py
@@ -82,7 +82,7 @@
         if self.process.is_dead:
             raise processes.InstanceLostError(self.name)
         arrived: asyncio.Queue[model_request.Event | None] = asyncio.Queue()
-        task = self.process.create_task(self._pump(request, arrived))
+        task = self.process.create_task(self._forward_events(request, arrived))
         self.process.on_death(arrived, lambda: arrived.put_nowait(None))
         try:
             while True:
@@ -122,7 +122,7 @@
             raise processes.InstanceLostError(self.name)
         return call.result()
 
-    async def _pump(
+    async def _forward_events(
         self,
         request: model_request.ModelRequest,
         arrived: asyncio.Queue[model_request.Event | None],
--- a/src/jujubewharf/experiments/operator_rpc.py
+++ b/src/jujubewharf/experiments/operator_rpc.py
@@ -33,7 +33,7 @@
 from jujubewharf.operators import client as clients
 
 _TOKEN = "measuring"
-_NO_BOUND_PER_S = 1e6
+_UNLIMITED_PER_S = 1e6
 _READY_TIMEOUT_S = 30.0
 _SERVICE = resources.Service("measured", resources.ServiceKind.PLAIN)
 
@@ -156,20 +156,20 @@
     in_flight: int,
     entries: list[psutil.Process],
 ) -> Row:
-    took_ms: list[float] = []
+    durations_ms: list[float] = []
     numbers = iter(range(count))
 
     async def work() -> None:
         for index in numbers:
             started_s = time.perf_counter()
             await call(index)
-            took_ms.append((time.perf_counter() - started_s) * 1000.0)
+            durations_ms.append((time.perf_counter() - started_s) * 1000.0)
 
     before_ms = [_cpu_ms(process) for process in entries]
     started_s = time.perf_counter()
     await asyncio.gather(*(work() for _ in range(in_flight)))
-    lasted_s = time.perf_counter() - started_s
-    p50_ms, p99_ms = np.percentile(took_ms, [50, 99])
+    elapsed_s = time.perf_counter() - started_s
+    p50_ms, p99_ms = np.percentile(durations_ms, [50, 99])
     here_ms, there_ms = (
         (_cpu_ms(process) - before) / count
         for process, before in zip(entries, before_ms, strict=True)
@@ -180,7 +180,7 @@
         in_flight,
         float(p50_ms),
         float(p99_ms),
-        count / lasted_s,
+        count / elapsed_s,
         here_ms,
         there_ms,
     )
@@ -214,8 +214,8 @@
             "operators": {
                 "port": port,
                 "bootstrap_token_sha256": bearer.token_digest(_TOKEN),
-                "max_changes_per_s": _NO_BOUND_PER_S,
-                "max_reads_per_s": _NO_BOUND_PER_S,
+                "max_changes_per_s": _UNLIMITED_PER_S,
+                "max_reads_per_s": _UNLIMITED_PER_S,
             },
         }
         path = directory / f"{name}.json"
--- a/src/jujubewharf/experiments/order_costs.py
+++ b/src/jujubewharf/experiments/order_costs.py
@@ -82,7 +82,7 @@
             await bench.declare(dataclasses.replace(endpoint, drained=True))
         case "list":
             bench.live_list.lag_ms = _LIMIT_MS
-            _let_one_read(bench, endpoint)
+            _mark_leaving_at_one_instance(bench, endpoint)
     while any(
         view is not None and view.takes_work
         for view in (
@@ -96,7 +96,9 @@
     return duration_ms
 
 
-def _let_one_read(bench: benches.Bench, endpoint: resources.Endpoint) -> None:
+def _mark_leaving_at_one_instance(
+    bench: benches.Bench, endpoint: resources.Endpoint
+) -> None:
     leaving = live_list.LiveMember(
         endpoint.name,
         endpoint.address,
--- a/src/jujubewharf/experiments/processes.py
+++ b/src/jujubewharf/experiments/processes.py
@@ -26,11 +26,11 @@
     """
     loop = asyncio.get_running_loop()
     task = loop.create_task(coroutine, context=contextvars.Context())
-    task.add_done_callback(_look_at)
+    task.add_done_callback(_retrieve_exception)
     return task
 
 
-def _look_at(task: asyncio.Task[Any]) -> None:
+def _retrieve_exception(task: asyncio.Task[Any]) -> None:
     """Retrieves the exception, as the caller may no longer await the task."""
     if not task.cancelled():
         task.exception()
@@ -54,7 +54,7 @@
         self.is_dead = False
         self.is_paused = False
         self._on_death: dict[object, Callable[[], None]] = {}
-        self._kept: list[asyncio.Task[Any]] = []
+        self._killed_tasks: list[asyncio.Task[Any]] = []
 
     def __repr__(self) -> str:
         return f"Process({self.name!r}, is_dead={self.is_dead})"
@@ -105,7 +105,7 @@
         self.is_dead = True
         # Keep the tasks referenced: the loop only holds weak references, and
         # the clean-up code of a garbage-collected task would run.
-        self._kept = list(asyncio.all_tasks())
+        self._killed_tasks = list(asyncio.all_tasks())
         _loop().hold(self)
         for call in list(self._on_death.values()):
             call()
--- a/src/jujubewharf/experiments/reader.py
+++ b/src/jujubewharf/experiments/reader.py
@@ -26,7 +26,7 @@
         invalid field.
     """
     try:
-        data = _merged(path, depth=0)
+        data = _read_merged(path, depth=0)
     except OSError as error:
         return result.Err([f"{error.filename}: {error.strerror}"])
     except ValueError as error:
@@ -34,10 +34,10 @@
     try:
         return result.Ok(models.Experiment.model_validate(data))
     except pydantic.ValidationError as error:
-        return result.Err([_line(item) for item in error.errors()])
+        return result.Err([_format_error(item) for item in error.errors()])
 
 
-def _merged(path: pathlib.Path, *, depth: int) -> dict[str, Any]:
+def _read_merged(path: pathlib.Path, *, depth: int) -> dict[str, Any]:
     if depth > _MAX_DEPTH:
         raise ValueError("too many nested 'extends'")
     data = json.loads(path.read_text(encoding="utf-8"))
@@ -46,21 +46,21 @@
     base_name = data.pop(_EXTENDS, None)
     if base_name is None:
         return data
-    base = _merged(path.parent / str(base_name), depth=depth + 1)
-    return _over(base, data)
+    base = _read_merged(path.parent / str(base_name), depth=depth + 1)
+    return _merge(base, data)
 
 
-def _over(base: dict[str, Any], data: dict[str, Any]) -> dict[str, Any]:
+def _merge(base: dict[str, Any], data: dict[str, Any]) -> dict[str, Any]:
     merged = dict(base)
     for key, value in data.items():
-        held = merged.get(key)
-        if isinstance(held, dict) and isinstance(value, dict):
-            merged[key] = _over(held, value)
+        base_value = merged.get(key)
+        if isinstance(base_value, dict) and isinstance(value, dict):
+            merged[key] = _merge(base_value, value)
         else:
             merged[key] = value
     return merged
 
 
-def _line(item: Any) -> str:
+def _format_error(item: Any) -> str:
     path = ".".join(str(part) for part in item["loc"]) or "(top)"
     return f"{path}: {item['msg']}"
--- a/src/jujubewharf/experiments/remote_engine.py
+++ b/src/jujubewharf/experiments/remote_engine.py
@@ -85,7 +85,7 @@
         if self._process.is_dead:
             raise asyncio.CancelledError
         arrived: asyncio.Queue[_Arrival] = asyncio.Queue()
-        pump = processes.outside(self._pump(attempt, job, arrived))
+        pump = processes.outside(self._receive_chunks(attempt, job, arrived))
         try:
             while True:
                 arrival = await self._next(arrived)
@@ -129,32 +129,32 @@
     ) -> _Result:
         try:
             async with self._clock.timeout_ms(timeout_ms):
-                return await self._process.call_out(self._there_and_back(call))
+                return await self._process.call_out(self._round_trip(call))
         except TimeoutError:
             raise self._error(client.EngineFault.LOST) from None
 
-    async def _there_and_back(
+    async def _round_trip(
         self, call: Callable[[], Coroutine[Any, Any, _Result]]
     ) -> _Result:
-        await self._go_there()
+        await self._delay_request()
         try:
             return await call()
         finally:
-            await self._come_back()
+            await self._delay_response()
 
-    async def _go_there(self) -> None:
+    async def _delay_request(self) -> None:
         here = self._process.domain
         if self._network.is_cut(here, self._domain):
             await self._clock.sleep_ms(_DIAL_TIMEOUT_MS)
             raise self._error(client.EngineFault.UNREACHABLE)
         await self._clock.sleep_ms(self._network.delay_ms(here, self._domain))
 
-    async def _come_back(self) -> None:
+    async def _delay_response(self) -> None:
         await self._network.passable(self._domain, self._process.domain)
         delay_ms = self._network.delay_ms(self._domain, self._process.domain)
         await self._clock.sleep_ms(delay_ms)
 
-    async def _pump(
+    async def _receive_chunks(
         self,
         attempt: client.Attempt,
         job: client.DecodeJob,
@@ -175,7 +175,7 @@
             )
 
         try:
-            await self._go_there()
+            await self._delay_request()
             async for chunk in self._engine.decode(attempt, job):
                 await send(chunk)
         except client.EngineError as error:
--- a/src/jujubewharf/experiments/report.py
+++ b/src/jujubewharf/experiments/report.py
@@ -13,7 +13,7 @@
 from jujubewharf.experiments import outcomes
 from jujubewharf.experiments import truth as truths
 
-_LONGEST_MS = 3_600_000
+_MAX_RECORDED_MS = 3_600_000
 _PERCENTILES = (50, 90, 95, 99)
 _DIGITS = 6
 
@@ -157,7 +157,7 @@
 
 
 def _percentiles(values_ms: Sequence[float | None]) -> dict[str, int]:
-    recorded = histogram.HdrHistogram(1, _LONGEST_MS, 3)
+    recorded = histogram.HdrHistogram(1, _MAX_RECORDED_MS, 3)
     for value_ms in values_ms:
         if value_ms is not None:
             recorded.record_value(max(1, round(value_ms)))
--- a/src/jujubewharf/experiments/request_costs.py
+++ b/src/jujubewharf/experiments/request_costs.py
@@ -86,7 +86,9 @@
     tasks = []
     for number in range(_REQUESTS):
         if load is not None:
-            tasks.append(asyncio.ensure_future(_one(bench, number, load)))
+            tasks.append(
+                asyncio.ensure_future(_send_request(bench, number, load))
+            )
         await bench.clock.sleep_ms(_SPACING_MS)
     await bench.clock.sleep_ms(5_000)
     firsts = await asyncio.gather(*tasks)
@@ -98,7 +100,9 @@
     return used, float(np.mean(firsts)) if firsts else 0.0, appends
 
 
-async def _one(bench: benches.Bench, number: int, load: _Load) -> float:
+async def _send_request(
+    bench: benches.Bench, number: int, load: _Load
+) -> float:
     name = f"e{number % _INSTANCES}"
     request_id = f"{name}~{number:032x}"
     started_ms = bench.clock.now_ms()
@@ -146,15 +150,15 @@
 
 
 async def _run_claims(
-    rate_per_s: float, *, each_for_itself: bool
+    rate_per_s: float, *, without_shard_owners: bool
 ) -> dict[str, float]:
     bench = await _deployment()
     cores = [instance.core for instance in bench.instances.values()]
-    if each_for_itself:
+    if without_shard_owners:
         for core in cores:
-            core.claims._owners = _only(core.settings.instance)  # type: ignore[method-assign,assignment]
+            core.claims._owners = _sole_owner(core.settings.instance)  # type: ignore[method-assign,assignment]
     before = _peer_bytes(bench)
-    took: list[float] = []
+    durations_ms: list[float] = []
 
     async def claim(number: int) -> None:
         started_ms = bench.clock.now_ms()
@@ -162,7 +166,7 @@
         core = cores[number % len(cores)]
         name = core.settings.instance
         await core.claims.claim(key, f"{name}~{number:032x}", b"12345678")
-        took.append(bench.clock.now_ms() - started_ms)
+        durations_ms.append(bench.clock.now_ms() - started_ms)
 
     tasks = []
     count = int(rate_per_s * _CLAIM_SECONDS)
@@ -176,23 +180,23 @@
     return {
         "claims_per_s": rate_per_s,
         "appends_per_s": round(appends / _CLAIM_SECONDS, 1),
-        "mean_ms": round(float(np.mean(took)), 1),
-        "p95_ms": round(float(np.percentile(took, 95)), 1),
+        "mean_ms": round(float(np.mean(durations_ms)), 1),
+        "p95_ms": round(float(np.percentile(durations_ms, 95)), 1),
         "peer_bytes_per_claim": round(used / count),
     }
 
 
-def _only(instance: str) -> Callable[[int], list[str]]:
+def _sole_owner(instance: str) -> Callable[[int], list[str]]:
     return lambda shard: [instance]
 
 
 def _print_claims() -> None:
     for rate_per_s in (5.0, 100.0, 1_900.0):
         figures = virtual_time.run(
-            _run_claims(rate_per_s, each_for_itself=False)
+            _run_claims(rate_per_s, without_shard_owners=False)
         )
         _print(figure="claim", way="shard owners", **figures)
-    figures = virtual_time.run(_run_claims(100.0, each_for_itself=True))
+    figures = virtual_time.run(_run_claims(100.0, without_shard_owners=True))
     _print(figure="claim", way="each instance for itself", **figures)
 
 
--- a/src/jujubewharf/experiments/runner.py
+++ b/src/jujubewharf/experiments/runner.py
@@ -169,7 +169,7 @@
             prefilled_tokens=waste.prefilled_tokens,
             wasted_prefill_tokens=dict(sorted(waste.wasted_tokens.items())),
             leaked_slots=truth.leaked_slots(),
-            max_dispatches_not_repeatable=_most_dispatches(
+            max_dispatches_not_repeatable=_max_dispatches(
                 truth, self._callers.outcomes
             ),
             reattempts=truth.reattempts(),
@@ -189,7 +189,7 @@
         return report.ratio(good, stayed)
 
 
-def _most_dispatches(truth: truths.Truth, seen: list[outcomes.Outcome]) -> int:
+def _max_dispatches(truth: truths.Truth, seen: list[outcomes.Outcome]) -> int:
     counts = [
         truth.dispatches(outcome)
         for outcome in seen
--- a/src/jujubewharf/experiments/truth.py
+++ b/src/jujubewharf/experiments/truth.py
@@ -49,19 +49,19 @@
         self, bench: benches.Bench, seen: Iterable[outcomes.Outcome]
     ) -> None:
         self._bench = bench
-        self._written: collections.Counter[str] = collections.Counter()
+        self._generated_tokens: collections.Counter[str] = collections.Counter()
         self._dispatches: collections.Counter[str] = collections.Counter()
-        self._read: set[str] = set()
-        self._call_of: dict[str, outcomes.Outcome] = {}
+        self._prefilled_requests: set[str] = set()
+        self._outcomes_by_request: dict[str, outcomes.Outcome] = {}
         for outcome in seen:
             for request_id in outcome.request_ids:
-                self._call_of[request_id] = outcome
+                self._outcomes_by_request[request_id] = outcome
         for engine in bench.engines.values():
-            self._written.update(engine.ledger.written)
+            self._generated_tokens.update(engine.ledger.written)
             for attempt_id, count in engine.counts.dispatches.items():
-                self._dispatches[_request(attempt_id)] += count
+                self._dispatches[_request_id_of(attempt_id)] += count
             for reading in engine.ledger.readings:
-                self._read.add(_request(reading.attempt_id))
+                self._prefilled_requests.add(_request_id_of(reading.attempt_id))
 
     def waste(self, *, since_ms: float) -> Waste:
         """Returns the waste of prefills started at ``since_ms`` or later."""
@@ -89,10 +89,12 @@
         A prefill counts as a run.
         """
         if outcome.call.is_plain:
-            is_sure = len(outcome.said_not_run) == len(outcome.request_ids)
-            return is_sure and self.dispatches(outcome) > 0
+            is_rejected_as_not_run = len(outcome.said_not_run) == len(
+                outcome.request_ids
+            )
+            return is_rejected_as_not_run and self.dispatches(outcome) > 0
         return any(
-            self._dispatches[name] or name in self._read
+            self._dispatches[name] or name in self._prefilled_requests
             for name in outcome.said_not_run
         )
 
@@ -106,11 +108,11 @@
 
     def reattempts(self) -> int:
         """Returns the number of attempts beyond the first of each request."""
-        attempts = set(self._written)
-        return len(attempts) - len({_request(name) for name in attempts})
+        attempts = set(self._generated_tokens)
+        return len(attempts) - len({_request_id_of(name) for name in attempts})
 
     def _cause(self, reading: readings.Reading) -> str | None:
-        is_written = self._written[reading.attempt_id] > 0
+        is_used = self._generated_tokens[reading.attempt_id] > 0
         match reading.fate:
             case readings.Fate.SENT:
                 cause = SENT_UNUSED
@@ -118,14 +120,16 @@
                 cause = KEPT_UNUSED
             case fate:
                 cause = fate.value
-                is_written = False
-        if is_written:
+                is_used = False
+        if is_used:
             return None
-        outcome = self._call_of.get(_request(reading.attempt_id))
+        outcome = self._outcomes_by_request.get(
+            _request_id_of(reading.attempt_id)
+        )
         if outcome is not None and outcome.end is outcomes.End.CANCELLED:
             return CALLER_CANCELLED
         return cause
 
 
-def _request(attempt_id: str) -> str:
+def _request_id_of(attempt_id: str) -> str:
     return attempt_id.rpartition(".")[0]
--- a/src/jujubewharf/experiments/virtual_time.py
+++ b/src/jujubewharf/experiments/virtual_time.py
@@ -28,7 +28,7 @@
 
 _RESOLUTION_DIGITS = 6
 _TICK_S = 1e-6
-_ROUNDS_A_TICK = 2_000
+_MAX_ROUNDS_PER_TICK = 2_000
 
 
 class StuckError(RuntimeError):
@@ -46,7 +46,7 @@
     _scheduled: list[asyncio.TimerHandle]
 
     def __init__(self) -> None:
-        super().__init__(_JumpingSelector(self))
+        super().__init__(_VirtualSelector(self))
         self._now_s = 0.0
         self._clock_resolution = _TICK_S
         self._held: dict[object, list[asyncio.Handle]] = {}
@@ -88,7 +88,7 @@
         for handle in ready:
             if _owner(handle) is owner:
                 held.append(handle)
-                handle = self._skipped()
+                handle = self._placeholder()
             self._ready.append(handle)
         timers = sorted(self._scheduled)
         self._scheduled.clear()
@@ -115,7 +115,7 @@
         for owner in list(self._held):
             self.let_go(owner)
 
-    def _skipped(self) -> asyncio.Handle:
+    def _placeholder(self) -> asyncio.Handle:
         """Returns a cancelled handle as a placeholder in the ready queue.
 
         The loop counts the ready handles before it runs them and fails on an
@@ -141,7 +141,7 @@
         return super()._call_soon(callback, args, context)  # type: ignore[misc]
 
 
-class _JumpingSelector(selectors.DefaultSelector):
+class _VirtualSelector(selectors.DefaultSelector):
     def __init__(self, loop: VirtualLoop) -> None:
         super().__init__()
         self._loop = loop
@@ -154,7 +154,7 @@
         if timeout is None or timeout > 0:
             self._loop.jump()
             self._rounds = 0
-        elif self._rounds >= _ROUNDS_A_TICK:
+        elif self._rounds >= _MAX_ROUNDS_PER_TICK:
             self._loop.tick()
             self._rounds = 0
         return []
@@ -167,7 +167,7 @@
         return loop.run_until_complete(main)
     finally:
         loop.let_all_go()
-        _cancel_rest(loop)
+        _cancel_remaining(loop)
         loop.close()
 
 
@@ -175,17 +175,17 @@
     return handle._context.get(OWNER)  # type: ignore[attr-defined]
 
 
-def _cancel_rest(loop: asyncio.AbstractEventLoop) -> None:
+def _cancel_remaining(loop: asyncio.AbstractEventLoop) -> None:
     """Cancels all tasks, including those started during cancellation.
 
     Python 3.11 raises ``SystemError`` if the garbage collector destroys a
     pending task during ``ast.parse``.
     """
     for _ in range(_CANCEL_ROUNDS):
-        rest = asyncio.all_tasks(loop)
-        if not rest:
+        remaining = asyncio.all_tasks(loop)
+        if not remaining:
             return
-        for task in rest:
+        for task in remaining:
             task.cancel()
-        gathered = asyncio.gather(*rest, return_exceptions=True)
+        gathered = asyncio.gather(*remaining, return_exceptions=True)
         loop.run_until_complete(gathered)
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -62,13 +62,13 @@
         self._clock = clock
         self._sources: set[str] = set()
         self._numbers = itertools.count(1)
-        self._checked: list[str] = []
+        self._change_checks: list[str] = []
         self._listener: notices.Listener = notices.ignore_notice
 
     @property
     def checks(self) -> int:
         """Number of ``is_changing`` calls."""
-        return len(self._checked)
+        return len(self._change_checks)
 
     def called_by(self, instance: str) -> StandInBackends:
         """Returns a view of the same backends for a calling instance."""
@@ -85,8 +85,8 @@
         self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
     ) -> AsyncIterator[calls.Reply]:
         """Runs a request; see ``ports.Backends``."""
-        backend = self._reached(endpoint)
-        asked_ms = self._asked(backend, sending)
+        backend = self._reachable_backend(endpoint)
+        received_ms = self._record_request(backend, sending)
         self._check_takes_run(backend, sending)
         self.lapse()
         held = backend.held.pop(sending.hold or "", 0)
@@ -102,28 +102,28 @@
                 sending.call.headers,
             )
         )
-        slot = self._name("run")
+        slot = self._new_id("run")
         backend.held[slot] = held
         backend.at_work.add(request_id)
         if sending.call.body in self.crashing:
-            self._crash_soon(backend, sending.call.body)
+            self._schedule_crash(backend, sending.call.body)
         try:
             if backend.loses_answers:
                 raise backend.error(client.EngineFault.LOST, "lost")
             if backend.is_silent:
                 await self._clock.sleep_ms(_ENDLESS_MS)
             if backend.endpoint.role is resources.Role.PLAIN:
-                await self._pass_time(
-                    backend, self._work_ms(backend, sending.call)
+                await self._sleep_unless_crashed(
+                    backend, self._response_ms(backend, sending.call)
                 )
-                self._say(backend, asked_ms, ends_limit=True)
+                self._notify(backend, received_ms, ends_limit=True)
                 yield calls.Reply(
                     backend.status,
                     (backend_state.PROOF,),
-                    _one(request_id.encode()),
+                    _single_chunk(request_id.encode()),
                 )
             else:
-                self._say(backend, asked_ms, ends_limit=True)
+                self._notify(backend, received_ms, ends_limit=True)
                 body = self._events(backend, sending)
                 yield calls.Reply(backend.status, (backend_state.PROOF,), body)
         finally:
@@ -153,9 +153,9 @@
     ) -> AsyncIterator[bytes]:
         first = (sending.after_event or 0) + 1
         for number in range(first, backend.events + 1):
-            await self._pass_time(backend, backend.event_ms)
+            await self._sleep_unless_crashed(backend, backend.event_ms)
             if number == backend.events and sending.call.body in self.crashing:
-                await self._pass_time(backend, _ENDLESS_MS)
+                await self._sleep_unless_crashed(backend, _ENDLESS_MS)
             if number == backend.skips:
                 continue
             yield event(sending.call.request_id, number)
@@ -169,21 +169,23 @@
         self, endpoint: resources.Endpoint, sending: calls.OutboundRequest
     ) -> calls.PrefillSource:
         """Prefills a prompt; see ``ports.Backends``."""
-        backend = self._reached(endpoint)
+        backend = self._reachable_backend(endpoint)
         if backend.endpoint.role is not resources.Role.PREFILL:
             raise backend.error(client.EngineFault.REFUSED_ROLE)
-        asked_ms = self._asked(backend, sending)
+        received_ms = self._record_request(backend, sending)
         if backend.refuses_readings or backend.is_changing:
             backend.refused_readings += 1
             raise backend.error(client.EngineFault.REFUSED_FULL)
         assert sending.call.work is not None
         tokens = sending.call.work.prompt_tokens
-        await self._pass_time(backend, tokens * backend.prefill_token_ms)
-        self._say(backend, asked_ms)
+        await self._sleep_unless_crashed(
+            backend, tokens * backend.prefill_token_ms
+        )
+        self._notify(backend, received_ms)
         self.prefills.append((sending.call.request_id, backend.name))
         if backend.loses_readings:
             raise backend.error(client.EngineFault.LOST, "lost")
-        handle = self._name("source")
+        handle = self._new_id("source")
         self._sources.add(handle)
         return calls.PrefillSource(endpoint.address, handle)
 
@@ -191,7 +193,7 @@
         self, endpoint: resources.Endpoint, source: calls.PrefillSource
     ) -> None:
         """Drops a prefill result; see ``ports.Backends``."""
-        self._reached(endpoint)
+        self._reachable_backend(endpoint)
         self._sources.discard(source.handle)
         self.dropped.append(source.handle)
 
@@ -199,15 +201,15 @@
         self, endpoint: resources.Endpoint, *, tokens: int, ttl_ms: float
     ) -> str:
         """Reserves memory; see ``ports.Backends``."""
-        backend = self._reached(endpoint)
+        backend = self._reachable_backend(endpoint)
         now_ms = self._clock.now_ms()
         backend.asked_memory.append(backend_state.Asked(self.instance, now_ms))
         self._check_backoff(backend)
-        self._say(backend, now_ms)
+        self._notify(backend, now_ms)
         self.lapse()
         if sum(backend.held.values()) + tokens > backend.memory_tokens:
             raise backend.error(client.EngineFault.REFUSED_FULL)
-        hold = self._name("hold")
+        hold = self._new_id("hold")
         backend.held[hold] = tokens
         backend.lapses_ms[hold] = self._clock.now_ms() + ttl_ms
         return hold
@@ -216,18 +218,18 @@
         self, endpoint: resources.Endpoint, hold: str
     ) -> None:
         """Releases a reservation; see ``ports.Backends``."""
-        self._reached(endpoint).held.pop(hold, None)
+        self._reachable_backend(endpoint).held.pop(hold, None)
 
     async def is_changing(self, endpoint: resources.Endpoint) -> bool:
         """Whether an order is being executed; see ``ports.Backends``."""
-        self._checked.append(endpoint.name)
-        return self._reached(endpoint).is_changing
+        self._change_checks.append(endpoint.name)
+        return self._reachable_backend(endpoint).is_changing
 
     async def order_role(
         self, endpoint: resources.Endpoint, order: ports.RoleOrder
     ) -> None:
         """Accepts an order; see ``ports.Backends``."""
-        backend = self._reached(endpoint)
+        backend = self._reachable_backend(endpoint)
         fault, backend.next_fault = backend.next_fault, None
         if fault is not None:
             raise backend.error(fault)
@@ -243,16 +245,16 @@
         if backend.has_crashed.is_set():
             return
         backend.has_crashed.set()
-        for told in self.on_crash:
-            told(backend)
+        for callback in self.on_crash:
+            callback(backend)
 
-    def _work_ms(
+    def _response_ms(
         self, backend: backend_state.StandInBackend, call: calls.Call
     ) -> float:
         """Returns the response time, or an endless one for crashing bodies."""
         return _ENDLESS_MS if call.body in self.crashing else backend.work_ms
 
-    def _crash_soon(
+    def _schedule_crash(
         self, backend: backend_state.StandInBackend, body: bytes
     ) -> None:
         def crash() -> None:
@@ -266,7 +268,7 @@
         at_ms = self._clock.now_ms() + self.crash_after_ms
         self._clock.call_at_ms(at_ms, crash)
 
-    async def _pass_time(
+    async def _sleep_unless_crashed(
         self, backend: backend_state.StandInBackend, for_ms: float
     ) -> None:
         """Waits for a duration or until the backend crashes.
@@ -288,7 +290,7 @@
                     del backend.lapses_ms[hold]
                     backend.held.pop(hold, None)
 
-    def _reached(
+    def _reachable_backend(
         self, endpoint: resources.Endpoint
     ) -> backend_state.StandInBackend:
         backend = self.by_name[endpoint.name]
@@ -298,7 +300,7 @@
             raise backend.error(client.EngineFault.REFUSED_IDENTITY)
         return backend
 
-    def _asked(
+    def _record_request(
         self,
         backend: backend_state.StandInBackend,
         sending: calls.OutboundRequest,
@@ -321,20 +323,22 @@
     def _check_backoff(self, backend: backend_state.StandInBackend) -> None:
         if backend.backoff_ms <= 0.0:
             return
-        self._say(backend, self._clock.now_ms(), backoff_ms=backend.backoff_ms)
+        self._notify(
+            backend, self._clock.now_ms(), backoff_ms=backend.backoff_ms
+        )
         raise backend.error(client.EngineFault.REFUSED_FULL)
 
-    def _say(
+    def _notify(
         self,
         backend: backend_state.StandInBackend,
-        asked_ms: float,
+        received_ms: float,
         *,
         ends_limit: bool = False,
         backoff_ms: float = 0.0,
     ) -> None:
         limit = backend.rate_limit_per_s
         notice = notices.Notice(
-            asked_ms,
+            received_ms,
             rate_limit_per_s=limit,
             ends_limit=ends_limit and limit is None,
             is_leaving=backend.is_leaving,
@@ -345,7 +349,7 @@
             backend.told_ms.setdefault(self.instance, now_ms)
         self._listener(backend.endpoint, notice)
 
-    def _name(self, kind: str) -> str:
+    def _new_id(self, kind: str) -> str:
         return f"{kind}{next(self._numbers)}"
 
 
@@ -354,5 +358,5 @@
     return f"id: {number}\ndata: {request_id}\n\n".encode()
 
 
-async def _one(part: bytes) -> AsyncIterator[bytes]:
+async def _single_chunk(part: bytes) -> AsyncIterator[bytes]:
     yield part
--- a/src/jujubewharf/standins/engine.py
+++ b/src/jujubewharf/standins/engine.py
@@ -83,7 +83,7 @@
         self._prefills: dict[str, asyncio.Task[client.PrefillResult]] = {}
         self._running = 0
         self._queued_tokens = 0
-        self._turns = turns.Turns()
+        self._prefill_lock = turns.Turns()
         self._fence = 0
         self._history = load_history.LoadHistory()
 
@@ -92,9 +92,9 @@
 
     async def reserve(self, attempt: client.Attempt) -> None:
         """Reserves a decode slot; see ``client.EngineClient``."""
-        await self._arrive("reserve")
+        await self._receive("reserve")
         self._take_slot(attempt)
-        self._answer("reserve")
+        self._raise_if_answer_lost("reserve")
 
     def _take_slot(self, attempt: client.Attempt) -> None:
         self._check_alive()
@@ -107,7 +107,7 @@
         self._slots[attempt.attempt_id] = slots.Slot(
             attempt, self._clock.now_ms()
         )
-        self._note()
+        self._record_load()
 
     async def prefill(
         self, attempt: client.Attempt, job: client.PrefillJob
@@ -119,7 +119,7 @@
             raise self._error(client.EngineFault.REFUSED_LEAVING)
         task = self._prefills.get(attempt.attempt_id)
         if task is None:
-            task = asyncio.create_task(self._read_prompt(attempt, job))
+            task = asyncio.create_task(self._prefill_prompt(attempt, job))
             self._prefills[attempt.attempt_id] = task
         try:
             return await asyncio.shield(task)
@@ -146,7 +146,7 @@
         if slot is None:
             raise self._error(client.EngineFault.UNKNOWN_ATTEMPT)
         slot.has_kv = True
-        self._answer("import_kv")
+        self._raise_if_answer_lost("import_kv")
         return kv_bytes
 
     async def export_kv(self, attempt_id: str) -> int:
@@ -178,7 +178,7 @@
             slot.generation.task = asyncio.create_task(
                 self._generate(slot, job)
             )
-        self._answer("decode")
+        self._raise_if_answer_lost("decode")
         lost = self._error(client.EngineFault.LOST)
         follow = slot.generation.follow(job.first_index, lost)
         async for chunk in follow:
@@ -186,14 +186,14 @@
 
     async def release(self, attempt_id: str) -> None:
         """Cancels and releases an attempt; see ``client.EngineClient``."""
-        await self._arrive("release")
+        await self._receive("release")
         await self._release(attempt_id)
-        self._answer("release")
+        self._raise_if_answer_lost("release")
 
     async def _release(self, attempt_id: str) -> None:
-        reading = self._prefills.pop(attempt_id, None)
-        if reading is not None:
-            reading.cancel()
+        prefill_task = self._prefills.pop(attempt_id, None)
+        if prefill_task is not None:
+            prefill_task.cancel()
         self._prefilled.release(attempt_id)
         slot = self._slots.get(attempt_id)
         if slot is None:
@@ -201,13 +201,13 @@
         is_running = slot.generation is not None
         if is_running and not self.spec.capabilities.cancel:
             return
-        self._free(attempt_id)
+        self._free_slot(attempt_id)
         await slot.break_off()
 
     async def load(self) -> client.LoadReport:
         """Returns the load of ``report_lag_ms`` ago; see ``EngineClient``."""
         self._check_alive()
-        self._note()
+        self._record_load()
         return self._history.at(self._clock.now_ms() - self.spec.report_lag_ms)
 
     def load_now(self) -> client.LoadReport:
@@ -251,19 +251,19 @@
         self.orders.append(order)
         match order.kind:
             case client.OrderKind.CHANGE_ROLE:
-                await self._drop_all()
+                await self._drop_all_requests()
                 self.role = order.value
             case client.OrderKind.LOAD_ADAPTER:
                 if order.value not in self.adapters:
                     self.adapters = (*self.adapters, order.value)
             case client.OrderKind.LOAD_MODEL:
-                await self._drop_all()
+                await self._drop_all_requests()
                 await self.fetch_weights()
                 self.model = order.value
                 self.model_version = order.version
-        self._note()
+        self._record_load()
 
-    async def _drop_all(self) -> None:
+    async def _drop_all_requests(self) -> None:
         """Drops all requests, as a change of weights or role does."""
         self.counts.cut_by_orders += len(self._slots)
         for slot in list(self._slots.values()):
@@ -277,8 +277,8 @@
     async def die(self) -> None:
         """Crashes the engine, which loses all its state."""
         self.is_dead = True
-        for reading in self._prefills.values():
-            reading.cancel()
+        for prefill_task in self._prefills.values():
+            prefill_task.cancel()
         for slot in list(self._slots.values()):
             await slot.break_off()
         self._prefilled.lose_all()
@@ -286,29 +286,31 @@
         self._slots.clear()
         self._running = 0
         self.cache.clear()
-        self._note()
+        self._record_load()
 
     def restart(self) -> None:
         """Restarts the engine after a crash, without its state."""
         self.is_dead = False
         self._queued_tokens = 0
-        self._turns = turns.Turns()
+        self._prefill_lock = turns.Turns()
 
-    async def _read_prompt(
+    async def _prefill_prompt(
         self, attempt: client.Attempt, job: client.PrefillJob
     ) -> client.PrefillResult:
         tokens = len(prefixes.tokens_of(job.prompt))
         priority = job.priority if self.spec.capabilities.priorities else 0
         self._queued_tokens += tokens
-        self._note()
+        self._record_load()
         try:
-            async with self._turns.turn(priority):
+            async with self._prefill_lock.turn(priority):
                 cached = self.cache.cached_tokens(job.prompt)
-                await self._read(attempt.attempt_id, tokens - cached)
+                await self._simulate_prefill(
+                    attempt.attempt_id, tokens - cached
+                )
         finally:
             self._queued_tokens = max(0, self._queued_tokens - tokens)
             self._prefills.pop(attempt.attempt_id, None)
-            self._note()
+            self._record_load()
         self.cache.store(job.prompt)
         self.counts.prefilled_tokens += tokens
         kv_bytes = tokens * self.spec.kv_bytes_per_token
@@ -323,7 +325,7 @@
         )
         return client.PrefillResult(tokens, cached, kv_bytes, survives_ms)
 
-    async def _read(self, attempt_id: str, tokens: int) -> None:
+    async def _simulate_prefill(self, attempt_id: str, tokens: int) -> None:
         await readings.read(
             self.ledger,
             self._clock,
@@ -339,8 +341,8 @@
         length = answer_length(job.prompt, job.max_tokens)
         if not slot.has_kv:
             tokens = len(prefixes.tokens_of(job.prompt)) + job.first_index
-            async with self._turns.turn(job.priority):
-                await self._read(slot.attempt.attempt_id, tokens)
+            async with self._prefill_lock.turn(job.priority):
+                await self._simulate_prefill(slot.attempt.attempt_id, tokens)
             self.counts.prefilled_tokens += tokens
             self.counts.used_prefill_tokens += tokens
             self.ledger.settle(slot.attempt.attempt_id, readings.Fate.KEPT)
@@ -356,13 +358,13 @@
         if not generation.is_done:
             await generation.add([], is_done=True)
         self.counts.answers[hashing.digest(job.prompt.encode())] += 1
-        self._free(slot.attempt.attempt_id)
+        self._free_slot(slot.attempt.attempt_id)
 
-    def _free(self, attempt_id: str) -> None:
+    def _free_slot(self, attempt_id: str) -> None:
         slot = self._slots.pop(attempt_id, None)
         if slot is not None and slot.generation is not None:
             self._running -= 1
-        self._note()
+        self._record_load()
 
     def _step_ms(self) -> float:
         others = max(0, self._running - 1)
@@ -372,16 +374,16 @@
             step_ms *= self.spec.prefill_slowdown
         return step_ms
 
-    def _note(self) -> None:
+    def _record_load(self) -> None:
         self._history.add(self.load_now(), lag_ms=self.spec.report_lag_ms)
 
-    async def _arrive(self, call: str) -> None:
+    async def _receive(self, call: str) -> None:
         self._check_alive()
         if self.lag_ms[call]:
             await self._clock.sleep_ms(self.lag_ms[call])
             self._check_alive()
 
-    def _answer(self, call: str) -> None:
+    def _raise_if_answer_lost(self, call: str) -> None:
         if self.lose_answers[call] > 0:
             self.lose_answers[call] -= 1
             raise self._error(client.EngineFault.LOST)
--- a/src/jujubewharf/standins/engine_http.py
+++ b/src/jujubewharf/standins/engine_http.py
@@ -68,24 +68,24 @@
         try:
             answer = await self._answer(request.match_info["verb"], body)
         except client.EngineError as error:
-            return _fault(error)
+            return _fault_response(error)
         return web.json_response(answer)
 
     async def _answer(self, verb: str, body: dict[str, Any]) -> Any:
         engine = self._engine
         match verb:
             case "reserve":
-                await engine.reserve(_attempt(body))
+                await engine.reserve(_decode_attempt(body))
                 return {}
             case "prefill":
                 job = client.PrefillJob(
                     body["model"], body["prompt"], body["priority"]
                 )
-                done = await engine.prefill(_attempt(body), job)
+                done = await engine.prefill(_decode_attempt(body), job)
                 return dataclasses.asdict(done)
             case "import_kv":
                 kv_bytes = await engine.import_kv(
-                    _attempt(body), body["source_address"]
+                    _decode_attempt(body), body["source_address"]
                 )
                 return {"kv_bytes": kv_bytes}
             case "export_kv":
@@ -96,12 +96,12 @@
             case "load":
                 return dataclasses.asdict(await engine.load())
             case "held":
-                return [_held(item) for item in await engine.held()]
+                return [_encode_held(item) for item in await engine.held()]
             case "events":
                 events = await engine.cache_events(body["after_sequence"])
                 return [dataclasses.asdict(event) for event in events]
             case "counts":
-                return _counts(engine.counts)
+                return _encode_counts(engine.counts)
             case "order":
                 kind = client.OrderKind(body.pop("kind"))
                 await engine.order(client.Order(kind=kind, **body))
@@ -110,7 +110,7 @@
 
     async def _decode(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
-        attempt = _attempt(body)
+        attempt = _decode_attempt(body)
         job = client.DecodeJob(
             model=body["model"],
             prompt=body["prompt"],
@@ -128,27 +128,27 @@
                 await response.write(line.encode())
         except client.EngineError as error:
             if not response.prepared:
-                return _fault(error)
+                return _fault_response(error)
             assert request.transport is not None
             request.transport.abort()
         return response
 
 
-def _attempt(body: dict[str, Any]) -> client.Attempt:
+def _decode_attempt(body: dict[str, Any]) -> client.Attempt:
     return client.Attempt(body["attempt_id"], body["owner"])
 
 
-def _counts(counts: engines.Counts) -> dict[str, Any]:
+def _encode_counts(counts: engines.Counts) -> dict[str, Any]:
     return {
         field.name: getattr(counts, field.name)
         for field in dataclasses.fields(counts)
     }
 
 
-def _held(item: client.HeldAttempt) -> dict[str, Any]:
+def _encode_held(item: client.HeldAttempt) -> dict[str, Any]:
     return dataclasses.asdict(item.attempt) | {"age_ms": item.age_ms}
 
 
-def _fault(error: client.EngineError) -> web.Response:
+def _fault_response(error: client.EngineError) -> web.Response:
     body = {"fault": error.fault.value}
     return web.json_response(body, status=_STATUS_OF_FAULT)
--- a/src/jujubewharf/standins/generation.py
+++ b/src/jujubewharf/standins/generation.py
@@ -8,7 +8,7 @@
 from jujubewharf import hashing
 from jujubewharf.engines import client
 
-_LENGTH_WORD = "answer_tokens="
+_LENGTH_PREFIX = "answer_tokens="
 _DEFAULT_ANSWER_TOKENS = 16
 
 
@@ -31,8 +31,8 @@
     """
     for words in (prompt.split(maxsplit=1)[:1], prompt.rsplit(maxsplit=1)[-1:]):
         for word in words:
-            if word.startswith(_LENGTH_WORD):
-                return min(max_tokens, int(word[len(_LENGTH_WORD) :]))
+            if word.startswith(_LENGTH_PREFIX):
+                return min(max_tokens, int(word[len(_LENGTH_PREFIX) :]))
     return min(max_tokens, _DEFAULT_ANSWER_TOKENS)
 
 
@@ -79,18 +79,18 @@
         sent = first_index - self.first_index
         while True:
             async with self._changed:
-                while self._is_silent(sent):
+                while self._must_wait(sent):
                     await self._changed.wait()
             if self._is_lost:
                 raise error
-            fresh = tuple(self._tokens[sent:])
+            new_tokens = tuple(self._tokens[sent:])
             is_last = self.is_done
             index = self.first_index + sent
-            sent += len(fresh)
-            yield client.TokenChunk(index, fresh, is_last)
+            sent += len(new_tokens)
+            yield client.TokenChunk(index, new_tokens, is_last)
             if is_last:
                 return
 
-    def _is_silent(self, sent: int) -> bool:
+    def _must_wait(self, sent: int) -> bool:
         is_over = self.is_done or self._is_lost
         return len(self._tokens) <= sent and not is_over
--- a/src/jujubewharf/standins/load_history.py
+++ b/src/jujubewharf/standins/load_history.py
@@ -6,7 +6,7 @@
 
 from jujubewharf.engines import client
 
-_KEPT_MS = 60_000.0
+_RETENTION_MS = 60_000.0
 
 
 class LoadHistory:
@@ -18,7 +18,7 @@
     def add(self, load: client.LoadReport, *, lag_ms: float) -> None:
         """Adds the latest load and drops those too old to be reported."""
         self._loads.append(load)
-        oldest_ms = load.measured_ms - max(_KEPT_MS, lag_ms * 2)
+        oldest_ms = load.measured_ms - max(_RETENTION_MS, lag_ms * 2)
         while len(self._loads) > 1 and self._loads[1].measured_ms < oldest_ms:
             self._loads.popleft()
 
--- a/src/jujubewharf/standins/log.py
+++ b/src/jujubewharf/standins/log.py
@@ -13,7 +13,7 @@
 from jujubewharf.platform import log
 
 # Virtual time is rounded, so shorter waits would never end.
-_LEAST_WAIT_MS = 0.001
+_MIN_WAIT_MS = 0.001
 
 
 class _Stream:
@@ -98,25 +98,25 @@
         while True:
             if self.is_down:
                 raise log.LogUnavailableError("down")
-            kept = self._streams[stream]
-            self._forget(kept)
-            if from_offset < kept.first_offset:
-                raise log.LogTruncatedError(kept.first_offset)
+            stored = self._streams[stream]
+            self._apply_retention(stored)
+            if from_offset < stored.first_offset:
+                raise log.LogTruncatedError(stored.first_offset)
             left_ms = until_ms - self._clock.now_ms()
-            if from_offset < kept.next_offset or left_ms <= _LEAST_WAIT_MS:
+            if from_offset < stored.next_offset or left_ms <= _MIN_WAIT_MS:
                 break
             await self._wait(left_ms)
-        start = from_offset - kept.first_offset
-        records = tuple(kept.records[start : start + limit])
-        return log.LogPage(records, kept.first_offset, kept.next_offset)
+        start = from_offset - stored.first_offset
+        records = tuple(stored.records[start : start + limit])
+        return log.LogPage(records, stored.first_offset, stored.next_offset)
 
     def truncate(self, stream: str, first_offset: int) -> None:
         """Drops a stream's records below an offset."""
-        kept = self._streams[stream]
-        count = min(len(kept.records), first_offset - kept.first_offset)
-        del kept.records[:count]
-        del kept.appended_at_ms[:count]
-        kept.first_offset += count
+        stored = self._streams[stream]
+        count = min(len(stored.records), first_offset - stored.first_offset)
+        del stored.records[:count]
+        del stored.appended_at_ms[:count]
+        stored.first_offset += count
 
     def wipe(self) -> None:
         """Drops all streams; offsets restart at 0."""
@@ -129,22 +129,22 @@
         except TimeoutError:
             return
 
-    def _store(self, kept: _Stream, payloads: Sequence[bytes]) -> list[int]:
-        first = kept.next_offset
+    def _store(self, stored: _Stream, payloads: Sequence[bytes]) -> list[int]:
+        first = stored.next_offset
         offsets = list(range(first, first + len(payloads)))
         for offset, payload in zip(offsets, payloads, strict=True):
-            kept.records.append(log.LogRecord(offset, payload))
-            kept.appended_at_ms.append(self._clock.now_ms())
+            stored.records.append(log.LogRecord(offset, payload))
+            stored.appended_at_ms.append(self._clock.now_ms())
         return offsets
 
-    def _forget(self, kept: _Stream) -> None:
+    def _apply_retention(self, stored: _Stream) -> None:
         if self.retention_ms is None:
             return
         oldest_ms = self._clock.now_ms() - self.retention_ms
-        while kept.appended_at_ms and kept.appended_at_ms[0] < oldest_ms:
-            kept.appended_at_ms.pop(0)
-            kept.records.pop(0)
-            kept.first_offset += 1
+        while stored.appended_at_ms and stored.appended_at_ms[0] < oldest_ms:
+            stored.appended_at_ms.pop(0)
+            stored.records.pop(0)
+            stored.first_offset += 1
 
 
 class LogFace:
--- a/src/jujubewharf/standins/network.py
+++ b/src/jujubewharf/standins/network.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Site:
+class _BoundListener:
     instance: str
     domain: str
     on_stream: streams.OnStream
@@ -34,8 +34,8 @@
 
     Args:
         clock: Clock of the simulation.
-        near_ms: One-way delay within a failure domain.
-        far_ms: One-way delay between failure domains.
+        near_ms: One-route delay within a failure domain.
+        far_ms: One-route delay between failure domains.
 
     Attributes:
         bytes_sent: Bytes written, by instance.
@@ -51,8 +51,8 @@
         self.bytes_sent: dict[str, int] = {}
         self._clock = clock
         self._near_ms = near_ms
-        self._far_ms = self._usual_far_ms = far_ms
-        self._sites: dict[str, _Site] = {}
+        self._far_ms = self._initial_far_ms = far_ms
+        self._listeners: dict[str, _BoundListener] = {}
         self._ports = itertools.count(_FIRST_PORT)
         self._cuts: set[tuple[str, str]] = set()
         self._changed = asyncio.Event()
@@ -103,13 +103,13 @@
         Args:
             far_ms: New delay; ``None`` restores the initial delay.
         """
-        self._far_ms = self._usual_far_ms if far_ms is None else far_ms
+        self._far_ms = self._initial_far_ms if far_ms is None else far_ms
 
     def drop_instance(self, instance: str) -> None:
         """Closes all listeners and streams of a dead instance."""
-        for address, site in list(self._sites.items()):
-            if site.instance == instance:
-                del self._sites[address]
+        for address, bound in list(self._listeners.items()):
+            if bound.instance == instance:
+                del self._listeners[address]
         self.drop_streams(instance)
 
     def drop_streams(self, instance: str) -> None:
@@ -131,12 +131,14 @@
         """
         address = address or f"127.0.0.1:{next(self._ports)}"
         context = contextvars.copy_context()
-        self._sites[address] = _Site(instance, domain, on_stream, context)
+        self._listeners[address] = _BoundListener(
+            instance, domain, on_stream, context
+        )
         return address
 
     def remove_site(self, address: str) -> None:
         """Removes a listener."""
-        self._sites.pop(address, None)
+        self._listeners.pop(address, None)
 
     async def connect(
         self, instance: str, domain: str, address: str
@@ -147,30 +149,34 @@
             OSError: Nothing listens on the address, or the domains are
                 partitioned.
         """
-        site = self._sites.get(address)
-        if site is None:
+        bound = self._listeners.get(address)
+        if bound is None:
             raise ConnectionRefusedError(address)
-        if self.is_cut(domain, site.domain) or self.is_cut(site.domain, domain):
+        if self.is_cut(domain, bound.domain) or self.is_cut(
+            bound.domain, domain
+        ):
             await self._clock.sleep_ms(_DIAL_TIMEOUT_MS)
             raise TimeoutError(address)
-        await self._clock.sleep_ms(2 * self.delay_ms(domain, site.domain))
-        if address not in self._sites:
+        await self._clock.sleep_ms(2 * self.delay_ms(domain, bound.domain))
+        if address not in self._listeners:
             raise ConnectionRefusedError(address)
-        return self._open(instance, domain, site)
+        return self._open(instance, domain, bound)
 
     def _open(
-        self, instance: str, domain: str, site: _Site
+        self, instance: str, domain: str, bound: _BoundListener
     ) -> tuple[asyncio.StreamReader, streams.StreamWriter]:
         here, there = asyncio.StreamReader(), asyncio.StreamReader()
-        outward = _MemoryWriter(self, instance, (domain, site.domain), there)
-        inward = _MemoryWriter(self, site.instance, (site.domain, domain), here)
-        outward.twin, inward.twin = inward, outward
+        outward = _MemoryWriter(self, instance, (domain, bound.domain), there)
+        inward = _MemoryWriter(
+            self, bound.instance, (bound.domain, domain), here
+        )
+        outward.reverse, inward.reverse = inward, outward
         self._writers[outward] = None
         self._writers[inward] = None
         # Run the handler in the listener's context, so that pausing the
         # dialling instance does not pause the listening one.
         asyncio.get_running_loop().create_task(
-            _serve(site.on_stream, there, inward), context=site.context.copy()
+            _serve(bound.on_stream, there, inward), context=bound.context.copy()
         )
         return here, outward
 
@@ -194,13 +200,13 @@
         self,
         network: MemoryNetwork,
         instance: str,
-        way: tuple[str, str],
+        route: tuple[str, str],
         reader: asyncio.StreamReader,
     ) -> None:
         self.instance = instance
-        self.twin: _MemoryWriter | None = None
+        self.reverse: _MemoryWriter | None = None
         self._network = network
-        self._way = way
+        self._route = route
         self._reader = reader
         self._is_closed = False
         self._held: collections.deque[bytes | None] = collections.deque()
@@ -237,9 +243,9 @@
 
     def flush(self) -> None:
         """Sends the bytes held back, unless the domains are partitioned."""
-        if self._network.is_cut(*self._way):
+        if self._network.is_cut(*self._route):
             return
-        delay_ms = self._network.delay_ms(*self._way)
+        delay_ms = self._network.delay_ms(*self._route)
         loop = asyncio.get_running_loop()
         while self._held:
             self._in_flight.append(self._held.popleft())
@@ -247,24 +253,24 @@
             # sender is paused or dead.
             loop.call_later(
                 delay_ms / clocks.MS_PER_S,
-                self._arrive,
+                self._deliver,
                 context=contextvars.Context(),
             )
 
-    def _arrive(self) -> None:
+    def _deliver(self) -> None:
         # Timers with equal deadlines may fire in any order, so each takes the
         # oldest item to keep the stream in order.
         data = self._in_flight.popleft()
         if data is None:
-            self._end()
+            self._deliver_eof()
         elif not self._reader.at_eof() and self._reader.exception() is None:
             self._reader.feed_data(data)
 
-    def _end(self) -> None:
+    def _deliver_eof(self) -> None:
         self._network.forget(self)
         self._reader.feed_eof()
-        if self.twin is not None:
-            self.twin.close()
+        if self.reverse is not None:
+            self.reverse.close()
 
 
 class _MemoryListener:
--- a/src/jujubewharf/standins/prefill_results.py
+++ b/src/jujubewharf/standins/prefill_results.py
@@ -83,15 +83,15 @@
         """Removes the result of a released attempt as wasted."""
         result = self._results.pop(attempt_id, None)
         if result is not None:
-            self._waste(result, readings.Fate.RELEASED)
+            self._mark_wasted(result, readings.Fate.RELEASED)
 
     def lose_all(self) -> None:
         """Removes all results as wasted after a crash."""
         for result in self._results.values():
-            self._waste(result, readings.Fate.ENGINE_DIED)
+            self._mark_wasted(result, readings.Fate.ENGINE_DIED)
         self._results.clear()
 
-    def _waste(self, result: PrefillResult, fate: readings.Fate) -> None:
+    def _mark_wasted(self, result: PrefillResult, fate: readings.Fate) -> None:
         self._counts.wasted_prefill_tokens += result.prompt_tokens
         self._ledger.settle(result.attempt_id, fate)
 
@@ -102,7 +102,7 @@
     def _expire_if_due(self, result: PrefillResult) -> None:
         """Removes a result that is past its expiry and not being sent."""
         is_due = self._clock.now_ms() >= result.expires_at_ms
-        is_kept = self._results.get(result.attempt_id) is result
-        if is_kept and is_due and not result.transfers:
+        is_held = self._results.get(result.attempt_id) is result
+        if is_held and is_due and not result.transfers:
             del self._results[result.attempt_id]
-            self._waste(result, readings.Fate.EXPIRED)
+            self._mark_wasted(result, readings.Fate.EXPIRED)
--- a/src/jujubewharf/standins/prefix_cache.py
+++ b/src/jujubewharf/standins/prefix_cache.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Dated:
+class _DelayedEvent:
     visible_at_ms: float
     event: client.CacheEvent
 
@@ -48,7 +48,7 @@
         self._blocks: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
-        self._events: collections.deque[_Dated] = collections.deque(
+        self._events: collections.deque[_DelayedEvent] = collections.deque(
             maxlen=_MAX_EVENTS
         )
         self._sequence = 0
@@ -81,10 +81,10 @@
         """Returns the visible events after a sequence number."""
         now_ms = self._clock.now_ms()
         return tuple(
-            dated.event
-            for dated in self._events
-            if dated.event.sequence > after_sequence
-            and dated.visible_at_ms <= now_ms
+            delayed.event
+            for delayed in self._events
+            if delayed.event.sequence > after_sequence
+            and delayed.visible_at_ms <= now_ms
         )
 
     def _emit(self, prefix_hash: int, *, is_stored: bool) -> None:
@@ -93,4 +93,4 @@
             return
         event = client.CacheEvent(self._sequence, prefix_hash, is_stored)
         visible_at_ms = self._clock.now_ms() + self._event_lag_ms
-        self._events.append(_Dated(visible_at_ms, event))
+        self._events.append(_DelayedEvent(visible_at_ms, event))
--- a/src/jujubewharf/standins/tables.py
+++ b/src/jujubewharf/standins/tables.py
@@ -104,7 +104,7 @@
         self.cut_off: set[str] = set()
         self.generation = 0
         self._clock = clock
-        self._heard_ms: dict[str, float] = {}
+        self._heartbeats_ms: dict[str, float] = {}
 
     def member(self, name: str) -> StandInGroup:
         """Returns the group as seen by one member."""
@@ -112,32 +112,32 @@
 
     def contacts(self) -> dict[int, str]:
         """Returns the contact of each partition: its member's name."""
-        self._lapse()
-        names = sorted(self._heard_ms)
+        self._remove_expired()
+        names = sorted(self._heartbeats_ms)
         if not names:
             return {}
         return {p: names[p % len(names)] for p in range(self.part_count)}
 
-    def _lapse(self) -> None:
+    def _remove_expired(self) -> None:
         now_ms = self._clock.now_ms()
-        for other, heard_ms in list(self._heard_ms.items()):
-            if now_ms - heard_ms >= self.ttl_ms:
+        for other, heartbeat_ms in list(self._heartbeats_ms.items()):
+            if now_ms - heartbeat_ms >= self.ttl_ms:
                 self.leave(other)
 
     def join(self, name: str) -> groups.GroupAssignment:
         """Records a member's heartbeat and returns its partitions."""
-        self._lapse()
+        self._remove_expired()
         now_ms = self._clock.now_ms()
-        if name not in self._heard_ms:
+        if name not in self._heartbeats_ms:
             self.generation += 1
-        self._heard_ms[name] = now_ms
-        names = sorted(self._heard_ms)
+        self._heartbeats_ms[name] = now_ms
+        names = sorted(self._heartbeats_ms)
         parts = range(names.index(name), self.part_count, len(names))
         return groups.GroupAssignment(self.generation, frozenset(parts))
 
     def leave(self, name: str) -> None:
         """Removes a member."""
-        if self._heard_ms.pop(name, None) is not None:
+        if self._heartbeats_ms.pop(name, None) is not None:
             self.generation += 1
 
 
--- a/src/jujubewharf/standins/turns.py
+++ b/src/jujubewharf/standins/turns.py
@@ -19,13 +19,13 @@
     @contextlib.asynccontextmanager
     async def turn(self, priority: int):  # type: ignore[no-untyped-def]
         """Acquires the lock for the block."""
-        await self._take(priority)
+        await self._acquire(priority)
         try:
             yield
         finally:
-            self._pass_on()
+            self._release()
 
-    async def _take(self, priority: int) -> None:
+    async def _acquire(self, priority: int) -> None:
         if not self._is_taken:
             self._is_taken = True
             return
@@ -36,10 +36,10 @@
             await future
         except asyncio.CancelledError:
             if future.done() and not future.cancelled():
-                self._pass_on()
+                self._release()
             raise
 
-    def _pass_on(self) -> None:
+    def _release(self) -> None:
         while self._waiters:
             _, _, future = heapq.heappop(self._waiters)
             if not future.done():
