--- a/src/jujubewharf/experiments/processes.py
+++ b/src/jujubewharf/experiments/processes.py
@@ -98,7 +98,7 @@
     def resume(self) -> None:
         """Resumes a paused process with its state unchanged."""
         self.is_paused = False
-        _loop().let_go(self)
+        _loop().release(self)
 
     def kill(self) -> None:
         """Kills the process without running its clean-up code."""
--- a/src/jujubewharf/experiments/virtual_time.py
+++ b/src/jujubewharf/experiments/virtual_time.py
@@ -99,7 +99,7 @@
             else:
                 self._scheduled.append(timer)
 
-    def let_go(self, owner: object) -> None:
+    def release(self, owner: object) -> None:
         """Releases an owner; overdue callbacks run at once."""
         for handle in self._held.pop(owner, []):
             if handle.cancelled():
@@ -110,10 +110,10 @@
             else:
                 self._ready.append(handle)
 
-    def let_all_go(self) -> None:
+    def release_all(self) -> None:
         """Releases all owners."""
         for owner in list(self._held):
-            self.let_go(owner)
+            self.release(owner)
 
     def _placeholder(self) -> asyncio.Handle:
         """Returns a cancelled handle as a placeholder in the ready queue.
@@ -166,7 +166,7 @@
     try:
         return loop.run_until_complete(main)
     finally:
-        loop.let_all_go()
+        loop.release_all()
         _cancel_remaining(loop)
         loop.close()
 
--- a/tests/scenarios/steps.py
+++ b/tests/scenarios/steps.py
@@ -54,7 +54,7 @@
     def close(self) -> None:
         """Stops the bench and cancels all remaining tasks."""
         self.run(self.bench.stop())
-        self.loop.let_all_go()
+        self.loop.release_all()
         rest = asyncio.all_tasks(self.loop)
         for task in rest:
             task.cancel()
