--- a/src/jujubewharf/experiments/virtual_time.py
+++ b/src/jujubewharf/experiments/virtual_time.py
@@ -31,7 +31,7 @@
 _MAX_ROUNDS_PER_TICK = 2_000
 
 
-class StuckError(RuntimeError):
+class DeadlockError(RuntimeError):
     """Deadlock: no callback is ready and no timer is scheduled."""
 
 
@@ -59,10 +59,12 @@
         """Advances the time to the next timer.
 
         Raises:
-            StuckError: No timer is scheduled.
+            DeadlockError: No timer is scheduled.
         """
         if not self._scheduled:
-            raise StuckError("no callback is ready and no timer is scheduled")
+            raise DeadlockError(
+                "no callback is ready and no timer is scheduled"
+            )
         # Rounding removes floating-point errors of summed durations.
         next_s = round(self._scheduled[0].when(), _RESOLUTION_DIGITS)
         if next_s <= self._now_s:
--- a/tests/experiments/test_virtual_time.py
+++ b/tests/experiments/test_virtual_time.py
@@ -37,5 +37,5 @@
     async def run():
         await asyncio.get_running_loop().create_future()
 
-    with pytest.raises(virtual_time.StuckError):
+    with pytest.raises(virtual_time.DeadlockError):
         virtual_time.run(run())
