--- a/src/jujubewharf/experiments/bench.py
+++ b/src/jujubewharf/experiments/bench.py
@@ -204,7 +204,7 @@
 
     async def kill_engine(self, name: str) -> None:
         """Crashes an engine."""
-        await processes.outside(self.engine(name).die())
+        await processes.create_unowned_task(self.engine(name).die())
 
     def restart_engine(self, name: str) -> None:
         """Restarts a dead engine without its state."""
--- a/src/jujubewharf/experiments/processes.py
+++ b/src/jujubewharf/experiments/processes.py
@@ -18,7 +18,9 @@
     """The instance died during a call."""
 
 
-def outside(coroutine: Coroutine[Any, Any, _Result]) -> asyncio.Task[_Result]:
+def create_unowned_task(
+    coroutine: Coroutine[Any, Any, _Result],
+) -> asyncio.Task[_Result]:
     """Starts a task that belongs to no instance, such as engine work.
 
     Tasks inherit the context of their creator and with it the owner. Without
@@ -80,7 +82,7 @@
         if self.is_dead:
             coroutine.close()
             raise asyncio.CancelledError
-        return await asyncio.shield(outside(coroutine))
+        return await asyncio.shield(create_unowned_task(coroutine))
 
     def on_death(self, key: object, call: Callable[[], None]) -> None:
         """Registers a callback for ``kill``; ``forget`` unregisters it."""
--- a/src/jujubewharf/experiments/remote_engine.py
+++ b/src/jujubewharf/experiments/remote_engine.py
@@ -85,7 +85,9 @@
         if self._process.is_dead:
             raise asyncio.CancelledError
         arrived: asyncio.Queue[_Arrival] = asyncio.Queue()
-        pump = processes.outside(self._receive_chunks(attempt, job, arrived))
+        pump = processes.create_unowned_task(
+            self._receive_chunks(attempt, job, arrived)
+        )
         try:
             while True:
                 arrival = await self._next(arrived)
