--- a/src/jujubewharf/experiments/instances.py
+++ b/src/jujubewharf/experiments/instances.py
@@ -83,7 +83,9 @@
             raise processes.InstanceLostError(self.name)
         arrived: asyncio.Queue[model_request.Event | None] = asyncio.Queue()
         task = self.process.create_task(self._forward_events(request, arrived))
-        self.process.on_death(arrived, lambda: arrived.put_nowait(None))
+        self.process.add_death_callback(
+            arrived, lambda: arrived.put_nowait(None)
+        )
         try:
             while True:
                 event = await arrived.get()
@@ -91,7 +93,7 @@
                     break
                 yield event
         finally:
-            self.process.forget(arrived)
+            self.process.remove_death_callback(arrived)
             if not self.process.is_dead:
                 task.cancel()
         if self.process.is_dead:
@@ -109,13 +111,13 @@
             raise processes.InstanceLostError(self.name)
         call = self.process.create_task(_call_plain(self.core, request))
         lost = asyncio.get_running_loop().create_future()
-        self.process.on_death(call, lambda: lost.set_result(None))
+        self.process.add_death_callback(call, lambda: lost.set_result(None))
         try:
             await asyncio.wait(
                 (call, lost), return_when=asyncio.FIRST_COMPLETED
             )
         finally:
-            self.process.forget(call)
+            self.process.remove_death_callback(call)
             if not call.done() and not self.process.is_dead:
                 call.cancel()
         if lost.done():
--- a/src/jujubewharf/experiments/processes.py
+++ b/src/jujubewharf/experiments/processes.py
@@ -84,12 +84,12 @@
             raise asyncio.CancelledError
         return await asyncio.shield(create_unowned_task(coroutine))
 
-    def on_death(self, key: object, call: Callable[[], None]) -> None:
-        """Registers a callback for ``kill``; ``forget`` unregisters it."""
+    def add_death_callback(self, key: object, call: Callable[[], None]) -> None:
+        """Registers a callback for ``kill``; see ``remove_death_callback``."""
         self._on_death[key] = call
 
-    def forget(self, key: object) -> None:
-        """Unregisters an ``on_death`` callback."""
+    def remove_death_callback(self, key: object) -> None:
+        """Unregisters a death callback."""
         self._on_death.pop(key, None)
 
     def pause(self) -> None:
