--- a/src/jujubewharf/standins/log.py
+++ b/src/jujubewharf/standins/log.py
@@ -43,7 +43,7 @@
             answers are lost.
         append_ms: Duration of an append.
         retention_ms: Age at which records are dropped; ``None`` keeps all.
-        falls_after_append: Whether the log goes down right after the next
+        fails_after_next_append: Whether the log goes down right after the next
             append, before anyone can read it; its answer is lost.
         appends: Number of appends that took effect, by stream.
     """
@@ -60,7 +60,7 @@
         self.appends: collections.Counter[str] = collections.Counter()
         self._clock = clock
         self.retention_ms = retention_ms
-        self.falls_after_append = False
+        self.fails_after_next_append = False
         self.append_ms = append_ms
         self._streams: dict[str, _Stream] = collections.defaultdict(_Stream)
         self._appended = asyncio.Event()
@@ -74,8 +74,8 @@
             raise log.LogUnavailableError("down")
         offsets = self._store(self._streams[stream], payloads)
         self.appends[stream] += 1
-        if self.falls_after_append:
-            self.falls_after_append = False
+        if self.fails_after_next_append:
+            self.fails_after_next_append = False
             self.is_down = True
             raise log.AppendUnknownError("answer lost")
         self._appended.set()
--- a/tests/configuration/test_changes.py
+++ b/tests/configuration/test_changes.py
@@ -92,7 +92,7 @@
 
     async def scenario(log, here, there):
         del there
-        log.falls_after_append = True
+        log.fails_after_next_append = True
         change = builders.put(builders.SERVICE, operation_id="op-lost")
         with pytest.raises(errors.WharfError) as caught:
             await here.submit([change])
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -199,7 +199,7 @@
     )
 )
 def taken_and_lost(fleet, name):
-    fleet.bench.log.falls_after_append = True
+    fleet.bench.log.fails_after_next_append = True
     with pytest.raises(errors.WharfError) as caught:
         fleet.run(fleet.submit(name))
     assert caught.value.kind is errors.ErrorKind.OPERATION_UNKNOWN
