--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -251,7 +251,7 @@
 async def _wire(seconds: float) -> None:
     clock = clocks.Clock()
     log = standin_log.MemoryLog(clock)
-    runner = web.AppRunner(standin_log.LogFace(log).app())
+    runner = web.AppRunner(standin_log.LogServer(log).app())
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
     port = runner.addresses[0][1]
@@ -287,7 +287,7 @@
 async def _loopback(count: int) -> None:
     clock = clocks.Clock()
     log = standin_log.MemoryLog(clock)
-    runner = web.AppRunner(standin_log.LogFace(log).app())
+    runner = web.AppRunner(standin_log.LogServer(log).app())
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
     url = f"http://127.0.0.1:{runner.addresses[0][1]}"
--- a/src/jujubewharf/commands/standin.py
+++ b/src/jujubewharf/commands/standin.py
@@ -85,7 +85,7 @@
 def platform_log(port: int = 0, retention_ms: float | None = None) -> None:
     """Run the platform's log."""
     served = log.MemoryLog(clocks.Clock(), retention_ms=retention_ms)
-    asyncio.run(serve(log.LogFace(served).app(), port))
+    asyncio.run(serve(log.LogServer(served).app(), port))
 
 
 @app.command("live-list")
--- a/src/jujubewharf/standins/log.py
+++ b/src/jujubewharf/standins/log.py
@@ -147,7 +147,7 @@
             stored.first_offset += 1
 
 
-class LogFace:
+class LogServer:
     """HTTP server of a log, for ``platform.http_log``."""
 
     def __init__(self, memory_log: MemoryLog) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -101,7 +101,7 @@
             aiohttp.ClientSession()
         )
         platform = models.PlatformSettings(
-            log_url=await self._url(log.LogFace(self.log).app()),
+            log_url=await self._url(log.LogServer(self.log).app()),
             live_list_url=await self._url(
                 live_list.LiveListFace(
                     live_list.MemoryLiveList(self.clock)
