--- a/src/jujubewharf/commands/standin.py
+++ b/src/jujubewharf/commands/standin.py
@@ -71,7 +71,7 @@
     rng = np.random.default_rng(zlib.crc32(name.encode()))
     served = engines.Engine(name, spec, clocks.Clock(), rng)
     async with aiohttp.ClientSession() as session:
-        await serve(engine_http.EngineFace(served, session).app(), port)
+        await serve(engine_http.EngineServer(served, session).app(), port)
 
 
 @app.command("endpoint")
--- a/src/jujubewharf/standins/engine_http.py
+++ b/src/jujubewharf/standins/engine_http.py
@@ -42,7 +42,7 @@
         return _HttpKvSource(key, self._session)
 
 
-class EngineFace:
+class EngineServer:
     """HTTP server of one engine.
 
     Args:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -165,7 +165,7 @@
             name, spec, self.clock, np.random.default_rng(1)
         )
         self.engines[name] = engine
-        face = engine_http.EngineFace(engine, self.session)
+        face = engine_http.EngineServer(engine, self.session)
         address = await self.listen(face.app())
         await self.declare(
             resources.Endpoint(name, MODEL.name, address, "norte-a", role)
