--- a/src/jujubewharf/commands/standin.py
+++ b/src/jujubewharf/commands/standin.py
@@ -92,7 +92,7 @@
 def platform_live_list(port: int = 0, lag_ms: float = 0.0) -> None:
     """Run the platform's live list."""
     served = live_list.MemoryLiveList(clocks.Clock(), lag_ms=lag_ms)
-    asyncio.run(serve(live_list.LiveListFace(served).app(), port))
+    asyncio.run(serve(live_list.LiveListServer(served).app(), port))
 
 
 @app.command("weight-store")
--- a/src/jujubewharf/standins/live_list.py
+++ b/src/jujubewharf/standins/live_list.py
@@ -51,7 +51,7 @@
         return seen
 
 
-class LiveListFace:
+class LiveListServer:
     """HTTP server of a live list; ``POST /list`` publishes members."""
 
     def __init__(self, memory_list: MemoryLiveList) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -103,7 +103,7 @@
         platform = models.PlatformSettings(
             log_url=await self._url(log.LogServer(self.log).app()),
             live_list_url=await self._url(
-                live_list.LiveListFace(
+                live_list.LiveListServer(
                     live_list.MemoryLiveList(self.clock)
                 ).app()
             ),
