--- a/src/jujubewharf/commands/standin.py
+++ b/src/jujubewharf/commands/standin.py
@@ -99,4 +99,4 @@
 def platform_weights(port: int = 0) -> None:
     """Run the platform's weight store."""
     served = weights.MemoryWeightStore()
-    asyncio.run(serve(weights.WeightStoreFace(served).app(), port))
+    asyncio.run(serve(weights.WeightStoreServer(served).app(), port))
--- a/src/jujubewharf/standins/weights.py
+++ b/src/jujubewharf/standins/weights.py
@@ -22,7 +22,7 @@
         return weights.WeightStatus(self._rate_bytes_per_s, self.active_fetches)
 
 
-class WeightStoreFace:
+class WeightStoreServer:
     """HTTP server of a weight store."""
 
     def __init__(self, store: MemoryWeightStore) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -108,7 +108,7 @@
                 ).app()
             ),
             weight_store_url=await self._url(
-                weights.WeightStoreFace(weights.MemoryWeightStore()).app()
+                weights.WeightStoreServer(weights.MemoryWeightStore()).app()
             ),
         )
         await self.declare(MODEL, PLAIN, *declared)
