--- a/src/jujubewharf/standins/backend_state.py
+++ b/src/jujubewharf/standins/backend_state.py
@@ -80,7 +80,7 @@
             accept calls.
         asked: Requests and prefills that reached it, in order.
         asked_memory: Reservation calls that reached it, in order.
-        told_ms: Clock time of the first announcement to each instance.
+        announced_ms: Clock time of the first announcement to each instance.
         has_crashed: Set once its process has crashed.
         is_cut: Whether it is partitioned from all instances rather than
             crashed.
@@ -115,7 +115,7 @@
     backoff_ms: float = 0.0
     asked: list[Asked] = dataclasses.field(default_factory=list)
     asked_memory: list[Asked] = dataclasses.field(default_factory=list)
-    told_ms: dict[str, float] = dataclasses.field(default_factory=dict)
+    announced_ms: dict[str, float] = dataclasses.field(default_factory=dict)
     is_cut: bool = False
     has_crashed: asyncio.Event = dataclasses.field(
         default_factory=asyncio.Event
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -346,7 +346,7 @@
         )
         if limit is not None or backend.is_leaving or backoff_ms:
             now_ms = self._clock.now_ms()
-            backend.told_ms.setdefault(self.instance, now_ms)
+            backend.announced_ms.setdefault(self.instance, now_ms)
         self._listener(backend.endpoint, notice)
 
     def _new_id(self, kind: str) -> str:
--- a/tests/forwarding/deployments.py
+++ b/tests/forwarding/deployments.py
@@ -386,7 +386,7 @@
         await instance.stop()
         self.network.drop_instance(name)
         for backend in self.backends.by_name.values():
-            backend.told_ms.pop(name, None)
+            backend.announced_ms.pop(name, None)
         domain = instance.domain
         await self.start(name, domain=domain, declare=False, is_led=True)
 
--- a/tests/leadership/test_backoff.py
+++ b/tests/leadership/test_backoff.py
@@ -33,7 +33,7 @@
     """Requests within the backoff period of the instance that sent them."""
     found = []
     for asked in (*backend.asked, *backend.asked_memory):
-        told_ms = backend.told_ms.get(asked.instance)
+        told_ms = backend.announced_ms.get(asked.instance)
         if told_ms is None:
             continue
         if told_ms + IN_FLIGHT_MS <= asked.at_ms < told_ms + backoff_ms:
@@ -57,14 +57,14 @@
             await world.clock.sleep_ms(1_000.0)
             overloaded.backoff_ms = 0.0
             answers = await flood
-            assert overloaded.told_ms
+            assert overloaded.announced_ms
             assert _during_backoff(overloaded) == []
             # A sale has a single attempt, which the refusal uses up: at most
             # one caller of each instance fails, with an error that nothing ran.
             refused = [a.error for a in answers if a.error is not None]
             assert len(refused) <= (len(NAMES) if path == "/sale/1" else 0)
             assert all(error.ran is errors.Ran.NO for error in refused)
-            last_ms = max(overloaded.told_ms.values()) + BACKOFF_MS
+            last_ms = max(overloaded.announced_ms.values()) + BACKOFF_MS
             assert any(a.at_ms >= last_ms for a in overloaded.asked)
 
     deployments.run(main())
@@ -87,7 +87,7 @@
             await world.clock.sleep_ms(1_000.0)
             overloaded.backoff_ms = 0.0
             await flood
-            assert overloaded.told_ms
+            assert overloaded.announced_ms
             assert _during_backoff(overloaded) == []
 
     deployments.run(main())
@@ -193,7 +193,7 @@
             )
             for _ in range(5):
                 overloaded = rng.choice(backends)
-                overloaded.told_ms.clear()
+                overloaded.announced_ms.clear()
                 overloaded.asked.clear()
                 overloaded.asked_memory.clear()
                 backoff_ms = rng.choice([1_000.0, 2_000.0, 4_000.0])
--- a/tests/leadership/test_endpoint_limits.py
+++ b/tests/leadership/test_endpoint_limits.py
@@ -38,7 +38,7 @@
 
 def _from_all(backend) -> list[float]:
     """Requests of all instances since the first one must know the limit."""
-    since_ms = min(backend.told_ms.values()) + RESPECTED_AFTER_MS
+    since_ms = min(backend.announced_ms.values()) + RESPECTED_AFTER_MS
     return [a.at_ms for a in backend.asked if a.at_ms >= since_ms]
 
 
@@ -48,7 +48,7 @@
         asked.at_ms
         for asked in backend.asked
         if asked.at_ms
-        >= backend.told_ms.get(asked.instance, float("inf"))
+        >= backend.announced_ms.get(asked.instance, float("inf"))
         + RESPECTED_AFTER_MS
     ]
 
--- a/tests/leadership/test_leaving_endpoints.py
+++ b/tests/leadership/test_leaving_endpoints.py
@@ -47,7 +47,7 @@
             leaving_backend = world.backends.by_name[leaving]
             leaving_backend.is_leaving = True
             answers = await world.flood(path, for_ms=6_000.0)
-            heard_ms = min(leaving_backend.told_ms.values())
+            heard_ms = min(leaving_backend.announced_ms.values())
             assert (
                 _calls_after(leaving_backend, heard_ms + PROPAGATION_MS) == []
             )
@@ -66,7 +66,7 @@
             await world.flood("/sale/1", for_ms=4_000.0)
             assert (
                 _calls_after(
-                    leaving_backend, min(leaving_backend.told_ms.values())
+                    leaving_backend, min(leaving_backend.announced_ms.values())
                 )
                 == []
             )
@@ -87,7 +87,7 @@
             leaving_backend.is_leaving = True
             await world.ask("/verdicts/2", instance="e1")
             await asked
-            heard_ms = min(leaving_backend.told_ms.values())
+            heard_ms = min(leaving_backend.announced_ms.values())
             assert _calls_after(leaving_backend, heard_ms) == []
 
     deployments.run(main())
@@ -123,7 +123,7 @@
             world.register(leaving_backend, slots=7)
             await world.clock.sleep_ms(1_000.0)
             await world.flood("/sale/1", for_ms=3_000.0)
-            heard_ms = min(leaving_backend.told_ms.values())
+            heard_ms = min(leaving_backend.announced_ms.values())
             assert (
                 _calls_after(leaving_backend, heard_ms + PROPAGATION_MS) == []
             )
@@ -143,7 +143,7 @@
             await world.start("e5", declare=False, is_led=True)
             await world.clock.sleep_ms(2_000.0)
             await world.flood("/sale/1", for_ms=3_000.0)
-            heard_ms = min(leaving_backend.told_ms.values())
+            heard_ms = min(leaving_backend.announced_ms.values())
             assert (
                 _calls_after(leaving_backend, heard_ms + PROPAGATION_MS) == []
             )
@@ -174,7 +174,7 @@
         await flood
         for backend in backends[:4]:
             for asked in backend.asked:
-                told_ms = backend.told_ms.get(asked.instance, float("inf"))
+                told_ms = backend.announced_ms.get(asked.instance, float("inf"))
                 assert asked.at_ms <= told_ms + RESPECTED_MS
         await world.stop()
 
