--- a/src/jujubewharf/standins/backend_state.py
+++ b/src/jujubewharf/standins/backend_state.py
@@ -79,7 +79,7 @@
         backoff_ms: Backoff requested with a rejection of every call; 0 to
             accept calls.
         asked: Requests and prefills that reached it, in order.
-        asked_memory: Reservation calls that reached it, in order.
+        received_reservations: Reservation calls that reached it, in order.
         announced_ms: Clock time of the first announcement to each instance.
         has_crashed: Set once its process has crashed.
         is_cut: Whether it is partitioned from all instances rather than
@@ -114,7 +114,7 @@
     is_leaving: bool = False
     backoff_ms: float = 0.0
     asked: list[Asked] = dataclasses.field(default_factory=list)
-    asked_memory: list[Asked] = dataclasses.field(default_factory=list)
+    received_reservations: list[Asked] = dataclasses.field(default_factory=list)
     announced_ms: dict[str, float] = dataclasses.field(default_factory=dict)
     is_cut: bool = False
     has_crashed: asyncio.Event = dataclasses.field(
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -203,7 +203,9 @@
         """Reserves memory; see ``ports.Backends``."""
         backend = self._reachable_backend(endpoint)
         now_ms = self._clock.now_ms()
-        backend.asked_memory.append(backend_state.Asked(self.instance, now_ms))
+        backend.received_reservations.append(
+            backend_state.Asked(self.instance, now_ms)
+        )
         self._check_backoff(backend)
         self._notify(backend, now_ms)
         self.lapse()
--- a/tests/leadership/test_backoff.py
+++ b/tests/leadership/test_backoff.py
@@ -32,7 +32,7 @@
 def _during_backoff(backend, backoff_ms: float = BACKOFF_MS) -> list:
     """Requests within the backoff period of the instance that sent them."""
     found = []
-    for asked in (*backend.asked, *backend.asked_memory):
+    for asked in (*backend.asked, *backend.received_reservations):
         told_ms = backend.announced_ms.get(asked.instance)
         if told_ms is None:
             continue
@@ -195,7 +195,7 @@
                 overloaded = rng.choice(backends)
                 overloaded.announced_ms.clear()
                 overloaded.asked.clear()
-                overloaded.asked_memory.clear()
+                overloaded.received_reservations.clear()
                 backoff_ms = rng.choice([1_000.0, 2_000.0, 4_000.0])
                 overloaded.backoff_ms = backoff_ms
                 await world.clock.sleep_ms(rng.uniform(50.0, 400.0))
