--- a/src/jujubewharf/standins/backend_state.py
+++ b/src/jujubewharf/standins/backend_state.py
@@ -78,7 +78,7 @@
         is_leaving: Whether its answers announce that it is leaving.
         backoff_ms: Backoff requested with a rejection of every call; 0 to
             accept calls.
-        asked: Requests and prefills that reached it, in order.
+        received_requests: Requests and prefills that reached it, in order.
         received_reservations: Reservation calls that reached it, in order.
         announced_ms: Clock time of the first announcement to each instance.
         has_crashed: Set once its process has crashed.
@@ -113,7 +113,7 @@
     rate_limit_per_s: float | None = None
     is_leaving: bool = False
     backoff_ms: float = 0.0
-    asked: list[Asked] = dataclasses.field(default_factory=list)
+    received_requests: list[Asked] = dataclasses.field(default_factory=list)
     received_reservations: list[Asked] = dataclasses.field(default_factory=list)
     announced_ms: dict[str, float] = dataclasses.field(default_factory=dict)
     is_cut: bool = False
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -314,7 +314,7 @@
         """
         now_ms = self._clock.now_ms()
         call = sending.call
-        backend.asked.append(
+        backend.received_requests.append(
             backend_state.Asked(
                 self.instance, now_ms, call.body, call.request_id
             )
--- a/tests/leadership/test_backoff.py
+++ b/tests/leadership/test_backoff.py
@@ -32,7 +32,7 @@
 def _during_backoff(backend, backoff_ms: float = BACKOFF_MS) -> list:
     """Requests within the backoff period of the instance that sent them."""
     found = []
-    for asked in (*backend.asked, *backend.received_reservations):
+    for asked in (*backend.received_requests, *backend.received_reservations):
         told_ms = backend.announced_ms.get(asked.instance)
         if told_ms is None:
             continue
@@ -65,7 +65,7 @@
             assert len(refused) <= (len(NAMES) if path == "/sale/1" else 0)
             assert all(error.ran is errors.Ran.NO for error in refused)
             last_ms = max(overloaded.announced_ms.values()) + BACKOFF_MS
-            assert any(a.at_ms >= last_ms for a in overloaded.asked)
+            assert any(a.at_ms >= last_ms for a in overloaded.received_requests)
 
     deployments.run(main())
 
@@ -121,9 +121,9 @@
                 *["/verdicts/1"] * 8, instance=follower
             )
             assert {a.status for a in answers} == {200}
-            asked = [a.instance for a in backends[1].asked]
+            asked = [a.instance for a in backends[1].received_requests]
             assert follower not in asked
-            assert len(backends[2].asked) == 8
+            assert len(backends[2].received_requests) == 8
 
     deployments.run(main())
 
@@ -144,7 +144,7 @@
             assert answer.error.ran is errors.Ran.NO
             assert answer.took_ms < 50.0
             assert 1_400.0 <= answer.error.retry_after_ms <= 1_600.0
-            assert len(backends[0].asked) == 1
+            assert len(backends[0].received_requests) == 1
 
     deployments.run(main())
 
@@ -194,7 +194,7 @@
             for _ in range(5):
                 overloaded = rng.choice(backends)
                 overloaded.announced_ms.clear()
-                overloaded.asked.clear()
+                overloaded.received_requests.clear()
                 overloaded.received_reservations.clear()
                 backoff_ms = rng.choice([1_000.0, 2_000.0, 4_000.0])
                 overloaded.backoff_ms = backoff_ms
--- a/tests/leadership/test_crashing_requests.py
+++ b/tests/leadership/test_crashing_requests.py
@@ -82,7 +82,7 @@
     return [
         asked
         for backend in world.backends.by_name.values()
-        for asked in backend.asked
+        for asked in backend.received_requests
         if asked.body == body and asked.at_ms > after_ms
     ]
 
--- a/tests/leadership/test_endpoint_limits.py
+++ b/tests/leadership/test_endpoint_limits.py
@@ -39,14 +39,14 @@
 def _from_all(backend) -> list[float]:
     """Requests of all instances since the first one must know the limit."""
     since_ms = min(backend.announced_ms.values()) + RESPECTED_AFTER_MS
-    return [a.at_ms for a in backend.asked if a.at_ms >= since_ms]
+    return [a.at_ms for a in backend.received_requests if a.at_ms >= since_ms]
 
 
 def _from_informed(backend) -> list[float]:
     """Requests of instances that had received the limit in time."""
     return [
         asked.at_ms
-        for asked in backend.asked
+        for asked in backend.received_requests
         if asked.at_ms
         >= backend.announced_ms.get(asked.instance, float("inf"))
         + RESPECTED_AFTER_MS
@@ -223,11 +223,11 @@
             await world.clock.sleep_ms(2_000.0)
             for name in NAMES:
                 await world.ask("/sale/1", instance=name)
-            before = len(weak.asked)
+            before = len(weak.received_requests)
             for _ in range(5):
                 for name in NAMES:
                     await world.ask("/sale/1", instance=name)
-            assert len(weak.asked) == before
+            assert len(weak.received_requests) == before
 
     deployments.run(main())
 
--- a/tests/leadership/test_innocent_requests.py
+++ b/tests/leadership/test_innocent_requests.py
@@ -46,7 +46,11 @@
     return max(
         world.backends.by_name.values(),
         key=lambda b: max(
-            (a.at_ms for a in b.asked if a.body == INNOCENT and b.at_work),
+            (
+                a.at_ms
+                for a in b.received_requests
+                if a.body == INNOCENT and b.at_work
+            ),
             default=-1.0,
         ),
     )
--- a/tests/leadership/test_leaving_endpoints.py
+++ b/tests/leadership/test_leaving_endpoints.py
@@ -31,7 +31,7 @@
 
 
 def _calls_after(backend, at_ms: float) -> list:
-    return [asked for asked in backend.asked if asked.at_ms > at_ms]
+    return [asked for asked in backend.received_requests if asked.at_ms > at_ms]
 
 
 @pytest.mark.parametrize(
@@ -173,7 +173,7 @@
             await _disturb(world, rng, backends[:4])
         await flood
         for backend in backends[:4]:
-            for asked in backend.asked:
+            for asked in backend.received_requests:
                 told_ms = backend.announced_ms.get(asked.instance, float("inf"))
                 assert asked.at_ms <= told_ms + RESPECTED_MS
         await world.stop()
@@ -219,6 +219,6 @@
             world.endpoints.put("s1", next_start.endpoint)
             await world.clock.sleep_ms(1_500.0)
             await world.flood("/sale/1", for_ms=1_000.0)
-            assert next_start.asked
+            assert next_start.received_requests
 
     deployments.run(main())
