--- a/src/jujubewharf/standins/backend_state.py
+++ b/src/jujubewharf/standins/backend_state.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class ReceivedRequest:
     """A request or prefill that reached a backend, even if rejected."""
 
     instance: str
@@ -113,8 +113,12 @@
     rate_limit_per_s: float | None = None
     is_leaving: bool = False
     backoff_ms: float = 0.0
-    received_requests: list[Asked] = dataclasses.field(default_factory=list)
-    received_reservations: list[Asked] = dataclasses.field(default_factory=list)
+    received_requests: list[ReceivedRequest] = dataclasses.field(
+        default_factory=list
+    )
+    received_reservations: list[ReceivedRequest] = dataclasses.field(
+        default_factory=list
+    )
     announced_ms: dict[str, float] = dataclasses.field(default_factory=dict)
     is_cut: bool = False
     has_crashed: asyncio.Event = dataclasses.field(
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -204,7 +204,7 @@
         backend = self._reachable_backend(endpoint)
         now_ms = self._clock.now_ms()
         backend.received_reservations.append(
-            backend_state.Asked(self.instance, now_ms)
+            backend_state.ReceivedRequest(self.instance, now_ms)
         )
         self._check_backoff(backend)
         self._notify(backend, now_ms)
@@ -315,7 +315,7 @@
         now_ms = self._clock.now_ms()
         call = sending.call
         backend.received_requests.append(
-            backend_state.Asked(
+            backend_state.ReceivedRequest(
                 self.instance, now_ms, call.body, call.request_id
             )
         )
