--- a/src/jujubewharf/standins/backend_state.py
+++ b/src/jujubewharf/standins/backend_state.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ran:
+class StartedRun:
     """A run that an engine started, with the request data it received."""
 
     request_id: str
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -49,7 +49,7 @@
         backends: Iterable[backend_state.StandInBackend],
     ) -> None:
         self.by_name = {backend.name: backend for backend in backends}
-        self.runs: list[backend_state.Ran] = []
+        self.runs: list[backend_state.StartedRun] = []
         self.prefills: list[tuple[str, str]] = []
         self.dropped: list[str] = []
         self.instance = ""
@@ -92,7 +92,7 @@
         held = backend.held.pop(sending.hold or "", 0)
         request_id = sending.call.request_id
         self.runs.append(
-            backend_state.Ran(
+            backend_state.StartedRun(
                 request_id,
                 backend.name,
                 sending.after_event,
--- a/tests/forwarding/test_random_faults.py
+++ b/tests/forwarding/test_random_faults.py
@@ -181,7 +181,7 @@
         assert not backend.held, backend.name
 
 
-def _check_repeats(path: str, ran: list[backend_state.Ran]) -> None:
+def _check_repeats(path: str, ran: list[backend_state.StartedRun]) -> None:
     if path in ONCE:
         assert len(ran) <= 1
     assert len({r.engine for r in ran}) <= 2
