--- a/src/jujubewharf/standins/backend_state.py
+++ b/src/jujubewharf/standins/backend_state.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Crashed:
+class BackendCrash:
     """A crash of a backend caused by a request."""
 
     body: bytes
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -55,7 +55,7 @@
         self.instance = ""
         self.crashing: set[bytes] = set()
         self.crash_after_ms = 60.0
-        self.crashes: list[backend_state.Crashed] = []
+        self.crashes: list[backend_state.BackendCrash] = []
         self.on_crash: list[
             Callable[[backend_state.StandInBackend], object]
         ] = []
@@ -263,7 +263,7 @@
             if not backend.has_crashed.is_set():
                 now_ms = self._clock.now_ms()
                 self.crashes.append(
-                    backend_state.Crashed(body, backend.name, now_ms)
+                    backend_state.BackendCrash(body, backend.name, now_ms)
                 )
                 self.crash(backend)
 
