--- a/src/jujubewharf/standins/backend_state.py
+++ b/src/jujubewharf/standins/backend_state.py
@@ -10,7 +10,7 @@
 from jujubewharf.forwarding import calls
 from jujubewharf.forwarding import ports
 
-PROOF = ("Proof", "engine")
+PROOF_HEADER = ("Proof", "engine")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -119,13 +119,15 @@
                 self._notify(backend, received_ms, ends_limit=True)
                 yield calls.Reply(
                     backend.status,
-                    (backend_state.PROOF,),
+                    (backend_state.PROOF_HEADER,),
                     _single_chunk(request_id.encode()),
                 )
             else:
                 self._notify(backend, received_ms, ends_limit=True)
                 body = self._events(backend, sending)
-                yield calls.Reply(backend.status, (backend_state.PROOF,), body)
+                yield calls.Reply(
+                    backend.status, (backend_state.PROOF_HEADER,), body
+                )
         finally:
             backend.at_work.discard(request_id)
             backend.held.pop(slot, None)
