--- a/src/jujubewharf/standins/backend_state.py
+++ b/src/jujubewharf/standins/backend_state.py
@@ -70,7 +70,7 @@
         stalls_after: Number of the event after which its streams stall.
         held: Reserved memory in tokens, by reservation or run.
         lapses_ms: Expiry times of reservations, in clock milliseconds.
-        at_work: Ids of the running requests.
+        running_requests: Ids of the running requests.
         orders: Accepted orders.
         next_fault: Fault raised by the next order only.
         refused_readings: Number of prefills rejected as full.
@@ -106,7 +106,7 @@
     stalls_after: int | None = None
     held: dict[str, int] = dataclasses.field(default_factory=dict)
     lapses_ms: dict[str, float] = dataclasses.field(default_factory=dict)
-    at_work: set[str] = dataclasses.field(default_factory=set)
+    running_requests: set[str] = dataclasses.field(default_factory=set)
     orders: list[ports.RoleOrder] = dataclasses.field(default_factory=list)
     next_fault: client.EngineFault | None = None
     refused_readings: int = 0
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -104,7 +104,7 @@
         )
         slot = self._new_id("run")
         backend.held[slot] = held
-        backend.at_work.add(request_id)
+        backend.running_requests.add(request_id)
         if sending.call.body in self.crashing:
             self._schedule_crash(backend, sending.call.body)
         try:
@@ -129,7 +129,7 @@
                     backend.status, (backend_state.PROOF_HEADER,), body
                 )
         finally:
-            backend.at_work.discard(request_id)
+            backend.running_requests.discard(request_id)
             backend.held.pop(slot, None)
 
     def _check_takes_run(
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -118,7 +118,7 @@
             answer = await world.ask("/lookup/1")
             assert answer.status == 200
             assert answer.took_ms < deployments.LOOKUP.target_ms
-            assert not world.backends.by_name["s1"].at_work
+            assert not world.backends.by_name["s1"].running_requests
 
     deployments.run(main())
 
@@ -175,7 +175,7 @@
             plain_endpoint("s1", work_ms=1e3)
         ) as world:
             await world.ask("/sale/1", leave_after_ms=100.0)
-            assert not world.backends.by_name["s1"].at_work
+            assert not world.backends.by_name["s1"].running_requests
 
     deployments.run(main())
 
--- a/tests/forwarding/test_random_faults.py
+++ b/tests/forwarding/test_random_faults.py
@@ -177,7 +177,7 @@
     world.backends.lapse()
     for backend in world.backends.by_name.values():
         # No work or reservation remains for callers that are gone.
-        assert not backend.at_work, backend.name
+        assert not backend.running_requests, backend.name
         assert not backend.held, backend.name
 
 
--- a/tests/forwarding/test_stream.py
+++ b/tests/forwarding/test_stream.py
@@ -46,7 +46,7 @@
             answer = await world.ask("/verdicts/1")
             assert answer.numbers == [1, 2, 3, 4, 5]
             assert answer.took_ms < 2_500.0
-            assert not world.backends.by_name["d1"].at_work
+            assert not world.backends.by_name["d1"].running_requests
 
     deployments.run(main())
 
@@ -109,7 +109,7 @@
         slow = decode_engine("d1", events=100)
         async with deployments.deployed(prefill_engine("p1"), slow) as world:
             await world.ask("/verdicts/1", leave_after_ms=700.0)
-            assert not slow.at_work
+            assert not slow.running_requests
             assert not slow.held
 
     deployments.run(main())
@@ -137,7 +137,7 @@
             timeout_ms = deployments.STREAM.timeout_ms
             assert answer.took_ms == pytest.approx(timeout_ms, abs=20.0)
             assert answer.error is not None
-            assert not endless.at_work
+            assert not endless.running_requests
 
     deployments.run(main())
 
--- a/tests/leadership/test_innocent_requests.py
+++ b/tests/leadership/test_innocent_requests.py
@@ -49,7 +49,7 @@
             (
                 a.at_ms
                 for a in b.received_requests
-                if a.body == INNOCENT and b.at_work
+                if a.body == INNOCENT and b.running_requests
             ),
             default=-1.0,
         ),
