--- a/src/jujubewharf/standins/backend_state.py
+++ b/src/jujubewharf/standins/backend_state.py
@@ -69,7 +69,7 @@
         breaks_after: Number of the event after which its streams break.
         stalls_after: Number of the event after which its streams stall.
         held: Reserved memory in tokens, by reservation or run.
-        lapses_ms: Expiry times of reservations, in clock milliseconds.
+        expires_ms: Expiry times of reservations, in clock milliseconds.
         running_requests: Ids of the running requests.
         orders: Accepted orders.
         next_fault: Fault raised by the next order only.
@@ -105,7 +105,7 @@
     breaks_after: int | None = None
     stalls_after: int | None = None
     held: dict[str, int] = dataclasses.field(default_factory=dict)
-    lapses_ms: dict[str, float] = dataclasses.field(default_factory=dict)
+    expires_ms: dict[str, float] = dataclasses.field(default_factory=dict)
     running_requests: set[str] = dataclasses.field(default_factory=set)
     orders: list[ports.RoleOrder] = dataclasses.field(default_factory=list)
     next_fault: client.EngineFault | None = None
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -215,7 +215,7 @@
             raise backend.error(client.EngineFault.REFUSED_FULL)
         hold = self._new_id("hold")
         backend.held[hold] = tokens
-        backend.lapses_ms[hold] = self._clock.now_ms() + ttl_ms
+        backend.expires_ms[hold] = self._clock.now_ms() + ttl_ms
         return hold
 
     async def drop_reservation(
@@ -289,9 +289,9 @@
         """Removes expired reservations."""
         now_ms = self._clock.now_ms()
         for backend in self.by_name.values():
-            for hold, until_ms in list(backend.lapses_ms.items()):
+            for hold, until_ms in list(backend.expires_ms.items()):
                 if now_ms >= until_ms:
-                    del backend.lapses_ms[hold]
+                    del backend.expires_ms[hold]
                     backend.held.pop(hold, None)
 
     def _reachable_backend(
