--- a/src/jujubewharf/standins/backend_state.py
+++ b/src/jujubewharf/standins/backend_state.py
@@ -63,8 +63,8 @@
         is_silent: Whether it never answers a run that it started.
         loses_answers: Whether it runs requests but their answers are lost.
         refuses_sources: Whether it rejects fetching prefill results.
-        refuses_readings: Whether it rejects prefills as full.
-        loses_readings: Whether it prefills but the results are lost.
+        rejects_prefills: Whether it rejects prefills as full.
+        loses_prefills: Whether it prefills but the results are lost.
         skips: Number of the event that its streams leave out.
         breaks_after: Number of the event after which its streams break.
         stalls_after: Number of the event after which its streams stall.
@@ -73,7 +73,7 @@
         running_requests: Ids of the running requests.
         orders: Accepted orders.
         next_fault: Fault raised by the next order only.
-        refused_readings: Number of prefills rejected as full.
+        rejected_prefills: Number of prefills rejected as full.
         rate_limit_per_s: Rate limit announced in its answers.
         is_leaving: Whether its answers announce that it is leaving.
         backoff_ms: Backoff requested with a rejection of every call; 0 to
@@ -99,8 +99,8 @@
     is_silent: bool = False
     loses_answers: bool = False
     refuses_sources: bool = False
-    refuses_readings: bool = False
-    loses_readings: bool = False
+    rejects_prefills: bool = False
+    loses_prefills: bool = False
     skips: int | None = None
     breaks_after: int | None = None
     stalls_after: int | None = None
@@ -109,7 +109,7 @@
     running_requests: set[str] = dataclasses.field(default_factory=set)
     orders: list[ports.RoleOrder] = dataclasses.field(default_factory=list)
     next_fault: client.EngineFault | None = None
-    refused_readings: int = 0
+    rejected_prefills: int = 0
     rate_limit_per_s: float | None = None
     is_leaving: bool = False
     backoff_ms: float = 0.0
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -175,8 +175,8 @@
         if backend.endpoint.role is not resources.Role.PREFILL:
             raise backend.error(client.EngineFault.REFUSED_ROLE)
         received_ms = self._record_request(backend, sending)
-        if backend.refuses_readings or backend.is_changing:
-            backend.refused_readings += 1
+        if backend.rejects_prefills or backend.is_changing:
+            backend.rejected_prefills += 1
             raise backend.error(client.EngineFault.REFUSED_FULL)
         assert sending.call.work is not None
         tokens = sending.call.work.prompt_tokens
@@ -185,7 +185,7 @@
         )
         self._notify(backend, received_ms)
         self.prefills.append((sending.call.request_id, backend.name))
-        if backend.loses_readings:
+        if backend.loses_prefills:
             raise backend.error(client.EngineFault.LOST, "lost")
         handle = self._new_id("source")
         self._sources.add(handle)
--- a/tests/forwarding/test_attempts.py
+++ b/tests/forwarding/test_attempts.py
@@ -323,7 +323,7 @@
     """A run after a refused prefill counts against the retry budget."""
 
     async def main():
-        busy = prefill_engine("p1", refuses_readings=True)
+        busy = prefill_engine("p1", rejects_prefills=True)
         async with deployments.deployed(busy, decode_engine("d1")) as world:
             budget = world.instances["e1"].budget
             while budget.take(deployments.ENGINES):
@@ -344,7 +344,7 @@
     """
 
     async def main():
-        dark = prefill_engine("p1", loses_readings=True)
+        dark = prefill_engine("p1", loses_prefills=True)
         async with deployments.deployed(dark, decode_engine("d1")) as world:
             budget = world.instances["e1"].budget
             while budget.take(deployments.ENGINES):
@@ -362,7 +362,7 @@
     """A second prefill counts against the retry budget."""
 
     async def main():
-        lossy = prefill_engine("p1", loses_readings=True)
+        lossy = prefill_engine("p1", loses_prefills=True)
         changing = decode_engine("d1", is_changing=True)
         async with deployments.deployed(
             lossy, changing, decode_engine("d2", "b")
--- a/tests/forwarding/test_ordering.py
+++ b/tests/forwarding/test_ordering.py
@@ -79,7 +79,7 @@
                 backend.is_changing = True
             answers = await deployment.ask_all(*["/verdicts/1"] * 6)
             assert all(answer.status == 200 for answer in answers)
-            assert [backend.refused_readings for backend in changing] == [
+            assert [backend.rejected_prefills for backend in changing] == [
                 0 for _ in changing
             ]
 
