--- a/src/jujubewharf/standins/backend_state.py
+++ b/src/jujubewharf/standins/backend_state.py
@@ -65,7 +65,7 @@
         refuses_sources: Whether it rejects fetching prefill results.
         rejects_prefills: Whether it rejects prefills as full.
         loses_prefills: Whether it prefills but the results are lost.
-        skips: Number of the event that its streams leave out.
+        skipped_event: Number of the event that its streams leave out.
         breaks_after: Number of the event after which its streams break.
         stalls_after: Number of the event after which its streams stall.
         held: Reserved memory in tokens, by reservation or run.
@@ -101,7 +101,7 @@
     refuses_sources: bool = False
     rejects_prefills: bool = False
     loses_prefills: bool = False
-    skips: int | None = None
+    skipped_event: int | None = None
     breaks_after: int | None = None
     stalls_after: int | None = None
     held: dict[str, int] = dataclasses.field(default_factory=dict)
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -158,7 +158,7 @@
             await self._sleep_unless_crashed(backend, backend.event_ms)
             if number == backend.events and sending.call.body in self.crashing:
                 await self._sleep_unless_crashed(backend, _ENDLESS_MS)
-            if number == backend.skips:
+            if number == backend.skipped_event:
                 continue
             yield event(sending.call.request_id, number)
             if number == backend.breaks_after:
--- a/tests/forwarding/test_stream.py
+++ b/tests/forwarding/test_stream.py
@@ -180,7 +180,7 @@
     async def main():
         async with deployments.deployed(
             prefill_engine("p1"),
-            decode_engine("d1", skips=3),
+            decode_engine("d1", skipped_event=3),
             decode_engine("d2", "b"),
         ) as world:
             answer = await world.ask("/verdicts/1")
