--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -88,7 +88,7 @@
         backend = self._reachable_backend(endpoint)
         received_ms = self._record_request(backend, sending)
         self._check_takes_run(backend, sending)
-        self.lapse()
+        self.remove_expired_reservations()
         held = backend.held.pop(sending.hold or "", 0)
         request_id = sending.call.request_id
         self.runs.append(
@@ -210,7 +210,7 @@
         )
         self._check_backoff(backend)
         self._notify(backend, now_ms)
-        self.lapse()
+        self.remove_expired_reservations()
         if sum(backend.held.values()) + tokens > backend.memory_tokens:
             raise backend.error(client.EngineFault.REFUSED_FULL)
         hold = self._new_id("hold")
@@ -285,7 +285,7 @@
                 await backend.has_crashed.wait()
             raise backend.error(client.EngineFault.LOST, "crashed")
 
-    def lapse(self) -> None:
+    def remove_expired_reservations(self) -> None:
         """Removes expired reservations."""
         now_ms = self._clock.now_ms()
         for backend in self.by_name.values():
--- a/tests/forwarding/test_random_faults.py
+++ b/tests/forwarding/test_random_faults.py
@@ -174,7 +174,7 @@
         _check_answer(path, request_id, ran, answer)
         served += answer.status == 200 and answer.error is None
     assert served > len(asked) / 10
-    world.backends.lapse()
+    world.backends.remove_expired_reservations()
     for backend in world.backends.by_name.values():
         # No work or reservation remains for callers that are gone.
         assert not backend.running_requests, backend.name
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -328,7 +328,7 @@
             answer = await first
             assert answer.numbers == [1, 2, 3, 4, 5]
             await world.clock.sleep_ms(2_500.0)
-            world.backends.lapse()
+            world.backends.remove_expired_reservations()
             assert not small.held
 
     deployments.run(main())
--- a/tests/scenarios/test_forwarding.py
+++ b/tests/scenarios/test_forwarding.py
@@ -168,7 +168,7 @@
 def _(story):
     async def settle():
         await story.world.clock.sleep_ms(3_000.0)
-        story.world.backends.lapse()
+        story.world.backends.remove_expired_reservations()
 
     story.run(settle())
     for backend in story.world.backends.by_name.values():
