--- a/benchmarks/request_profile.py
+++ b/benchmarks/request_profile.py
@@ -141,7 +141,7 @@
             address,
         )
         adapters = entry.Adapters(
-            behind.called_by(name),
+            behind.for_instance(name),
             configurations,
             endpoints,
             tables.StandInGroups(clock).member(name),
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -70,7 +70,7 @@
         """Number of ``is_changing`` calls."""
         return len(self._change_checks)
 
-    def called_by(self, instance: str) -> StandInBackends:
+    def for_instance(self, instance: str) -> StandInBackends:
         """Returns a view of the same backends for a calling instance."""
         seen = copy.copy(self)
         seen.instance = instance
--- a/tests/forwarding/deployments.py
+++ b/tests/forwarding/deployments.py
@@ -210,7 +210,7 @@
                 processor={"share": self.cores.get(name, 0.5)},
             )
             adapters = entry.Adapters(
-                self.backends.called_by(name),
+                self.backends.for_instance(name),
                 self.configurations,
                 self.endpoints,
                 self.groups.member(name),
