--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -37,7 +37,7 @@
         prefills: Request id and engine name of each prefill, in order.
         dropped: Handles of prefill results that were dropped.
         instance: Name of the calling instance.
-        crashing: Request bodies that crash the backend that runs them.
+        crashing_bodies: Request bodies that crash the backend that runs them.
         crash_after_ms: Time from the start of such a run to the crash.
         crashes: Crashes caused by such bodies, in order.
         on_crash: Callbacks called with each crashed backend.
@@ -53,7 +53,7 @@
         self.prefills: list[tuple[str, str]] = []
         self.dropped: list[str] = []
         self.instance = ""
-        self.crashing: set[bytes] = set()
+        self.crashing_bodies: set[bytes] = set()
         self.crash_after_ms = 60.0
         self.crashes: list[backend_state.BackendCrash] = []
         self.on_crash: list[
@@ -105,7 +105,7 @@
         slot = self._new_id("run")
         backend.held[slot] = held
         backend.running_requests.add(request_id)
-        if sending.call.body in self.crashing:
+        if sending.call.body in self.crashing_bodies:
             self._schedule_crash(backend, sending.call.body)
         try:
             if backend.loses_answers:
@@ -156,7 +156,10 @@
         first = (sending.after_event or 0) + 1
         for number in range(first, backend.events + 1):
             await self._sleep_unless_crashed(backend, backend.event_ms)
-            if number == backend.events and sending.call.body in self.crashing:
+            if (
+                number == backend.events
+                and sending.call.body in self.crashing_bodies
+            ):
                 await self._sleep_unless_crashed(backend, _ENDLESS_MS)
             if number == backend.skipped_event:
                 continue
@@ -256,7 +259,11 @@
         self, backend: backend_state.StandInBackend, call: calls.Call
     ) -> float:
         """Returns the response time, or an endless one for crashing bodies."""
-        return _ENDLESS_MS if call.body in self.crashing else backend.work_ms
+        return (
+            _ENDLESS_MS
+            if call.body in self.crashing_bodies
+            else backend.work_ms
+        )
 
     def _schedule_crash(
         self, backend: backend_state.StandInBackend, body: bytes
--- a/tests/forwarding/test_crash_detection.py
+++ b/tests/forwarding/test_crash_detection.py
@@ -24,7 +24,7 @@
             deployments.decode_engine("d1"),
             deployments.decode_engine("d2"),
         ) as world:
-            world.backends.crashing.add(CRASHING)
+            world.backends.crashing_bodies.add(CRASHING)
             with structlog.testing.capture_logs() as lines:
                 await world.ask("/once/1", body=CRASHING, request_id="first")
                 await world.ask("/once/1", body=CRASHING, request_id="second")
@@ -48,7 +48,7 @@
             world.backends.by_name["s2"].is_leaving = True
             await world.ask("/sale/0")
             await world.ask("/sale/0")
-            world.backends.crashing.add(CRASHING)
+            world.backends.crashing_bodies.add(CRASHING)
             with structlog.testing.capture_logs() as lines:
                 await asyncio.gather(
                     world.ask("/sale/1", body=CRASHING),
@@ -80,7 +80,7 @@
         async with deployments.deployed(
             deployments.plain_endpoint("s1")
         ) as world:
-            world.backends.crashing.add(CRASHING)
+            world.backends.crashing_bodies.add(CRASHING)
             backends = world.instances["e1"]._forwarder._plain._backends
             look = backends.has_crashed
 
--- a/tests/leadership/test_crashing_requests.py
+++ b/tests/leadership/test_crashing_requests.py
@@ -49,7 +49,7 @@
 async def _deployed(names=NAMES):
     world = deployments.Deployment(*_backends())
     world.revive_crashed()
-    world.backends.crashing.add(CRASHING)
+    world.backends.crashing_bodies.add(CRASHING)
     await world.start_in("abcd", *names)
     await world.clock.sleep_ms(2_000.0)
     try:
@@ -139,7 +139,7 @@
 def test_single_instance_quarantines_by_itself():
     async def main():
         async with deployments.deployed(*_backends()) as world:
-            world.backends.crashing.add(CRASHING)
+            world.backends.crashing_bodies.add(CRASHING)
             world.revive_crashed()
             await _send_repeatedly(world, "/verdicts/1", for_ms=10_000.0)
             assert (
--- a/tests/leadership/test_innocent_requests.py
+++ b/tests/leadership/test_innocent_requests.py
@@ -32,7 +32,7 @@
         backend.event_ms = 60.0
     world = deployments.Deployment(*backends)
     world.revive_crashed()
-    world.backends.crashing.add(CRASHING)
+    world.backends.crashing_bodies.add(CRASHING)
     await world.start_in("abc", *NAMES)
     await world.clock.sleep_ms(2_000.0)
     try:
