--- a/src/jujubewharf/experiments/truth.py
+++ b/src/jujubewharf/experiments/truth.py
@@ -8,7 +8,7 @@
 
 from jujubewharf.experiments import bench as benches
 from jujubewharf.experiments import outcomes
-from jujubewharf.standins import readings
+from jujubewharf.standins import prefill_ledger
 
 CALLER_CANCELLED = "caller_cancelled"
 SENT_UNUSED = "sent_unused"
@@ -111,12 +111,12 @@
         attempts = set(self._generated_tokens)
         return len(attempts) - len({_request_id_of(name) for name in attempts})
 
-    def _cause(self, reading: readings.Reading) -> str | None:
+    def _cause(self, reading: prefill_ledger.Reading) -> str | None:
         is_used = self._generated_tokens[reading.attempt_id] > 0
         match reading.fate:
-            case readings.Fate.SENT:
+            case prefill_ledger.Fate.SENT:
                 cause = SENT_UNUSED
-            case readings.Fate.KEPT:
+            case prefill_ledger.Fate.KEPT:
                 cause = KEPT_UNUSED
             case fate:
                 cause = fate.value
--- a/src/jujubewharf/standins/engine.py
+++ b/src/jujubewharf/standins/engine.py
@@ -23,9 +23,9 @@
 from jujubewharf.standins import generation as generations
 from jujubewharf.standins import link as links
 from jujubewharf.standins import load_history
+from jujubewharf.standins import prefill_ledger
 from jujubewharf.standins import prefill_results
 from jujubewharf.standins import prefix_cache
-from jujubewharf.standins import readings
 from jujubewharf.standins import slots
 from jujubewharf.standins import turns
 
@@ -62,7 +62,7 @@
         self.name = name
         self.spec = spec
         self.counts = Counts()
-        self.ledger = readings.Ledger()
+        self.ledger = prefill_ledger.Ledger()
         self.link = links.Link(spec.link_bytes_per_s, clock)
         self.cache = prefix_cache.PrefixCache(clock, rng)
         self.sources: dict[str, KvSource] = {}
@@ -326,7 +326,7 @@
         return client.PrefillResult(tokens, cached, kv_bytes, survives_ms)
 
     async def _simulate_prefill(self, attempt_id: str, tokens: int) -> None:
-        await readings.read(
+        await prefill_ledger.read(
             self.ledger,
             self._clock,
             attempt_id,
@@ -345,7 +345,9 @@
                 await self._simulate_prefill(slot.attempt.attempt_id, tokens)
             self.counts.prefilled_tokens += tokens
             self.counts.used_prefill_tokens += tokens
-            self.ledger.settle(slot.attempt.attempt_id, readings.Fate.KEPT)
+            self.ledger.settle(
+                slot.attempt.attempt_id, prefill_ledger.Fate.KEPT
+            )
         index = job.first_index
         while index < length:
             size = min(self.spec.chunk_tokens, length - index)
--- a/src/jujubewharf/standins/prefill_results.py
+++ b/src/jujubewharf/standins/prefill_results.py
@@ -8,7 +8,7 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from jujubewharf.standins import readings
+from jujubewharf.standins import prefill_ledger
 
 if TYPE_CHECKING:
     from jujubewharf import clock as clocks
@@ -47,7 +47,7 @@
         self,
         clock: clocks.Clock,
         counts: engine_counts.Counts,
-        ledger: readings.Ledger,
+        ledger: prefill_ledger.Ledger,
     ) -> None:
         self._clock = clock
         self._counts = counts
@@ -77,21 +77,23 @@
         """Removes a result as used, if still held."""
         if self._results.pop(result.attempt_id, None) is not None:
             self._counts.used_prefill_tokens += result.prompt_tokens
-            self._ledger.settle(result.attempt_id, readings.Fate.SENT)
+            self._ledger.settle(result.attempt_id, prefill_ledger.Fate.SENT)
 
     def release(self, attempt_id: str) -> None:
         """Removes the result of a released attempt as wasted."""
         result = self._results.pop(attempt_id, None)
         if result is not None:
-            self._mark_wasted(result, readings.Fate.RELEASED)
+            self._mark_wasted(result, prefill_ledger.Fate.RELEASED)
 
     def lose_all(self) -> None:
         """Removes all results as wasted after a crash."""
         for result in self._results.values():
-            self._mark_wasted(result, readings.Fate.ENGINE_DIED)
+            self._mark_wasted(result, prefill_ledger.Fate.ENGINE_DIED)
         self._results.clear()
 
-    def _mark_wasted(self, result: PrefillResult, fate: readings.Fate) -> None:
+    def _mark_wasted(
+        self, result: PrefillResult, fate: prefill_ledger.Fate
+    ) -> None:
         self._counts.wasted_prefill_tokens += result.prompt_tokens
         self._ledger.settle(result.attempt_id, fate)
 
@@ -105,4 +107,4 @@
         is_held = self._results.get(result.attempt_id) is result
         if is_held and is_due and not result.transfers:
             del self._results[result.attempt_id]
-            self._mark_wasted(result, readings.Fate.EXPIRED)
+            self._mark_wasted(result, prefill_ledger.Fate.EXPIRED)
