--- a/src/jujubewharf/experiments/truth.py
+++ b/src/jujubewharf/experiments/truth.py
@@ -60,14 +60,14 @@
             self._generated_tokens.update(engine.ledger.written)
             for attempt_id, count in engine.counts.dispatches.items():
                 self._dispatches[_request_id_of(attempt_id)] += count
-            for reading in engine.ledger.readings:
+            for reading in engine.ledger.prefills:
                 self._prefilled_requests.add(_request_id_of(reading.attempt_id))
 
     def waste(self, *, since_ms: float) -> Waste:
         """Returns the waste of prefills started at ``since_ms`` or later."""
         waste = Waste()
         for engine in self._bench.engines.values():
-            for reading in engine.ledger.readings:
+            for reading in engine.ledger.prefills:
                 if reading.started_ms < since_ms:
                     continue
                 waste.prefilled_tokens += reading.tokens
--- a/src/jujubewharf/standins/prefill_ledger.py
+++ b/src/jujubewharf/standins/prefill_ledger.py
@@ -48,19 +48,19 @@
     has tokens of the attempt.
 
     Attributes:
-        readings: All prefills, in order of their start.
+        prefills: All prefills, in order of their start.
         written: Number of generated tokens, by attempt id.
     """
 
     def __init__(self) -> None:
-        self.readings: list[Reading] = []
+        self.prefills: list[Reading] = []
         self.written: dict[str, int] = {}
         self._latest: dict[str, Reading] = {}
 
     def begin(self, attempt_id: str, now_ms: float) -> Reading:
         """Records the start of a prefill."""
         reading = Reading(attempt_id, now_ms)
-        self.readings.append(reading)
+        self.prefills.append(reading)
         self._latest[attempt_id] = reading
         return reading
 
