--- a/src/jujubewharf/experiments/truth.py
+++ b/src/jujubewharf/experiments/truth.py
@@ -111,7 +111,7 @@
         attempts = set(self._generated_tokens)
         return len(attempts) - len({_request_id_of(name) for name in attempts})
 
-    def _cause(self, reading: prefill_ledger.Reading) -> str | None:
+    def _cause(self, reading: prefill_ledger.PrefillRecord) -> str | None:
         is_used = self._generated_tokens[reading.attempt_id] > 0
         match reading.fate:
             case prefill_ledger.Fate.SENT:
--- a/src/jujubewharf/standins/prefill_ledger.py
+++ b/src/jujubewharf/standins/prefill_ledger.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Reading:
+class PrefillRecord:
     """One prefill of an attempt.
 
     Attributes:
@@ -53,13 +53,13 @@
     """
 
     def __init__(self) -> None:
-        self.prefills: list[Reading] = []
+        self.prefills: list[PrefillRecord] = []
         self.written: dict[str, int] = {}
-        self._latest: dict[str, Reading] = {}
+        self._latest: dict[str, PrefillRecord] = {}
 
-    def begin(self, attempt_id: str, now_ms: float) -> Reading:
+    def begin(self, attempt_id: str, now_ms: float) -> PrefillRecord:
         """Records the start of a prefill."""
-        reading = Reading(attempt_id, now_ms)
+        reading = PrefillRecord(attempt_id, now_ms)
         self.prefills.append(reading)
         self._latest[attempt_id] = reading
         return reading
