--- a/src/jujubewharf/standins/engine.py
+++ b/src/jujubewharf/standins/engine.py
@@ -326,7 +326,7 @@
         return client.PrefillResult(tokens, cached, kv_bytes, survives_ms)
 
     async def _simulate_prefill(self, attempt_id: str, tokens: int) -> None:
-        await prefill_ledger.read(
+        await prefill_ledger.simulate_prefill(
             self.ledger,
             self._clock,
             attempt_id,
--- a/src/jujubewharf/standins/prefill_ledger.py
+++ b/src/jujubewharf/standins/prefill_ledger.py
@@ -75,7 +75,7 @@
         self.written[attempt_id] = self.written.get(attempt_id, 0) + tokens
 
 
-async def read(
+async def simulate_prefill(
     ledger: Ledger,
     clock: clocks.Clock,
     attempt_id: str,
