--- a/src/jujubewharf/standins/engine.py
+++ b/src/jujubewharf/standins/engine.py
@@ -62,7 +62,7 @@
         self.name = name
         self.spec = spec
         self.counts = Counts()
-        self.ledger = prefill_ledger.Ledger()
+        self.ledger = prefill_ledger.PrefillLedger()
         self.link = links.Link(spec.link_bytes_per_s, clock)
         self.cache = prefix_cache.PrefixCache(clock, rng)
         self.sources: dict[str, KvSource] = {}
--- a/src/jujubewharf/standins/prefill_ledger.py
+++ b/src/jujubewharf/standins/prefill_ledger.py
@@ -1,4 +1,4 @@
-"""Ledger of prefills and the fate of their results."""
+"""PrefillLedger of prefills and the fate of their results."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     fate: Fate = Fate.READING
 
 
-class Ledger:
+class PrefillLedger:
     """Prefills and generated tokens of one engine.
 
     A sent result counts as used only if ``written`` of the receiving engine
@@ -76,7 +76,7 @@
 
 
 async def simulate_prefill(
-    ledger: Ledger,
+    ledger: PrefillLedger,
     clock: clocks.Clock,
     attempt_id: str,
     tokens: int,
@@ -87,7 +87,7 @@
     """Simulates a prefill and records it, even if it is cancelled.
 
     Args:
-        ledger: Ledger that records the prefill.
+        ledger: PrefillLedger that records the prefill.
         clock: Clock of the simulation.
         attempt_id: Id of the attempt.
         tokens: Number of tokens to prefill.
--- a/src/jujubewharf/standins/prefill_results.py
+++ b/src/jujubewharf/standins/prefill_results.py
@@ -40,14 +40,14 @@
     Args:
         clock: Clock of the simulation.
         counts: Counters of used and wasted tokens.
-        ledger: Ledger that records the fate of each result.
+        ledger: PrefillLedger that records the fate of each result.
     """
 
     def __init__(
         self,
         clock: clocks.Clock,
         counts: engine_counts.Counts,
-        ledger: prefill_ledger.Ledger,
+        ledger: prefill_ledger.PrefillLedger,
     ) -> None:
         self._clock = clock
         self._counts = counts
