--- a/src/jujubewharf/standins/engine.py
+++ b/src/jujubewharf/standins/engine.py
@@ -26,8 +26,8 @@
 from jujubewharf.standins import prefill_ledger
 from jujubewharf.standins import prefill_results
 from jujubewharf.standins import prefix_cache
+from jujubewharf.standins import priority_lock
 from jujubewharf.standins import slots
-from jujubewharf.standins import turns
 
 EngineSpec = engine_spec.EngineSpec
 answer_token = generations.answer_token
@@ -83,7 +83,7 @@
         self._prefills: dict[str, asyncio.Task[client.PrefillResult]] = {}
         self._running = 0
         self._queued_tokens = 0
-        self._prefill_lock = turns.Turns()
+        self._prefill_lock = priority_lock.Turns()
         self._fence = 0
         self._history = load_history.LoadHistory()
 
@@ -292,7 +292,7 @@
         """Restarts the engine after a crash, without its state."""
         self.is_dead = False
         self._queued_tokens = 0
-        self._prefill_lock = turns.Turns()
+        self._prefill_lock = priority_lock.Turns()
 
     async def _prefill_prompt(
         self, attempt: client.Attempt, job: client.PrefillJob
