--- a/src/jujubewharf/standins/engine.py
+++ b/src/jujubewharf/standins/engine.py
@@ -83,7 +83,7 @@
         self._prefills: dict[str, asyncio.Task[client.PrefillResult]] = {}
         self._running = 0
         self._queued_tokens = 0
-        self._prefill_lock = priority_lock.Turns()
+        self._prefill_lock = priority_lock.PriorityLock()
         self._fence = 0
         self._history = load_history.LoadHistory()
 
@@ -292,7 +292,7 @@
         """Restarts the engine after a crash, without its state."""
         self.is_dead = False
         self._queued_tokens = 0
-        self._prefill_lock = priority_lock.Turns()
+        self._prefill_lock = priority_lock.PriorityLock()
 
     async def _prefill_prompt(
         self, attempt: client.Attempt, job: client.PrefillJob
@@ -302,7 +302,7 @@
         self._queued_tokens += tokens
         self._record_load()
         try:
-            async with self._prefill_lock.turn(priority):
+            async with self._prefill_lock.hold(priority):
                 cached = self.cache.cached_tokens(job.prompt)
                 await self._simulate_prefill(
                     attempt.attempt_id, tokens - cached
@@ -341,7 +341,7 @@
         length = answer_length(job.prompt, job.max_tokens)
         if not slot.has_kv:
             tokens = len(prefixes.tokens_of(job.prompt)) + job.first_index
-            async with self._prefill_lock.turn(job.priority):
+            async with self._prefill_lock.hold(job.priority):
                 await self._simulate_prefill(slot.attempt.attempt_id, tokens)
             self.counts.prefilled_tokens += tokens
             self.counts.used_prefill_tokens += tokens
--- a/src/jujubewharf/standins/priority_lock.py
+++ b/src/jujubewharf/standins/priority_lock.py
@@ -8,7 +8,7 @@
 import itertools
 
 
-class Turns:
+class PriorityLock:
     """A lock that is granted by priority, then in order of arrival."""
 
     def __init__(self) -> None:
@@ -17,7 +17,7 @@
         self._is_taken = False
 
     @contextlib.asynccontextmanager
-    async def turn(self, priority: int):  # type: ignore[no-untyped-def]
+    async def hold(self, priority: int):  # type: ignore[no-untyped-def]
         """Acquires the lock for the block."""
         await self._acquire(priority)
         try:
