--- a/src/jujubewharf/standins/engine.py
+++ b/src/jujubewharf/standins/engine.py
@@ -158,7 +158,7 @@
         if prefilled is None:
             raise self._error(client.EngineFault.KV_GONE)
         with self._prefilled.transfer_of(prefilled):
-            await self.link.carry(prefilled.kv_bytes)
+            await self.link.transfer(prefilled.kv_bytes)
             self._check_alive()
         self._prefilled.note_sent(prefilled)
         return prefilled.kv_bytes
--- a/src/jujubewharf/standins/link.py
+++ b/src/jujubewharf/standins/link.py
@@ -31,16 +31,16 @@
         self._clock = clock
         self._free_at_ms = 0.0
 
-    def book(self, size_bytes: int) -> float:
+    def schedule(self, size_bytes: int) -> float:
         """Queues a transfer and returns its end in clock ms."""
         start_ms = max(self._clock.now_ms(), self._free_at_ms)
         duration_ms = size_bytes / self.rate_bytes_per_s * MS_PER_S
         self._free_at_ms = start_ms + duration_ms
         return self._free_at_ms
 
-    async def carry(self, size_bytes: int) -> None:
+    async def transfer(self, size_bytes: int) -> None:
         """Queues a transfer and waits for its end, also while stalled."""
-        end_ms = self.book(size_bytes)
+        end_ms = self.schedule(size_bytes)
         await self._clock.sleep_until_ms(end_ms)
         while self.is_stalled:
             await self._clock.sleep_ms(100.0)
--- a/tests/experiments/test_faults.py
+++ b/tests/experiments/test_faults.py
@@ -213,7 +213,7 @@
     async def run():
         bench = await _bench()
         bench.stall_link("d1")
-        carry = asyncio.create_task(bench.engine("d1").link.carry(1_000))
+        carry = asyncio.create_task(bench.engine("d1").link.transfer(1_000))
         await bench.clock.sleep_ms(5_000)
         assert not carry.done()
         bench.stall_link("d1", is_stalled=False)
