--- a/src/jujubewharf/standins/engine.py
+++ b/src/jujubewharf/standins/engine.py
@@ -202,7 +202,7 @@
         if is_running and not self.spec.capabilities.cancel:
             return
         self._free_slot(attempt_id)
-        await slot.break_off()
+        await slot.abort()
 
     async def load(self) -> client.LoadReport:
         """Returns the load of ``report_lag_ms`` ago; see ``EngineClient``."""
@@ -267,7 +267,7 @@
         """Drops all requests, as a change of weights or role does."""
         self.counts.cut_by_orders += len(self._slots)
         for slot in list(self._slots.values()):
-            await slot.break_off()
+            await slot.abort()
         self._slots.clear()
 
     async def fetch_weights(self) -> None:
@@ -280,7 +280,7 @@
         for prefill_task in self._prefills.values():
             prefill_task.cancel()
         for slot in list(self._slots.values()):
-            await slot.break_off()
+            await slot.abort()
         self._prefilled.lose_all()
         self._prefills.clear()
         self._slots.clear()
--- a/src/jujubewharf/standins/generation.py
+++ b/src/jujubewharf/standins/generation.py
@@ -61,7 +61,7 @@
             self.is_done = is_done
             self._changed.notify_all()
 
-    async def lose(self) -> None:
+    async def abort(self) -> None:
         """Aborts the answer for all readers."""
         async with self._changed:
             self._is_lost = True
--- a/src/jujubewharf/standins/slots.py
+++ b/src/jujubewharf/standins/slots.py
@@ -26,10 +26,10 @@
     has_kv: bool = False
     generation: generations.Generation | None = None
 
-    async def break_off(self) -> None:
+    async def abort(self) -> None:
         """Aborts a running answer for all its readers."""
         if self.generation is None:
             return
         if self.generation.task is not None:
             self.generation.task.cancel()
-        await self.generation.lose()
+        await self.generation.abort()
