--- a/src/jujubewharf/standins/engine.py
+++ b/src/jujubewharf/standins/engine.py
@@ -160,7 +160,7 @@
         with self._prefilled.transfer_of(prefilled):
             await self.link.transfer(prefilled.kv_bytes)
             self._check_alive()
-        self._prefilled.note_sent(prefilled)
+        self._prefilled.mark_sent(prefilled)
         return prefilled.kv_bytes
 
     async def decode(
@@ -281,7 +281,7 @@
             prefill_task.cancel()
         for slot in list(self._slots.values()):
             await slot.abort()
-        self._prefilled.lose_all()
+        self._prefilled.drop_all()
         self._prefills.clear()
         self._slots.clear()
         self._running = 0
--- a/src/jujubewharf/standins/prefill_results.py
+++ b/src/jujubewharf/standins/prefill_results.py
@@ -73,7 +73,7 @@
             result.transfers -= 1
             self._expire_if_due(result)
 
-    def note_sent(self, result: PrefillResult) -> None:
+    def mark_sent(self, result: PrefillResult) -> None:
         """Removes a result as used, if still held."""
         if self._results.pop(result.attempt_id, None) is not None:
             self._counts.used_prefill_tokens += result.prompt_tokens
@@ -85,7 +85,7 @@
         if result is not None:
             self._mark_wasted(result, prefill_ledger.Fate.RELEASED)
 
-    def lose_all(self) -> None:
+    def drop_all(self) -> None:
         """Removes all results as wasted after a crash."""
         for result in self._results.values():
             self._mark_wasted(result, prefill_ledger.Fate.ENGINE_DIED)
