--- a/src/jujubewharf/experiments/remote_engine.py
+++ b/src/jujubewharf/experiments/remote_engine.py
@@ -152,7 +152,9 @@
         await self._clock.sleep_ms(self._network.delay_ms(here, self._domain))
 
     async def _delay_response(self) -> None:
-        await self._network.passable(self._domain, self._process.domain)
+        await self._network.wait_until_passable(
+            self._domain, self._process.domain
+        )
         delay_ms = self._network.delay_ms(self._domain, self._process.domain)
         await self._clock.sleep_ms(delay_ms)
 
@@ -167,7 +169,9 @@
         in_flight: asyncio.Queue[_Arrival] = asyncio.Queue()
 
         async def send(arrival: _Arrival) -> None:
-            await self._network.passable(self._domain, self._process.domain)
+            await self._network.wait_until_passable(
+                self._domain, self._process.domain
+            )
             in_flight.put_nowait(arrival)
             # Timers with equal deadlines may fire in any order, so each takes
             # the oldest item to keep the stream in order.
--- a/src/jujubewharf/standins/network.py
+++ b/src/jujubewharf/standins/network.py
@@ -88,7 +88,7 @@
         """Whether traffic from one domain to another is held back."""
         return (domain, other) in self._cuts
 
-    async def passable(self, domain: str, other: str) -> None:
+    async def wait_until_passable(self, domain: str, other: str) -> None:
         """Waits until traffic from one domain to another can pass."""
         while self.is_cut(domain, other):
             await self._changed.wait()
