--- a/src/jujubewharf/standins/network.py
+++ b/src/jujubewharf/standins/network.py
@@ -118,7 +118,7 @@
             if writer.instance == instance:
                 writer.close()
 
-    def add_site(
+    def add_listener(
         self,
         instance: str,
         domain: str,
@@ -136,7 +136,7 @@
         )
         return address
 
-    def remove_site(self, address: str) -> None:
+    def remove_listener(self, address: str) -> None:
         """Removes a listener."""
         self._listeners.pop(address, None)
 
@@ -180,7 +180,7 @@
         )
         return here, outward
 
-    def forget(self, writer: _MemoryWriter) -> None:
+    def remove_writer(self, writer: _MemoryWriter) -> None:
         """Removes a writer after its end of stream has been delivered."""
         self._writers.pop(writer, None)
 
@@ -267,7 +267,7 @@
             self._reader.feed_data(data)
 
     def _deliver_eof(self) -> None:
-        self._network.forget(self)
+        self._network.remove_writer(self)
         self._reader.feed_eof()
         if self.reverse is not None:
             self.reverse.close()
@@ -279,7 +279,7 @@
         self._network = network
 
     async def close(self) -> None:
-        self._network.remove_site(self.address)
+        self._network.remove_listener(self.address)
 
 
 class MemoryTransport:
@@ -307,7 +307,7 @@
 
     async def listen(self, on_stream: streams.OnStream) -> streams.Listener:
         """Starts listening; see ``streams.Transport``."""
-        address = self._network.add_site(
+        address = self._network.add_listener(
             self._instance, self._domain, on_stream, self._address
         )
         return _MemoryListener(self._network, address)
