--- a/src/jujubewharf/standins/tables.py
+++ b/src/jujubewharf/standins/tables.py
@@ -51,7 +51,7 @@
         for key, value in values.items():
             self.put(key, value)
 
-    def forget(self) -> None:
+    def truncate(self) -> None:
         """Truncates the changes; the newest record of each key is kept."""
         self.first_offset = len(self._records)
 
--- a/tests/forwarding/test_follower.py
+++ b/tests/forwarding/test_follower.py
@@ -75,7 +75,7 @@
         await clock.sleep_ms(1_000.0)
         table.put("a", 2)
         table.put("b", 3)
-        table.forget()
+        table.truncate()
         table.is_down = False
         await clock.sleep_ms(1_000.0)
         assert known == {"a": 2, "b": 3}
