--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -273,7 +273,7 @@
     parser.add_argument("--churn-per-min", type=float, default=_CHURN_PER_MIN)
     options = parser.parse_args()
     counts = [int(count) for count in options.instances.split(",")]
-    runner.quiet_logs()
+    runner.suppress_logs()
     for name in options.states.split(","):
         plan = Plan(
             State(name),
--- a/src/jujubewharf/commands/experiment.py
+++ b/src/jujubewharf/commands/experiment.py
@@ -39,7 +39,7 @@
     """Run an experiment once; exit code 3 if a guarantee was violated."""
     experiment = _read_or_exit(file)
     _check_policies([policy])
-    runner.quiet_logs()
+    runner.suppress_logs()
     with _progress() as bar:
         task = bar.add_task(experiment.name, total=1.0)
         result = runner.run(
--- a/src/jujubewharf/experiments/comparison.py
+++ b/src/jujubewharf/experiments/comparison.py
@@ -109,5 +109,5 @@
 
 
 def _run(task: Task) -> report.Report:
-    runner.quiet_logs()
+    runner.suppress_logs()
     return runner.run(task.experiment, policy=task.policy, seed=task.seed)
--- a/src/jujubewharf/experiments/runner.py
+++ b/src/jujubewharf/experiments/runner.py
@@ -203,6 +203,6 @@
     return np.random.default_rng([seed, _LOAD_STREAM])
 
 
-def quiet_logs() -> None:
+def suppress_logs() -> None:
     """Suppresses log messages below error level."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(40))
