--- a/src/jujubewharf/experiments/runner.py
+++ b/src/jujubewharf/experiments/runner.py
@@ -122,7 +122,7 @@
         )
 
     async def _load(self) -> None:
-        calls = load.plan(self._experiment, rng_of_load(self._seed))
+        calls = load.plan(self._experiment, load_rng(self._seed))
         tasks = []
         for call in calls:
             await self._clock.sleep_until_ms(_START_MS + call.at_ms)
@@ -198,7 +198,7 @@
     return max(counts, default=0)
 
 
-def rng_of_load(seed: int) -> np.random.Generator:
+def load_rng(seed: int) -> np.random.Generator:
     """Returns the random number generator of a run's load."""
     return np.random.default_rng([seed, _LOAD_STREAM])
 
--- a/tests/experiments/test_runner.py
+++ b/tests/experiments/test_runner.py
@@ -64,9 +64,7 @@
 
 def test_another_seed_gives_another_load(tmp_path):
     experiment = _small(tmp_path)
-    plans = [
-        load.plan(experiment, runner.rng_of_load(seed)) for seed in (1, 1, 2)
-    ]
+    plans = [load.plan(experiment, runner.load_rng(seed)) for seed in (1, 1, 2)]
     assert plans[0] == plans[1]
     assert plans[0] != plans[2]
 
