--- a/src/jujubewharf/experiments/callers.py
+++ b/src/jujubewharf/experiments/callers.py
@@ -282,7 +282,7 @@
     yield body
 
 
-async def all_ended(tasks: list[asyncio.Task[None]]) -> None:
+async def wait_for_all(tasks: list[asyncio.Task[None]]) -> None:
     """Waits for all caller tasks and raises the first error."""
     for task in tasks:
         await task
--- a/src/jujubewharf/experiments/runner.py
+++ b/src/jujubewharf/experiments/runner.py
@@ -127,7 +127,7 @@
         for call in calls:
             await self._clock.sleep_until_ms(_START_MS + call.at_ms)
             tasks.append(asyncio.create_task(self._callers.make(call)))
-        await callers.all_ended(tasks)
+        await callers.wait_for_all(tasks)
 
     async def _report_progress(self) -> None:
         whole_ms = self._experiment.duration_s * MS_PER_S
