--- a/src/jujubewharf/experiments/callers.py
+++ b/src/jujubewharf/experiments/callers.py
@@ -164,7 +164,7 @@
         except errors.WharfError as error:
             return _Rejection(error.kind, error.ran, error.retry_after_ms)
         if body != call.key.encode():
-            outcome.broken += 1
+            outcome.incorrect_answers += 1
         outcome.first_ms = self._elapsed_ms(outcome)
         self._finish(outcome)
         return None
@@ -189,7 +189,7 @@
                     case model_request.Failed(kind, ran):
                         return _Rejection(kind, ran, event.retry_after_ms)
         # The stream ended without a final event.
-        outcome.broken += 1
+        outcome.incorrect_answers += 1
         outcome.end = outcomes.End.LOST
         return None
 
@@ -251,9 +251,9 @@
         expected = generation.answer_tokens(call.prompt, 0, call.answer_tokens)
         digest = hashing.digest("".join(expected).encode())
         if received != expected or event.digest != digest:
-            outcome.broken += 1
-        if event.attempt_id not in outcome.attempts_finished:
-            outcome.attempts_finished.append(event.attempt_id)
+            outcome.incorrect_answers += 1
+        if event.attempt_id not in outcome.finished_attempts:
+            outcome.finished_attempts.append(event.attempt_id)
 
     def _finish(self, outcome: outcomes.Outcome) -> None:
         outcome.completion_ms = self._elapsed_ms(outcome)
@@ -269,7 +269,7 @@
         outcome.end = outcomes.End.REFUSED
         outcome.reason = rejection.kind
         if rejection.ran is errors.Ran.NO:
-            outcome.said_not_run.append(request_id)
+            outcome.rejected_as_not_run.append(request_id)
 
 
 def _is_retryable(rejection: _Rejection) -> bool:
--- a/src/jujubewharf/experiments/outcomes.py
+++ b/src/jujubewharf/experiments/outcomes.py
@@ -32,10 +32,10 @@
         completion_ms: Time to the last token or byte.
         retries: Number of retries, by reason.
         request_ids: Ids of all requests sent for the call.
-        said_not_run: Ids of requests rejected as not run.
-        attempts_finished: Attempts whose final event the caller received.
+        rejected_as_not_run: Ids of requests rejected as not run.
+        finished_attempts: Attempts whose final event the caller received.
         repeated_tokens: Tokens received twice in one stream.
-        broken: Number of incomplete or incorrect answers.
+        incorrect_answers: Number of incomplete or incorrect answers.
     """
 
     call: load.PlannedCall
@@ -48,12 +48,12 @@
         default_factory=collections.Counter
     )
     request_ids: list[str] = dataclasses.field(default_factory=list)
-    said_not_run: list[str] = dataclasses.field(default_factory=list)
-    attempts_finished: list[str] = dataclasses.field(default_factory=list)
+    rejected_as_not_run: list[str] = dataclasses.field(default_factory=list)
+    finished_attempts: list[str] = dataclasses.field(default_factory=list)
     repeated_tokens: int = 0
-    broken: int = 0
+    incorrect_answers: int = 0
 
     @property
-    def is_doubled(self) -> bool:
+    def is_duplicated(self) -> bool:
         """Whether the caller received more than one answer."""
-        return self.repeated_tokens > 0 or len(self.attempts_finished) > 1
+        return self.repeated_tokens > 0 or len(self.finished_attempts) > 1
--- a/src/jujubewharf/experiments/report.py
+++ b/src/jujubewharf/experiments/report.py
@@ -131,8 +131,8 @@
         refused=dict(sorted(refused.items())),
         retries={k: n for k, n in sorted(retries.items()) if n},
         lost=ends[outcomes.End.LOST] + ends[None],
-        doubled=sum(outcome.is_doubled for outcome in seen),
-        partial=sum(outcome.broken > 0 for outcome in seen),
+        doubled=sum(outcome.is_duplicated for outcome in seen),
+        partial=sum(outcome.incorrect_answers > 0 for outcome in seen),
         refused_but_ran=sum(truth.ran_though_refused(o) for o in seen),
         ttft_ms=_percentiles([o.first_ms for o in finished]),
         completion_ms=_percentiles([o.completion_ms for o in finished]),
@@ -143,7 +143,7 @@
     """Whether a call was answered completely within both targets."""
     if outcome.first_ms is None or outcome.completion_ms is None:
         return False
-    if outcome.broken or outcome.is_doubled:
+    if outcome.incorrect_answers or outcome.is_duplicated:
         return False
     return (
         outcome.first_ms <= service.first_answer_target_ms
--- a/src/jujubewharf/experiments/truth.py
+++ b/src/jujubewharf/experiments/truth.py
@@ -89,13 +89,13 @@
         A prefill counts as a run.
         """
         if outcome.call.is_plain:
-            is_rejected_as_not_run = len(outcome.said_not_run) == len(
+            is_rejected_as_not_run = len(outcome.rejected_as_not_run) == len(
                 outcome.request_ids
             )
             return is_rejected_as_not_run and self.dispatches(outcome) > 0
         return any(
             self._dispatches[name] or name in self._prefilled_requests
-            for name in outcome.said_not_run
+            for name in outcome.rejected_as_not_run
         )
 
     def leaked_slots(self) -> int:
