--- a/src/jujubewharf/experiments/report.py
+++ b/src/jujubewharf/experiments/report.py
@@ -133,7 +133,7 @@
         lost=ends[outcomes.End.LOST] + ends[None],
         doubled=sum(outcome.is_duplicated for outcome in seen),
         partial=sum(outcome.incorrect_answers > 0 for outcome in seen),
-        refused_but_ran=sum(truth.ran_though_refused(o) for o in seen),
+        refused_but_ran=sum(truth.ran_despite_rejection(o) for o in seen),
         ttft_ms=_percentiles([o.first_ms for o in finished]),
         completion_ms=_percentiles([o.completion_ms for o in finished]),
     )
--- a/src/jujubewharf/experiments/truth.py
+++ b/src/jujubewharf/experiments/truth.py
@@ -83,7 +83,7 @@
             return self._bench.endpoints.runs_of_path[f"/{call.key}"]
         return sum(self._dispatches[name] for name in outcome.request_ids)
 
-    def ran_though_refused(self, outcome: outcomes.Outcome) -> bool:
+    def ran_despite_rejection(self, outcome: outcomes.Outcome) -> bool:
         """Whether a call that was rejected as not run was run.
 
         A prefill counts as a run.
