--- a/src/jujubewharf/commands/experiment.py
+++ b/src/jujubewharf/commands/experiment.py
@@ -52,7 +52,7 @@
         print(json.dumps(result.to_json(), indent=2))
     else:
         _print_report(result)
-    if result.broken_promises:
+    if result.violations:
         raise typer.Exit(_EXIT_GUARANTEE_VIOLATED)
 
 
@@ -168,7 +168,7 @@
     console.print(table)
     console.print(f"goodput {result.goodput_ratio:.4f}")
     console.print(f"wasted prefill {result.wasted_prefill_ratio:.4f}")
-    console.print(f"broken promises {result.broken_promises or 'none'}")
+    console.print(f"broken promises {result.violations or 'none'}")
 
 
 def _print_rows(title: str, rows: list[comparison.Row]) -> None:
--- a/src/jujubewharf/experiments/comparison.py
+++ b/src/jujubewharf/experiments/comparison.py
@@ -94,7 +94,7 @@
     for policy, runs in by_policy.items():
         broken: dict[str, int] = {}
         for one in runs:
-            for name, count in one.broken_promises.items():
+            for name, count in one.violations.items():
                 broken[name] = broken.get(name, 0) + count
         plain_ratios = [
             one.services[name].goodput_ratio for one in runs for name in plain
--- a/src/jujubewharf/experiments/report.py
+++ b/src/jujubewharf/experiments/report.py
@@ -87,7 +87,7 @@
     control_bytes_per_s: dict[str, float]
 
     @property
-    def broken_promises(self) -> dict[str, int]:
+    def violations(self) -> dict[str, int]:
         """Guarantee violations by name; empty if there are none."""
         found = collections.Counter(leaked_slots=self.leaked_slots)
         over = max(0, self.max_dispatches_not_repeatable - 1)
--- a/tests/experiments/test_runner.py
+++ b/tests/experiments/test_runner.py
@@ -71,7 +71,7 @@
 
 def test_a_quiet_run_is_answered_in_whole(tmp_path):
     result = runner.run(_small(tmp_path, load_factor=0.3), policy="least_load")
-    assert result.broken_promises == {}
+    assert result.violations == {}
     assert result.goodput_ratio > 0.95
     service = result.services["model-pool"]
     assert service.finished + service.cancelled == service.offered
@@ -100,7 +100,7 @@
     broken = report.Report(
         "e", "p", 1, 0.0, 0.0, {"s": service}, 0, {}, 2, 3, 0, {}
     )
-    assert broken.broken_promises == {
+    assert broken.violations == {
         "leaked_slots": 2,
         "lost": 1,
         "dispatched_twice": 2,
