--- a/src/jujubewharf/experiments/operator_rpc.py
+++ b/src/jujubewharf/experiments/operator_rpc.py
@@ -45,7 +45,7 @@
     """Results of one benchmark.
 
     Attributes:
-        matter: Name of the benchmark.
+        operation: Name of the benchmark.
         calls: Number of calls.
         in_flight: Number of concurrent calls.
         p50_ms: Median latency.
@@ -55,7 +55,7 @@
         there_ms: CPU time per call of the other instance.
     """
 
-    matter: str
+    operation: str
     calls: int
     in_flight: int
     p50_ms: float
@@ -79,7 +79,7 @@
     )
     for row in asyncio.run(_measure(calls, endpoints)):
         table.add_row(
-            row.matter,
+            row.operation,
             str(row.calls),
             str(row.in_flight),
             f"{row.p50_ms:.2f} ms",
@@ -150,7 +150,7 @@
 
 
 async def _row(
-    matter: str,
+    operation: str,
     call: Call,
     count: int,
     in_flight: int,
@@ -175,7 +175,7 @@
         for process, before in zip(entries, before_ms, strict=True)
     )
     return Row(
-        matter,
+        operation,
         count,
         in_flight,
         float(p50_ms),
