--- a/src/jujubewharf/experiments/adapters.py
+++ b/src/jujubewharf/experiments/adapters.py
@@ -38,11 +38,11 @@
     async def append(self, stream: str, payloads: Sequence[bytes]) -> list[int]:
         """Appends records; see ``platform.log.Log``."""
         if self.is_cut:
-            raise platform_log.LogUnavailableError("cut off")
+            raise platform_log.LogUnavailableError("disconnected")
         call = self._shared.append(stream, payloads)
         offsets = await self._process.call_out(call)
         if self.is_cut:
-            raise platform_log.AppendUnknownError("cut off")
+            raise platform_log.AppendUnknownError("disconnected")
         return offsets
 
     async def read(
@@ -55,13 +55,13 @@
     ) -> platform_log.LogPage:
         """Reads records; see ``platform.log.Log``."""
         if self.is_cut:
-            raise platform_log.LogUnavailableError("cut off")
+            raise platform_log.LogUnavailableError("disconnected")
         call = self._shared.read(
             stream, from_offset, limit=limit, wait_ms=wait_ms
         )
         page = await self._process.call_out(call)
         if self.is_cut:
-            raise platform_log.LogUnavailableError("cut off")
+            raise platform_log.LogUnavailableError("disconnected")
         return page
 
 
@@ -82,7 +82,7 @@
     async def fetch(self) -> tuple[platform_live_list.LiveMember, ...]:
         """Fetches the members; see ``platform.live_list.LiveList``."""
         if self.is_cut:
-            raise platform_live_list.LiveListUnavailableError("cut off")
+            raise platform_live_list.LiveListUnavailableError("disconnected")
         return await self._process.call_out(self._shared.fetch())
 
 
@@ -103,7 +103,7 @@
     async def status(self) -> platform_weights.WeightStatus:
         """Returns rate and load; see ``platform.weights.WeightStore``."""
         if self.is_cut:
-            raise platform_weights.WeightStoreUnavailableError("cut off")
+            raise platform_weights.WeightStoreUnavailableError("disconnected")
         return await self._process.call_out(self._shared.status())
 
 
--- a/src/jujubewharf/standins/live_list.py
+++ b/src/jujubewharf/standins/live_list.py
@@ -42,7 +42,7 @@
     async def fetch(self) -> tuple[live_list.LiveMember, ...]:
         """Fetches the members; see ``live_list.LiveList``."""
         if self.is_down:
-            raise live_list.LiveListUnavailableError("down")
+            raise live_list.LiveListUnavailableError("live list is down")
         until_ms = self._clock.now_ms() - self.lag_ms
         seen: tuple[live_list.LiveMember, ...] = ()
         for version in self._versions:
--- a/src/jujubewharf/standins/log.py
+++ b/src/jujubewharf/standins/log.py
@@ -68,10 +68,10 @@
     async def append(self, stream: str, payloads: Sequence[bytes]) -> list[int]:
         """Appends records; see ``log.Log``."""
         if self.is_down:
-            raise log.LogUnavailableError("down")
+            raise log.LogUnavailableError("log is down")
         await self._clock.sleep_ms(self.append_ms)
         if self.is_down:
-            raise log.LogUnavailableError("down")
+            raise log.LogUnavailableError("log is down")
         offsets = self._store(self._streams[stream], payloads)
         self.appends[stream] += 1
         if self.fails_after_next_append:
@@ -97,7 +97,7 @@
         until_ms = self._clock.now_ms() + wait_ms
         while True:
             if self.is_down:
-                raise log.LogUnavailableError("down")
+                raise log.LogUnavailableError("log is down")
             stored = self._streams[stream]
             self._apply_retention(stored)
             if from_offset < stored.first_offset:
--- a/src/jujubewharf/standins/weights.py
+++ b/src/jujubewharf/standins/weights.py
@@ -18,7 +18,7 @@
     async def status(self) -> weights.WeightStatus:
         """Returns rate and load; see ``weights.WeightStore``."""
         if self.is_down:
-            raise weights.WeightStoreUnavailableError("down")
+            raise weights.WeightStoreUnavailableError("weight store is down")
         return weights.WeightStatus(self._rate_bytes_per_s, self.active_fetches)
 
 
