--- a/src/jujubewharf/experiments/report.py
+++ b/src/jujubewharf/experiments/report.py
@@ -106,34 +106,36 @@
 
 def service_report(
     service: resources.Service,
-    seen: Sequence[outcomes.Outcome],
+    call_outcomes: Sequence[outcomes.Outcome],
     truth: truths.Truth,
 ) -> ServiceReport:
     """Aggregates the outcomes of one service."""
-    ends = collections.Counter(outcome.end for outcome in seen)
-    finished = [o for o in seen if o.end is outcomes.End.FINISHED]
+    ends = collections.Counter(outcome.end for outcome in call_outcomes)
+    finished = [o for o in call_outcomes if o.end is outcomes.End.FINISHED]
     good = sum(is_good(outcome, service) for outcome in finished)
     retries: collections.Counter[str] = collections.Counter()
-    for outcome in seen:
+    for outcome in call_outcomes:
         retries.update(outcome.retries)
     refused = collections.Counter(
         outcome.reason.value
-        for outcome in seen
+        for outcome in call_outcomes
         if outcome.end is outcomes.End.REFUSED and outcome.reason is not None
     )
-    stayed = len(seen) - ends[outcomes.End.CANCELLED]
+    not_cancelled = len(call_outcomes) - ends[outcomes.End.CANCELLED]
     return ServiceReport(
-        offered=len(seen),
+        offered=len(call_outcomes),
         finished=len(finished),
         goodput=good,
-        goodput_ratio=ratio(good, stayed),
+        goodput_ratio=ratio(good, not_cancelled),
         cancelled=ends[outcomes.End.CANCELLED],
         refused=dict(sorted(refused.items())),
         retries={k: n for k, n in sorted(retries.items()) if n},
         lost=ends[outcomes.End.LOST] + ends[None],
-        doubled=sum(outcome.is_duplicated for outcome in seen),
-        partial=sum(outcome.incorrect_answers > 0 for outcome in seen),
-        refused_but_ran=sum(truth.ran_despite_rejection(o) for o in seen),
+        doubled=sum(outcome.is_duplicated for outcome in call_outcomes),
+        partial=sum(outcome.incorrect_answers > 0 for outcome in call_outcomes),
+        refused_but_ran=sum(
+            truth.ran_despite_rejection(o) for o in call_outcomes
+        ),
         ttft_ms=_percentiles([o.first_ms for o in finished]),
         completion_ms=_percentiles([o.completion_ms for o in finished]),
     )
--- a/src/jujubewharf/experiments/runner.py
+++ b/src/jujubewharf/experiments/runner.py
@@ -189,10 +189,12 @@
         return report.ratio(good, stayed)
 
 
-def _max_dispatches(truth: truths.Truth, seen: list[outcomes.Outcome]) -> int:
+def _max_dispatches(
+    truth: truths.Truth, call_outcomes: list[outcomes.Outcome]
+) -> int:
     counts = [
         truth.dispatches(outcome)
-        for outcome in seen
+        for outcome in call_outcomes
         if not outcome.call.is_repeatable
     ]
     return max(counts, default=0)
--- a/src/jujubewharf/experiments/truth.py
+++ b/src/jujubewharf/experiments/truth.py
@@ -42,18 +42,18 @@
 
     Args:
         bench: The deployment after the run.
-        seen: Outcomes of all calls.
+        call_outcomes: Outcomes of all calls.
     """
 
     def __init__(
-        self, bench: benches.Bench, seen: Iterable[outcomes.Outcome]
+        self, bench: benches.Bench, call_outcomes: Iterable[outcomes.Outcome]
     ) -> None:
         self._bench = bench
         self._generated_tokens: collections.Counter[str] = collections.Counter()
         self._dispatches: collections.Counter[str] = collections.Counter()
         self._prefilled_requests: set[str] = set()
         self._outcomes_by_request: dict[str, outcomes.Outcome] = {}
-        for outcome in seen:
+        for outcome in call_outcomes:
             for request_id in outcome.request_ids:
                 self._outcomes_by_request[request_id] = outcome
         for engine in bench.engines.values():
--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -72,9 +72,9 @@
 
     def for_instance(self, instance: str) -> StandInBackends:
         """Returns a view of the same backends for a calling instance."""
-        seen = copy.copy(self)
-        seen.instance = instance
-        return seen
+        view = copy.copy(self)
+        view.instance = instance
+        return view
 
     def listen(self, listener: notices.Listener) -> None:
         """Sets the listener for notices; see ``ports.Backends``."""
--- a/src/jujubewharf/standins/live_list.py
+++ b/src/jujubewharf/standins/live_list.py
@@ -44,11 +44,11 @@
         if self.is_down:
             raise live_list.LiveListUnavailableError("live list is down")
         until_ms = self._clock.now_ms() - self.lag_ms
-        seen: tuple[live_list.LiveMember, ...] = ()
+        visible: tuple[live_list.LiveMember, ...] = ()
         for version in self._versions:
             if version.at_ms <= until_ms:
-                seen = version.members
-        return seen
+                visible = version.members
+        return visible
 
 
 class LiveListServer:
