--- a/tests/experiments/test_bench.py
+++ b/tests/experiments/test_bench.py
@@ -48,7 +48,7 @@
     return ended_ms, events
 
 
-def test_a_request_is_answered_the_same_way_twice():
+def test_request_is_answered_deterministically():
     first = virtual_time.run(_one_request())
     second = virtual_time.run(_one_request())
     assert first == second
--- a/tests/experiments/test_comparison.py
+++ b/tests/experiments/test_comparison.py
@@ -20,7 +20,7 @@
     )
 
 
-def test_rows_sum_up_each_policy_over_its_seeds():
+def test_rows_aggregate_each_policy_over_seeds():
     reports = [
         _report("a", 1, 0.8),
         _report("a", 2, 0.6, lost=2),
@@ -35,7 +35,7 @@
     assert second.broken == {}
 
 
-def test_the_plot_is_the_same_twice(tmp_path):
+def test_plot_is_deterministic(tmp_path):
     row = next(iter(comparison.rows([_report("a", 1, 0.8)], ["app"])))
     worse = dataclasses.replace(row, goodput=comparison.Spread(0.4, 0.1))
     paths = [tmp_path / "one.svg", tmp_path / "two.svg"]
--- a/tests/experiments/test_faults.py
+++ b/tests/experiments/test_faults.py
@@ -55,7 +55,7 @@
         seen.append(event)
 
 
-def test_a_killed_instance_says_no_goodbye():
+def test_killed_instance_runs_no_clean_up():
     """Guards against code of a dead process that runs or reaches the engine.
 
     The caller's stream breaks, while the engine keeps decoding.
@@ -95,7 +95,7 @@
     virtual_time.run(run())
 
 
-def test_a_restarted_instance_starts_from_nothing():
+def test_restarted_instance_has_no_state():
     async def run():
         bench = await _bench()
         first = bench.instances["e-a"]
@@ -111,7 +111,7 @@
     assert isinstance(virtual_time.run(run())[-1], model_request.Finished)
 
 
-def test_a_paused_instance_notices_no_time():
+def test_paused_instance_runs_no_timers():
     """Guards against timers and answers of a paused instance that proceed.
 
     The engine and the caller are not paused.
@@ -146,7 +146,7 @@
     assert virtual_time.run(run()) == [6_000.0 + 5.0 * 2]
 
 
-def test_a_cut_domain_reaches_no_engine_elsewhere_until_healed():
+def test_partitioned_domain_reaches_no_engine_elsewhere_until_healed():
     """Connecting across a partition fails; answers are held back."""
 
     async def run():
@@ -174,7 +174,7 @@
     virtual_time.run(run())
 
 
-def test_a_cut_from_the_log_loses_the_answer_of_an_append_under_way():
+def test_partition_from_log_loses_answer_of_append_in_flight():
     async def run():
         bench = await _bench()
         seen_log = bench.instances["e-a"].log
@@ -192,7 +192,7 @@
     assert virtual_time.run(run()) == [b"x"]
 
 
-def test_a_dead_engine_loses_the_answer_and_comes_back_empty():
+def test_crashed_engine_loses_answer_and_restarts_without_state():
     async def run():
         bench = await _bench()
         seen: list = []
@@ -209,7 +209,7 @@
     assert virtual_time.run(run()) > 0
 
 
-def test_a_stalled_link_moves_nothing():
+def test_stalled_link_completes_no_transfer():
     async def run():
         bench = await _bench()
         bench.stall_link("d1")
@@ -223,7 +223,7 @@
     virtual_time.run(run())
 
 
-def test_a_graceful_stop_cuts_no_answer_off():
+def test_drain_completes_running_answers():
     """Guards against a drain that interrupts a running answer."""
 
     async def run():
--- a/tests/experiments/test_runner.py
+++ b/tests/experiments/test_runner.py
@@ -37,7 +37,7 @@
     return path
 
 
-def test_the_same_seed_gives_the_same_bytes_in_any_process(tmp_path):
+def test_same_seed_gives_same_output_in_any_process(tmp_path):
     """Guards against results that depend on the string hash seed."""
     path = _small_file(
         tmp_path,
@@ -62,14 +62,14 @@
     assert outputs[0] == outputs[1]
 
 
-def test_another_seed_gives_another_load(tmp_path):
+def test_load_depends_on_seed(tmp_path):
     experiment = _small(tmp_path)
     plans = [load.plan(experiment, runner.load_rng(seed)) for seed in (1, 1, 2)]
     assert plans[0] == plans[1]
     assert plans[0] != plans[2]
 
 
-def test_a_quiet_run_is_answered_in_whole(tmp_path):
+def test_run_without_faults_answers_all_calls(tmp_path):
     result = runner.run(_small(tmp_path, load_factor=0.3), policy="least_load")
     assert result.violations == {}
     assert result.goodput_ratio > 0.95
@@ -95,7 +95,7 @@
     assert result.wasted_prefill_ratio > 0
 
 
-def test_broken_promises_are_named():
+def test_violations_are_reported_by_name():
     service = report.ServiceReport(1, 0, 0, 0.0, 0, {}, {}, 1, 0, 0, 0, {}, {})
     broken = report.Report(
         "e", "p", 1, 0.0, 0.0, {"s": service}, 0, {}, 2, 3, 0, {}
@@ -108,10 +108,10 @@
 
 
 @pytest.mark.parametrize("path", sorted(_EXAMPLES.glob("*.json")), ids=str)
-def test_every_example_is_valid(path):
+def test_all_examples_are_valid(path):
     assert reader.read(path).is_ok()
 
 
-def test_an_unknown_field_is_named_with_its_path(tmp_path):
+def test_unknown_field_is_reported_with_its_path(tmp_path):
     read = reader.read(_small_file(tmp_path, deployment={"near_sm": 1}))
     assert read.unwrap_err()[0].startswith("deployment.near_sm: ")
--- a/tests/experiments/test_virtual_time.py
+++ b/tests/experiments/test_virtual_time.py
@@ -17,7 +17,7 @@
     assert virtual_time.run(run()) == 3_600
 
 
-def test_waiting_for_what_rounding_left_ends():
+def test_wait_below_clock_resolution_ends():
     """Guards against an endless loop if a wait cannot advance the clock."""
 
     async def run():
@@ -33,7 +33,7 @@
     assert virtual_time.run(run()) < 100_000
 
 
-def test_tasks_that_wait_for_each_other_are_told():
+def test_deadlock_is_reported():
     async def run():
         await asyncio.get_running_loop().create_future()
 
--- a/tests/standins/test_network.py
+++ b/tests/standins/test_network.py
@@ -24,7 +24,7 @@
     return clock, net, listener, dialled, await accepted.get()
 
 
-def test_bytes_written_at_one_moment_arrive_in_order():
+def test_bytes_written_at_same_time_arrive_in_order():
     async def run():
         _, net, _, (_, writer), (reader, _) = await _pair()
         for index in range(50):
@@ -36,7 +36,7 @@
     assert virtual_time.run(run()) == bytes(range(50))
 
 
-def test_a_cut_holds_bytes_back_and_heal_lets_them_through():
+def test_partition_holds_bytes_back_until_healed():
     """Guards against bytes that are lost in a partition."""
 
     async def run():
@@ -55,7 +55,7 @@
     assert virtual_time.run(run()) == 2.0
 
 
-def test_a_dead_instance_ends_its_streams_and_listens_no_more():
+def test_dead_instance_closes_streams_and_listeners():
     async def run():
         _, net, listener, (here, writer), _ = await _pair()
         net.drop_instance("e2")
