--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -60,7 +60,7 @@
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
-        self._come_back = come_back.RetryScheduler(clock, rng)
+        self._retry_scheduler = come_back.RetryScheduler(clock, rng)
         self._backends = backends
         self._registry = registry
         self._chooser = chooser
@@ -130,7 +130,7 @@
         if wait_ms is None:
             return run.failure()
         patience_ms = run.call.patience_ms or run.left_ms(self._clock)
-        after_ms = self._come_back.next_retry_after_ms(
+        after_ms = self._retry_scheduler.next_retry_after_ms(
             run.service,
             free_in_ms=wait_ms,
             interval_ms=self._backpressure.request_interval_ms(names),
