--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -51,7 +51,7 @@
             the requester try other engines and detect a failed coordinator.
         hold_ms: Time for which the requester expects to hold the slot, in ms.
         priority: Priority of the request; higher ones are granted first.
-        caution: Weight that the service gives to wasted prefill, 0 to 1.
+        waste_weight: Weight that the service gives to wasted prefill, 0 to 1.
         is_ready: Whether the prefill is done and the slot needed at once.
     """
 
@@ -62,7 +62,7 @@
     answer_in_ms: int
     hold_ms: int
     priority: int = 0
-    caution: float = 0.5
+    waste_weight: float = 0.5
     is_ready: bool = False
 
 
--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -397,7 +397,7 @@
             answer_in_ms=round(min(latest_ms, _ANSWER_TIMEOUT_MS)),
             hold_ms=round(self._hold_times_of(job).mean_ms),
             priority=job.priority + urgency.value,
-            caution=job.service.waste_weight,
+            waste_weight=job.service.waste_weight,
             is_ready=is_ready,
         )
 
--- a/src/jujubewharf/routing/oracle.py
+++ b/src/jujubewharf/routing/oracle.py
@@ -166,7 +166,7 @@
             ready_in_ms=ready_in_ms,
             latest_at_ms=self._latest_at_ms(job, first_token_ms),
             priority=job.priority,
-            caution=0.0,
+            waste_weight=0.0,
             is_ready=is_ready,
         )
         return await pool.wait(request, self._clock)
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -390,6 +390,6 @@
         ready_in_ms=ask.ready_in_ms,
         latest_at_ms=now_ms + ask.latest_in_ms,
         priority=ask.priority,
-        caution=ask.caution,
+        waste_weight=ask.waste_weight,
         is_ready=ask.is_ready,
     )
--- a/src/jujubewharf/routing/slot_ledger.py
+++ b/src/jujubewharf/routing/slot_ledger.py
@@ -16,7 +16,7 @@
 
 PROMISE_LASTS_MS = 5_000
 _REPORT_WINDOW = 12
-_CAUTION_DEVIATIONS = 1.0
+_SAFETY_DEVIATIONS = 1.0
 
 
 class Holder(NamedTuple):
@@ -35,7 +35,8 @@
         ready_in_ms: Time from the grant until the slot is needed.
         latest_at_ms: Clock reading after which a grant is useless.
         priority: Higher values are served first.
-        caution: Weight of the risk that a promised slot is late, from 0 to 1.
+        waste_weight: Weight of wasted prefill, from 0 to 1; a higher weight
+            adds more margin for late slots.
         is_ready: Whether the slot is needed at the grant.
     """
 
@@ -43,7 +44,7 @@
     ready_in_ms: float
     latest_at_ms: float
     priority: int = 0
-    caution: float = 0.5
+    waste_weight: float = 0.5
     is_ready: bool = False
 
     @property
@@ -220,7 +221,7 @@
         expected_ends, variance = self._expected_ends(
             request.ready_in_ms, now_ms
         )
-        safety = _CAUTION_DEVIATIONS * request.caution * math.sqrt(variance)
+        safety = _SAFETY_DEVIATIONS * request.waste_weight * math.sqrt(variance)
         return self._available + expected_ends - safety >= 1.0
 
     def _expected_ends(
