--- a/src/jujubewharf/peers/slot_messages.py
+++ b/src/jujubewharf/peers/slot_messages.py
@@ -76,7 +76,7 @@
         free_in_ms: Time until the slot is expected to be free, in ms.
         expires_in_ms: Time until an unused grant expires, in ms.
         wait_ms: Without a grant, time after which to ask again, in ms.
-        is_hopeless: Whether the engine can't grant a slot in time.
+        is_infeasible: Whether the engine can't grant a slot in time.
         digest: Load of the engines that the sender coordinates.
     """
 
@@ -84,7 +84,7 @@
     free_in_ms: int = 0
     expires_in_ms: int = 0
     wait_ms: int = 0
-    is_hopeless: bool = False
+    is_infeasible: bool = False
     digest: tuple[EngineLoad, ...] = ()
 
 
--- a/src/jujubewharf/routing/counters.py
+++ b/src/jujubewharf/routing/counters.py
@@ -19,12 +19,12 @@
 )
 
 
-def count_slot_answer(*, is_granted: bool, is_hopeless: bool) -> None:
+def count_slot_answer(*, is_granted: bool, is_infeasible: bool) -> None:
     """Counts the response to a slot request."""
     outcome = "not_yet"
     if is_granted:
         outcome = "granted"
-    elif is_hopeless:
+    elif is_infeasible:
         outcome = "hopeless"
     _SLOT_REQUESTS.add(1, {"outcome": outcome})
 
--- a/src/jujubewharf/routing/default_policy.py
+++ b/src/jujubewharf/routing/default_policy.py
@@ -176,7 +176,7 @@
             answer = await self._request_promise(job, plan, urgency)
             if answer.is_granted:
                 return await self._start(job, plan, urgency)
-            if answer.is_hopeless:
+            if answer.is_infeasible:
                 rejected.add(plan.decode.endpoint.name)
             else:
                 await self._clock.sleep_ms(_RETRY_MS)
@@ -191,7 +191,7 @@
                 deadline_ms = job.deadline_at_ms
         latest_ms = deadline_ms - self._clock.now_ms() - plan.first_token_ms
         if latest_ms < 0:
-            return slot_messages.SlotReply(False, is_hopeless=True)
+            return slot_messages.SlotReply(False, is_infeasible=True)
         ask = self._slot_ask(
             job, plan.decode, plan.ready_ms, latest_ms, urgency=urgency
         )
--- a/src/jujubewharf/routing/slot_client.py
+++ b/src/jujubewharf/routing/slot_client.py
@@ -86,7 +86,7 @@
         if answer is None:
             answer = slot_messages.SlotReply(False)
         counters.count_slot_answer(
-            is_granted=answer.is_granted, is_hopeless=answer.is_hopeless
+            is_granted=answer.is_granted, is_infeasible=answer.is_infeasible
         )
         self._apply_digests(answer.digest)
         grant.since_ms = self._clock.now_ms()
--- a/src/jujubewharf/routing/slot_coordinator.py
+++ b/src/jujubewharf/routing/slot_coordinator.py
@@ -121,18 +121,20 @@
         """Answers once the slot is granted or cannot be granted in time."""
         view = self._fleet.view(ask.engine)
         if view is None or not view.takes_work:
-            return self._refusal(ask.engine, 0.0, is_hopeless=True)
+            return self._refusal(ask.engine, 0.0, is_infeasible=True)
         queue = self._queue_of(view, ask.hold_ms)
         if len(queue.answers) >= _MAX_QUEUE:
             return self._refusal(
-                ask.engine, queue.ledger.wait_ms(), is_hopeless=True
+                ask.engine, queue.ledger.wait_ms(), is_infeasible=True
             )
         request = _slot_request(peer, ask, self._clock.now_ms())
         outcome = await self._wait(queue, request, ask.answer_in_ms)
         if outcome is not _Outcome.GRANTED:
-            is_hopeless = outcome is _Outcome.REJECTED
+            is_infeasible = outcome is _Outcome.REJECTED
             wait_ms = queue.ledger.wait_ms()
-            return self._refusal(ask.engine, wait_ms, is_hopeless=is_hopeless)
+            return self._refusal(
+                ask.engine, wait_ms, is_infeasible=is_infeasible
+            )
         return slot_messages.SlotReply(
             True,
             free_in_ms=0 if ask.is_ready else ask.ready_in_ms,
@@ -244,12 +246,12 @@
             future.set_result(outcome)
 
     def _refusal(
-        self, engine: str, wait_ms: float, *, is_hopeless: bool = False
+        self, engine: str, wait_ms: float, *, is_infeasible: bool = False
     ) -> slot_messages.SlotReply:
         return slot_messages.SlotReply(
             False,
             wait_ms=round(wait_ms),
-            is_hopeless=is_hopeless,
+            is_infeasible=is_infeasible,
             digest=self._answer_digests(engine),
         )
 
