--- a/tests/forwarding/test_attempts.py
+++ b/tests/forwarding/test_attempts.py
@@ -172,7 +172,7 @@
     deployments.run(main())
 
 
-def test_a_chosen_engine_that_began_to_leave_is_not_sent_to():
+def test_chosen_engine_that_is_leaving_gets_no_request():
     """An engine that starts to drain during prefill gets no request."""
 
     async def main():
@@ -267,7 +267,7 @@
     deployments.run(main())
 
 
-def test_an_engine_that_changes_is_left_out_also_without_a_prefill_engine():
+def test_engine_changing_roles_is_excluded_without_a_prefill_engine():
     """A role change costs one refusal in total, not one per request.
 
     The refused request has no prefill result that could be the cause.
@@ -286,7 +286,7 @@
     deployments.run(main())
 
 
-def test_an_engine_that_changes_is_left_alone_until_it_has_its_new_role():
+def test_engine_changing_roles_is_unused_until_it_has_its_new_role():
     """An engine that changes roles is unused until it registers the new one."""
 
     async def main():
@@ -337,7 +337,7 @@
     deployments.run(main())
 
 
-def test_a_reading_without_answer_is_no_way_around_the_budget():
+def test_run_after_unanswered_prefill_needs_retry_budget():
     """A run after an unanswered prefill counts against the retry budget.
 
     The prefill engine may not have accepted the first call.
@@ -358,7 +358,7 @@
     deployments.run(main())
 
 
-def test_a_reading_without_answer_makes_the_next_one_a_retry():
+def test_prefill_after_unanswered_prefill_counts_as_retry():
     """A second prefill counts against the retry budget."""
 
     async def main():
--- a/tests/forwarding/test_crash_detection.py
+++ b/tests/forwarding/test_crash_detection.py
@@ -73,7 +73,7 @@
     deployments.run(main())
 
 
-def test_a_caller_that_leaves_at_once_hides_no_crash():
+def test_early_disconnect_of_caller_hides_no_crash():
     """A crash is recorded even if the caller disconnects."""
 
     async def main():
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -47,7 +47,7 @@
     deployments.run(main())
 
 
-def test_a_version_is_in_force_soon_and_never_left_for_an_older_one():
+def test_version_applies_soon_and_is_not_replaced_by_an_older_one():
     async def main():
         async with deployments.deployed(plain_endpoint("s1")) as world:
             moved = dataclasses.replace(deployments.SALE, path_prefix="/moved/")
@@ -66,7 +66,7 @@
     deployments.run(main())
 
 
-def test_the_same_version_changes_nothing():
+def test_same_version_changes_nothing():
     source = forwarder.ActiveConfiguration()
     assert source.apply(deployments.configuration(3))
     assert not source.apply(deployments.configuration(3))
@@ -105,7 +105,7 @@
     deployments.run(main())
 
 
-def test_a_change_that_a_waiting_read_misses_is_in_force_in_time():
+def test_change_missed_by_a_long_poll_applies_in_time():
     """A change is in force in time even if a long poll misses it.
 
     The store does not wake a read that arrives at the same time as the change.
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -169,7 +169,7 @@
     deployments.run(main())
 
 
-def test_a_caller_that_leaves_ends_the_work():
+def test_disconnect_of_caller_cancels_the_request():
     async def main():
         async with deployments.deployed(
             plain_endpoint("s1", work_ms=1e3)
--- a/tests/forwarding/test_stream.py
+++ b/tests/forwarding/test_stream.py
@@ -14,7 +14,7 @@
 decode_engine = deployments.decode_engine
 
 
-def test_a_broken_stream_goes_on_after_the_last_whole_event():
+def test_broken_stream_resumes_after_the_last_complete_event():
     """A stream that breaks inside an event resumes without gap or repeat."""
 
     async def main():
@@ -104,7 +104,7 @@
     deployments.run(main())
 
 
-def test_a_caller_that_leaves_ends_the_engines_work():
+def test_disconnect_of_caller_cancels_the_run():
     async def main():
         slow = decode_engine("d1", events=100)
         async with deployments.deployed(prefill_engine("p1"), slow) as world:
@@ -115,7 +115,7 @@
     deployments.run(main())
 
 
-def test_a_caller_that_leaves_while_its_prompt_is_read_leaves_nothing():
+def test_disconnect_during_prefill_releases_everything():
     async def main():
         long_reader = prefill_engine("p1", prefill_token_ms=0.2)
         async with deployments.deployed(
