--- a/src/jujubewharf/experiments/adapters.py
+++ b/src/jujubewharf/experiments/adapters.py
@@ -40,7 +40,7 @@
         if self.is_cut:
             raise platform_log.LogUnavailableError("disconnected")
         call = self._shared.append(stream, payloads)
-        offsets = await self._process.call_out(call)
+        offsets = await self._process.call_remote(call)
         if self.is_cut:
             raise platform_log.AppendUnknownError("disconnected")
         return offsets
@@ -59,7 +59,7 @@
         call = self._shared.read(
             stream, from_offset, limit=limit, wait_ms=wait_ms
         )
-        page = await self._process.call_out(call)
+        page = await self._process.call_remote(call)
         if self.is_cut:
             raise platform_log.LogUnavailableError("disconnected")
         return page
@@ -83,7 +83,7 @@
         """Fetches the members; see ``platform.live_list.LiveList``."""
         if self.is_cut:
             raise platform_live_list.LiveListUnavailableError("disconnected")
-        return await self._process.call_out(self._shared.fetch())
+        return await self._process.call_remote(self._shared.fetch())
 
 
 class InstanceWeightStore:
@@ -104,7 +104,7 @@
         """Returns rate and load; see ``platform.weights.WeightStore``."""
         if self.is_cut:
             raise platform_weights.WeightStoreUnavailableError("disconnected")
-        return await self._process.call_out(self._shared.status())
+        return await self._process.call_remote(self._shared.status())
 
 
 class MemoryEndpoints:
@@ -170,7 +170,7 @@
         """Echoes; see ``endpoint_client.EndpointClient``."""
         body = await _read_body(call)
         run = self._shared.run(endpoint.name, call)
-        await self._process.call_out(run)
+        await self._process.call_remote(run)
         yield endpoint_client.PlainReply(200, (), _single_chunk(body))
 
 
--- a/src/jujubewharf/experiments/processes.py
+++ b/src/jujubewharf/experiments/processes.py
@@ -70,7 +70,7 @@
         loop = asyncio.get_running_loop()
         return loop.create_task(coroutine, context=context)
 
-    async def call_out(
+    async def call_remote(
         self, coroutine: Coroutine[Any, Any, _Result]
     ) -> _Result:
         """Awaits a coroutine that runs outside the process.
--- a/src/jujubewharf/experiments/remote_engine.py
+++ b/src/jujubewharf/experiments/remote_engine.py
@@ -131,7 +131,7 @@
     ) -> _Result:
         try:
             async with self._clock.timeout_ms(timeout_ms):
-                return await self._process.call_out(self._round_trip(call))
+                return await self._process.call_remote(self._round_trip(call))
         except TimeoutError:
             raise self._error(client.EngineFault.LOST) from None
 
--- a/tests/experiments/test_faults.py
+++ b/tests/experiments/test_faults.py
@@ -87,7 +87,7 @@
         assert engine.counts.decoded_tokens > written
         assert heard == []
         with pytest.raises(asyncio.CancelledError):
-            await process.call_out(engine.release("r1.1"))
+            await process.call_remote(engine.release("r1.1"))
         assert len(await engine.held()) == 1
         with pytest.raises(processes.InstanceLostError):
             await _ask(bench, "e-a", [])
