--- a/src/jujubewharf/experiments/bench.py
+++ b/src/jujubewharf/experiments/bench.py
@@ -255,12 +255,12 @@
             instance.process.resume()
             await instance.stop()
 
-    def list_member(self, member: platform_live_list.LiveMember) -> None:
+    def add_live_member(self, member: platform_live_list.LiveMember) -> None:
         """Adds or replaces a member of the live list."""
         self._listed[member.name] = member
         self.live_list.publish(tuple(self._listed.values()))
 
-    def unlist_member(self, name: str) -> None:
+    def remove_live_member(self, name: str) -> None:
         """Removes a member from the live list."""
         self._listed.pop(name, None)
         self.live_list.publish(tuple(self._listed.values()))
@@ -300,7 +300,7 @@
         )
         self.instances[name] = instance
         await instance.start()
-        self.list_member(
+        self.add_live_member(
             platform_live_list.LiveMember(
                 name, core.peers.address, start.domain, is_entry=True
             )
--- a/src/jujubewharf/experiments/timeline.py
+++ b/src/jujubewharf/experiments/timeline.py
@@ -167,13 +167,13 @@
         await self._sleep_s(self._dead_listed_s)
         if self._bench.instances[name].process.is_dead:
             self._balancer.withdrawn.append(name)
-            self._bench.unlist_member(name)
+            self._bench.remove_live_member(name)
 
     async def _rolling_restart(self, fault: faults.RollingRestart) -> None:
         for name in list(self._bench.instances):
             self._balancer.withdrawn.append(name)
             await self._bench.stop_instance(name)
-            self._bench.unlist_member(name)
+            self._bench.remove_live_member(name)
             await self._bench.restart_instance(name)
             await self._sleep_s(fault.every_s)
             self._balancer.withdrawn.remove(name)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -21,7 +21,7 @@
             await bench.start_instance(name, "a")
             await bench.clock.sleep_ms(5_000)
             bench.kill_instance(name)
-            bench.unlist_member(name)
+            bench.remove_live_member(name)
         await bench.clock.sleep_ms(FORGOTTEN_AFTER_MS)
         core = bench.instances["e1"].core
         names = [member.instance for member in core.membership.members()]
--- a/tests/requests/test_plain.py
+++ b/tests/requests/test_plain.py
@@ -98,7 +98,7 @@
         leaving = live_list.LiveMember(
             "a1", "a1", "a", is_entry=False, state=live_list.LiveState.LEAVING
         )
-        bench.list_member(leaving)
+        bench.add_live_member(leaving)
         await bench.clock.sleep_ms(3_000)
         for number in range(4):
             assert await _call(bench, number=number) == b""
