--- a/src/jujubewharf/experiments/order_costs.py
+++ b/src/jujubewharf/experiments/order_costs.py
@@ -64,7 +64,7 @@
     return LeaseCost(engine_count, duration_ms, len(page.records), size_bytes)
 
 
-async def leaving_time_ms(instance_count: int, source: str) -> float:
+async def departure_propagation_ms(instance_count: int, source: str) -> float:
     """Measures the time until no instance dispatches to a leaving engine.
 
     Args:
@@ -146,7 +146,9 @@
         print(virtual_time.run(lease_cost(engine_count, 6)), flush=True)
     for source in ("engine", "operator", "list"):
         for instance_count in (6, 12, 24):
-            time_ms = virtual_time.run(leaving_time_ms(instance_count, source))
+            time_ms = virtual_time.run(
+                departure_propagation_ms(instance_count, source)
+            )
             print(
                 f"{instance_count} instances, told by {source}: "
                 f"{time_ms:.0f} ms",
