--- a/src/jujubewharf/experiments/load.py
+++ b/src/jujubewharf/experiments/load.py
@@ -22,7 +22,7 @@
         service: Name of the service called.
         is_plain: Whether it is a plain service.
         is_repeatable: Whether the call may be dispatched more than once.
-        come_backs: Maximum number of retries after a rejection.
+        max_retries: Maximum number of retries after a rejection.
         cancel_after_ms: Time until the caller cancels; ``None`` for never.
         impatient_after_ms: Time without a first token until the caller
             retries at another instance; ``None`` for never.
@@ -36,7 +36,7 @@
     service: str
     is_plain: bool
     is_repeatable: bool
-    come_backs: int
+    max_retries: int
     cancel_after_ms: float | None = None
     impatient_after_ms: float | None = None
     prompt: str = ""
@@ -106,7 +106,7 @@
         service=load.service,
         is_plain=isinstance(load, models.PlainLoad),
         is_repeatable=is_repeatable,
-        come_backs=load.come_backs,
+        max_retries=load.come_backs,
         cancel_after_ms=cancel_after_ms,
     )
     if isinstance(load, models.PlainLoad):
