--- a/src/jujubewharf/experiments/report.py
+++ b/src/jujubewharf/experiments/report.py
@@ -112,7 +112,7 @@
     """Aggregates the outcomes of one service."""
     ends = collections.Counter(outcome.end for outcome in call_outcomes)
     finished = [o for o in call_outcomes if o.end is outcomes.End.FINISHED]
-    good = sum(is_good(outcome, service) for outcome in finished)
+    good = sum(meets_targets(outcome, service) for outcome in finished)
     retries: collections.Counter[str] = collections.Counter()
     for outcome in call_outcomes:
         retries.update(outcome.retries)
@@ -141,7 +141,9 @@
     )
 
 
-def is_good(outcome: outcomes.Outcome, service: resources.Service) -> bool:
+def meets_targets(
+    outcome: outcomes.Outcome, service: resources.Service
+) -> bool:
     """Whether a call was answered completely within both targets."""
     if outcome.first_ms is None or outcome.completion_ms is None:
         return False
