--- a/src/jujubewharf/experiments/adapters.py
+++ b/src/jujubewharf/experiments/adapters.py
@@ -116,7 +116,7 @@
 
     Attributes:
         runs: Request ids in execution order, by endpoint name.
-        runs_of_path: Number of executions by path and query, summed over all
+        runs_by_path: Number of executions by path and query, summed over all
             endpoints.
         answer_ms: Response time in milliseconds, by endpoint name.
         dead: Names of unreachable endpoints.
@@ -124,7 +124,7 @@
 
     def __init__(self, clock: clocks.Clock, *, default_ms: float = 5.0) -> None:
         self.runs: dict[str, list[str]] = {}
-        self.runs_of_path: collections.Counter[str] = collections.Counter()
+        self.runs_by_path: collections.Counter[str] = collections.Counter()
         self.answer_ms: dict[str, float] = {}
         self.dead: set[str] = set()
         self._clock = clock
@@ -148,7 +148,7 @@
         if name in self.dead:
             raise client.EngineError(client.EngineFault.UNREACHABLE, name)
         self.runs.setdefault(name, []).append(call.request_id)
-        self.runs_of_path[call.path_query] += 1
+        self.runs_by_path[call.path_query] += 1
         await self._clock.sleep_ms(self.answer_ms.get(name, self._default_ms))
         if name in self.dead:
             raise client.EngineError(client.EngineFault.LOST, name)
--- a/src/jujubewharf/experiments/truth.py
+++ b/src/jujubewharf/experiments/truth.py
@@ -80,7 +80,7 @@
         """Returns how often a call was started at engines or endpoints."""
         call = outcome.call
         if call.is_plain:
-            return self._bench.endpoints.runs_of_path[f"/{call.key}"]
+            return self._bench.endpoints.runs_by_path[f"/{call.key}"]
         return sum(self._dispatches[name] for name in outcome.request_ids)
 
     def ran_despite_rejection(self, outcome: outcomes.Outcome) -> bool:
