--- a/src/jujubewharf/standins/backends.py
+++ b/src/jujubewharf/standins/backends.py
@@ -40,7 +40,7 @@
         crashing_bodies: Request bodies that crash the backend that runs them.
         crash_after_ms: Time from the start of such a run to the crash.
         crashes: Crashes caused by such bodies, in order.
-        on_crash: Callbacks called with each crashed backend.
+        crash_callbacks: Callbacks called with each crashed backend.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self.crashing_bodies: set[bytes] = set()
         self.crash_after_ms = 60.0
         self.crashes: list[backend_state.BackendCrash] = []
-        self.on_crash: list[
+        self.crash_callbacks: list[
             Callable[[backend_state.StandInBackend], object]
         ] = []
         self._clock = clock
@@ -252,7 +252,7 @@
         if backend.has_crashed.is_set():
             return
         backend.has_crashed.set()
-        for callback in self.on_crash:
+        for callback in self.crash_callbacks:
             callback(backend)
 
     def _response_ms(
--- a/tests/forwarding/deployments.py
+++ b/tests/forwarding/deployments.py
@@ -261,7 +261,7 @@
             at_ms = self.clock.now_ms() + after_ms
             self.clock.call_at_ms(at_ms, lambda: self._start_next(backend))
 
-        self.backends.on_crash.append(revive)
+        self.backends.crash_callbacks.append(revive)
 
     def _start_next(self, crashed: backend_state.StandInBackend) -> None:
         self._starts += 1
