--- a/src/jujubewharf/experiments/callers.py
+++ b/src/jujubewharf/experiments/callers.py
@@ -88,7 +88,7 @@
     async def _send_until_answered(self, outcome: outcomes.Outcome) -> None:
         service = self._services[outcome.call.service]
         retry_until_ms = outcome.began_ms + 2 * service.deadline_ms
-        max_retries = outcome.call.max_retries
+        retries_left = outcome.call.max_retries
         avoided = ""
         for number in itertools.count(1):
             wait_ms = 0.0
@@ -110,9 +110,9 @@
                 if rejection is None:
                     return
                 self._record_rejection(outcome, rejection, request_id)
-                if max_retries == 0 or not _is_retryable(rejection):
+                if retries_left == 0 or not _is_retryable(rejection):
                     return
-                max_retries -= 1
+                retries_left -= 1
                 wait_ms = (
                     rejection.retry_after_ms or retries.DEFAULT_RETRY_AFTER_MS
                 )
