--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -83,21 +83,21 @@
     )
 
 
-class _Filling:
+class _StateBuilder:
     """Applies resources to a state and measures the cost of each batch."""
 
     def __init__(self) -> None:
         self.state = states.State()
         self._number = 0
 
-    def fold(self, made: Iterator[resources.Resource]) -> tuple[float, float]:
+    def add(self, added: Iterator[resources.Resource]) -> tuple[float, float]:
         """Applies resources to the state.
 
         Returns:
             Mean bytes and processor microseconds per resource.
         """
         payloads = []
-        for resource in made:
+        for resource in added:
             payloads.append(records.encode(_change(resource, self._number)))
             self._number += 1
         gc.collect()
@@ -111,7 +111,7 @@
         return grown / len(payloads), took_s / len(payloads) * 1e6
 
 
-def _timed(call: Callable[[], object]) -> tuple[object, float]:
+def _measure_ms(call: Callable[[], object]) -> tuple[object, float]:
     began_s = time.process_time()
     found = call()
     return found, (time.process_time() - began_s) * 1e3
@@ -120,24 +120,24 @@
 @app.command()
 def size() -> None:
     """Measures memory, processor time and snapshot at the target size."""
-    tracing = _Filling()
+    tracing = _StateBuilder()
     tracemalloc.start()
-    tracing.fold(_service(number) for number in range(_SERVICES))
+    tracing.add(_service(number) for number in range(_SERVICES))
     # Fill the bounded history first, so that it isn't counted as endpoints.
-    history = tracing.fold(_endpoint(0, slots=n + 1) for n in range(2_048))
-    endpoints = tracing.fold(_endpoint(n) for n in range(1, _ENDPOINTS))
-    accounts = tracing.fold(_account(n) for n in range(_ACCOUNTS))
+    history = tracing.add(_endpoint(0, slots=n + 1) for n in range(2_048))
+    endpoints = tracing.add(_endpoint(n) for n in range(1, _ENDPOINTS))
+    accounts = tracing.add(_account(n) for n in range(_ACCOUNTS))
     tracemalloc.stop()
-    timing = _Filling()
-    timing.fold(_service(number) for number in range(_SERVICES))
-    timing.fold(_endpoint(n) for n in range(_ENDPOINTS))
-    timing.fold(_account(n) for n in range(_ACCOUNTS))
-    change = timing.fold(_endpoint(n, slots=7) for n in range(_CHANGES))
+    timing = _StateBuilder()
+    timing.add(_service(number) for number in range(_SERVICES))
+    timing.add(_endpoint(n) for n in range(_ENDPOINTS))
+    timing.add(_account(n) for n in range(_ACCOUNTS))
+    change = timing.add(_endpoint(n, slots=7) for n in range(_CHANGES))
     typer.echo(f"bytes: a history item {history[0]:.0f}")
     typer.echo(f"bytes: an endpoint {endpoints[0]:.0f}")
     typer.echo(f"bytes: an account {accounts[0]:.0f}")
     typer.echo(f"processor: a change {change[1]:.0f} us")
-    encoded, took_ms = _timed(lambda: snapshots.encode(timing.state))
+    encoded, took_ms = _measure_ms(lambda: snapshots.encode(timing.state))
     assert isinstance(encoded, snapshots.Snapshot)
     total = sum(len(chunk) for chunk in encoded.chunks)
     raw = sum(
@@ -147,7 +147,7 @@
         f"snapshot: {raw} B, {total} B compressed,"
         f" {len(encoded.chunks)} chunks, made in {took_ms:.0f} ms"
     )
-    _, took_ms = _timed(
+    _, took_ms = _measure_ms(
         lambda: snapshots.decode(encoded, newest_rules_version=1)
     )
     typer.echo(f"snapshot: read in {took_ms:.0f} ms")
@@ -202,7 +202,9 @@
         change = _change(_endpoint(0, slots=number + 21), number)
         one = reachable[number % len(reachable)]
         waiting.append(
-            asyncio.ensure_future(_in_force(bench, one.core, change))
+            asyncio.ensure_future(
+                _propagation_delays_ms(bench, one.core, change)
+            )
         )
         await bench.clock.sleep_ms(clocks.MS_PER_S / _CHANGES_PER_S)
     if not changes:
@@ -216,7 +218,7 @@
     return used_ms / took_s, sent / took_s
 
 
-async def _in_force(
+async def _propagation_delays_ms(
     bench: benches.Bench,
     core: cores.EntryCore,
     change: records.Change,
@@ -263,13 +265,15 @@
     )
     counted = server.sockets[0].getsockname()[1]
     async with aiohttp.ClientSession() as session:
-        seen = http_log.HttpLog(f"http://127.0.0.1:{counted}", session, clock)
-        follower = followers.ConfigurationFollower(seen, clock)
+        http_logs = http_log.HttpLog(
+            f"http://127.0.0.1:{counted}", session, clock
+        )
+        follower = followers.ConfigurationFollower(http_logs, clock)
         await follower.start()
         await follower.caught_up.wait()
         for label, rate in (("idle", 0.0), ("0.4 changes/s", 0.4)):
             before = dict(counts)
-            await _append_at(log, rate, seconds)
+            await _append_changes(log, rate, seconds)
             sent = (counts["out"] - before["out"]) / seconds
             got = (counts["in"] - before["in"]) / seconds
             typer.echo(f"{label}: {sent:.0f} B/s to, {got:.0f} B/s from log")
@@ -292,10 +296,14 @@
     await web.TCPSite(runner, "127.0.0.1", 0).start()
     url = f"http://127.0.0.1:{runner.addresses[0][1]}"
     sessions = [aiohttp.ClientSession() for _ in range(count)]
-    seen = [http_log.HttpLog(url, session, clock) for session in sessions]
-    held = [followers.ConfigurationFollower(one, clock) for one in seen]
-    changes = changes_lib.ChangeSubmitter(held[0], seen[0], clock)
-    for one in held:
+    http_logs = [http_log.HttpLog(url, session, clock) for session in sessions]
+    config_followers = [
+        followers.ConfigurationFollower(one, clock) for one in http_logs
+    ]
+    changes = changes_lib.ChangeSubmitter(
+        config_followers[0], http_logs[0], clock
+    )
+    for one in config_followers:
         await one.start()
         await one.caught_up.wait()
     submit_ms: list[float] = []
@@ -306,10 +314,10 @@
         verdict = (await changes.submit([change]))[0]
         accepted_ms = clock.now_ms()
         submit_ms.append(accepted_ms - began_ms)
-        for one in held:
-            await _until_folded(one, verdict.offset)
+        for one in config_followers:
+            await _wait_until_applied(one, verdict.offset)
             delays_ms.append(clock.now_ms() - accepted_ms)
-    for one in held:
+    for one in config_followers:
         await one.stop()
     for session in sessions:
         await session.close()
@@ -321,21 +329,21 @@
     )
 
 
-async def _until_folded(
+async def _wait_until_applied(
     follower: followers.ConfigurationFollower, offset: int
 ) -> None:
-    folded = asyncio.Event()
+    applied = asyncio.Event()
 
     def check(state: states.State) -> None:
         if state.next_offset > offset:
-            folded.set()
+            applied.set()
 
     follower.listen(check)
     check(follower.current)
-    await folded.wait()
+    await applied.wait()
 
 
-async def _append_at(
+async def _append_changes(
     log: standin_log.MemoryLog, rate_per_s: float, seconds: float
 ) -> None:
     if not rate_per_s:
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -37,17 +37,17 @@
 _REQUESTS_PER_S = 2.0
 _SERVICE = resources.Service("m", resources.ServiceKind.MODEL, model="x")
 _STEP_MS = 50.0
-_PATIENCE_MS = 20_000.0
+_TIMEOUT_MS = 20_000.0
 # Headers of a TCP segment over IPv4 with timestamps, and of its
 # acknowledgement. The bench doesn't model packets.
 _SEGMENT_BYTES = 104
-_FITTED = (
+_FITTED_FIELDS = (
     "control_bytes_per_s",
     "wire_bytes_per_s",
     "frames_per_s",
     "processor_ms_per_s",
 )
-_LEAST_FOR_SLOPE = 2
+_MIN_POINTS = 2
 
 
 class State(enum.StrEnum):
@@ -124,17 +124,17 @@
 
 async def measure(instances: int, plan: Plan) -> Cost:
     """Runs a fleet and measures its cost per instance."""
-    bench = await _started(instances, plan)
+    bench = await _start_bench(instances, plan)
     links = statistics.mean(
         instance.core.peers.link_count()
         for instance in bench.instances.values()
     )
     sent_before = dict(bench.network.bytes_sent)
-    frames_before = _frames(bench)
+    frames_before = _total_frames(bench)
     began_s = time.process_time()
-    frames_of_gone = await _run(bench, plan)
+    stopped_frames = await _run(bench, plan)
     spent_s = time.process_time() - began_s
-    frames = _frames(bench) + frames_of_gone - frames_before
+    frames = _total_frames(bench) + stopped_frames - frames_before
     sent = [
         (bench.network.bytes_sent[name] - sent_before[name]) / plan.duration_s
         for name in bench.instances
@@ -153,7 +153,7 @@
     )
 
 
-async def _started(instances: int, plan: Plan) -> benches.Bench:
+async def _start_bench(instances: int, plan: Plan) -> benches.Bench:
     bench = benches.Bench()
     await bench.declare(_SERVICE)
     for number in range(instances * plan.engines_each):
@@ -177,30 +177,33 @@
     """Runs the plan; returns the messages sent by killed instances."""
     duration_ms = plan.duration_s * 1_000
     if plan.state is State.CHURN:
-        return await _restart_on(bench, duration_ms, plan.churn_per_min)
-    work = [asyncio.create_task(asks) for asks in _work(bench, plan.state)]
+        return await _restart_instances(bench, duration_ms, plan.churn_per_min)
+    work = [
+        asyncio.create_task(coroutine)
+        for coroutine in _load_tasks(bench, plan.state)
+    ]
     await bench.clock.sleep_ms(duration_ms)
     for task in work:
         task.cancel()
     return 0
 
 
-def _work(
+def _load_tasks(
     bench: benches.Bench, state: State
 ) -> Iterator[Coroutine[Any, Any, None]]:
     if state is State.LOAD:
         for name in bench.instances:
-            yield _ask_on(bench, name)
+            yield _send_requests(bench, name)
 
 
-async def _ask_on(bench: benches.Bench, name: str) -> None:
+async def _send_requests(bench: benches.Bench, name: str) -> None:
     rng = bench.rng(f"asks {name}")
     for number in range(10_000):
         await bench.clock.sleep_ms(rng.exponential(1_000 / _REQUESTS_PER_S))
-        asyncio.create_task(_ask(bench, name, number))
+        asyncio.create_task(_send_request(bench, name, number))
 
 
-async def _ask(bench: benches.Bench, name: str, number: int) -> None:
+async def _send_request(bench: benches.Bench, name: str, number: int) -> None:
     request = model_request.ModelRequest(
         request_id=f"{name}-{number}",
         key=f"{name}-{number}",
@@ -216,21 +219,21 @@
         pass
 
 
-async def _restart_on(
+async def _restart_instances(
     bench: benches.Bench, duration_ms: float, churn_per_min: float
 ) -> int:
-    frames_of_gone = 0
-    until_ms = bench.clock.now_ms() + duration_ms
+    stopped_frames = 0
+    deadline_ms = bench.clock.now_ms() + duration_ms
     pause_ms = 60_000 / churn_per_min
     for name in itertools.cycle(sorted(bench.instances)):
-        if bench.clock.now_ms() + pause_ms > until_ms:
+        if bench.clock.now_ms() + pause_ms > deadline_ms:
             break
         await bench.clock.sleep_ms(pause_ms)
-        gone = bench.instances[name].core
-        frames_of_gone += gone.peers.counts.frames_out
+        stopped_core = bench.instances[name].core
+        stopped_frames += stopped_core.peers.counts.frames_out
         await bench.restart_instance(name)
-    await bench.clock.sleep_until_ms(until_ms)
-    return frames_of_gone
+    await bench.clock.sleep_until_ms(deadline_ms)
+    return stopped_frames
 
 
 async def _spread_ms(bench: benches.Bench) -> float:
@@ -240,13 +243,13 @@
     began_ms = bench.clock.now_ms()
     cores[0].facts.publish(topic, "probe", version=1, ttl_ms=60_000)
     while not all(core.facts.get(topic, "probe") for core in cores):
-        if bench.clock.now_ms() > began_ms + _PATIENCE_MS:
+        if bench.clock.now_ms() > began_ms + _TIMEOUT_MS:
             return float("inf")
         await bench.clock.sleep_ms(_STEP_MS)
     return bench.clock.now_ms() - began_ms
 
 
-def _frames(bench: benches.Bench) -> int:
+def _total_frames(bench: benches.Bench) -> int:
     return sum(
         instance.core.peers.counts.frames_out
         for instance in bench.instances.values()
@@ -287,12 +290,12 @@
         for count in counts:
             costs.append(virtual_time.run(measure(count, plan)))
             print(costs[-1].to_json(), flush=True)
-        if len(costs) >= _LEAST_FOR_SLOPE:
+        if len(costs) >= _MIN_POINTS:
             _print_slopes(costs)
 
 
 def _print_slopes(costs: Sequence[Cost]) -> None:
-    for field in _FITTED:
+    for field in _FITTED_FIELDS:
         line = {"state": costs[0].state, "of": field}
         line |= dataclasses.asdict(slope(costs, field))
         print(json.dumps(line), flush=True)
--- a/benchmarks/crash_checks.py
+++ b/benchmarks/crash_checks.py
@@ -22,7 +22,7 @@
 from jujubewharf.peers import crash_messages
 
 _ROUNDS = 2_000
-_SIZES_BYTES = (0, 5_000, 1_000_000)
+_BODY_SIZES_BYTES = (0, 5_000, 1_000_000)
 
 
 def _call(path: str, body: bytes) -> calls.Call:
@@ -69,20 +69,20 @@
 async def main() -> None:
     """Prints check times by body size, then sizes and memory."""
     print("body bytes  nothing known  others known  looks alike")
-    for size_bytes in _SIZES_BYTES:
+    for size_bytes in _BODY_SIZES_BYTES:
         call = _call("/verdicts/1", b"a" * size_bytes)
         history = crashes.CrashHistory(clocks.Clock())
-        nothing_us = _check_us(history, call)
+        empty_us = _check_us(history, call)
         for number in range(500):
             other = _call(f"/verdicts/{number + 2}", b"b" * size_bytes)
             history.record_crash(other, "engine", stage="run")
         others_us = _check_us(history, call)
-        alike = _call("/verdicts/1", b"b" * size_bytes)
-        history.record_crash(alike, "engine", stage="run")
-        alike_us = _check_us(history, call)
+        similar = _call("/verdicts/1", b"b" * size_bytes)
+        history.record_crash(similar, "engine", stage="run")
+        similar_us = _check_us(history, call)
         print(
-            f"{size_bytes:10}  {nothing_us:13.2f}  {others_us:12.2f}"
-            f"  {alike_us:11.2f}"
+            f"{size_bytes:10}  {empty_us:13.2f}  {others_us:12.2f}"
+            f"  {similar_us:11.2f}"
         )
     _print_sizes()
 
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -36,7 +36,7 @@
 _US_PER_S = 1e6
 
 
-class _Alone:
+class _SingleInstance:
     """Peers and membership of an instance that coordinates all engines."""
 
     instance = "e1"
@@ -97,7 +97,7 @@
 async def _decision_us(count: int) -> float:
     clock = clocks.Clock()
     fleet = _fleet(count, clock)
-    peers = cast(Any, _Alone())
+    peers = cast(Any, _SingleInstance())
     slot_coordinator.SlotCoordinator(fleet, peers, peers, clock)
     policy = default_policy.DefaultPolicy(clock, random.Random(1))
     policy.attach(policies.PolicyContext(fleet, peers, peers, "a"))
--- a/benchmarks/engine_calls.py
+++ b/benchmarks/engine_calls.py
@@ -24,7 +24,7 @@
 from jujubewharf.engines import http
 
 _CALLS = 1_000
-_HELD = (0, 5, 10, 20)
+_HELD_COUNTS = (0, 5, 10, 20)
 _US = 1e6
 
 
@@ -77,25 +77,27 @@
                     await _time_us(engine.load),
                     await _answer_bytes(port, "load"),
                 )
-                _show("load", dataclasses.asdict(load))
+                _print_result("load", dataclasses.asdict(load))
                 await _measure_held(engine, port)
 
 
 async def _measure_held(engine: http.HttpEngineClient, port: int) -> None:
-    taken = 0
+    reserved = 0
     times, sizes = [], []
-    for count in _HELD:
-        while taken < count:
-            attempt = client.Attempt(f"{taken:032x}.1", "entry-1")
+    for count in _HELD_COUNTS:
+        while reserved < count:
+            attempt = client.Attempt(f"{reserved:032x}.1", "entry-1")
             await engine.reserve(attempt)
-            taken += 1
+            reserved += 1
         times.append(await _time_us(engine.held))
         sizes.append(float(await _answer_bytes(port, "held")))
     for name, values in (("held_us", times), ("held_bytes", sizes)):
-        _show(name, dataclasses.asdict(slopes.Slope.fit(_HELD, values)))
+        _print_result(
+            name, dataclasses.asdict(slopes.Slope.fit(_HELD_COUNTS, values))
+        )
 
 
-def _show(name: str, value: object) -> None:
+def _print_result(name: str, value: object) -> None:
     print(json.dumps({"part": name, "value": value}), flush=True)
 
 
--- a/benchmarks/limits_share.py
+++ b/benchmarks/limits_share.py
@@ -21,7 +21,7 @@
 
 _SERVICE = resources.Service("shop-api", resources.ServiceKind.PLAIN)
 _SECONDS = 120
-_MEMBERS = (1, 9, 380)
+_MEMBER_COUNTS = (1, 9, 380)
 _RATES_PER_S = (1.0, 30.0, 300.0)
 _LOADS = (0.5, 0.8, 2.0)
 
@@ -42,11 +42,11 @@
     count = int(rate_per_s * load * _SECONDS)
     gaps_ms = rng.exponential(clocks.MS_PER_S / (rate_per_s * load), count)
     admitted = 0
-    places = rng.integers(members, size=count)
-    for gap_ms, place in zip(gaps_ms, places, strict=True):
+    instance_indices = rng.integers(members, size=count)
+    for gap_ms, index in zip(gaps_ms, instance_indices, strict=True):
         await clock.sleep_ms(float(gap_ms))
         try:
-            async with instances[place].admitted(
+            async with instances[index].admitted(
                 "dealer", _SERVICE, deadline_at_ms=float("inf")
             ):
                 admitted += 1
@@ -60,10 +60,10 @@
     """Prints one row per combination."""
     print("instances  limit/s  asked/limit  admitted  admitted/limit")
     for members, rate, load in itertools.product(
-        _MEMBERS, _RATES_PER_S, _LOADS
+        _MEMBER_COUNTS, _RATES_PER_S, _LOADS
     ):
-        share, over = virtual_time.run(_admitted_share(members, rate, load))
-        print(f"{members:9d} {rate:8g} {load:12g} {share:9.3f} {over:15.2f}")
+        share, ratio = virtual_time.run(_admitted_share(members, rate, load))
+        print(f"{members:9d} {rate:8g} {load:12g} {share:9.3f} {ratio:15.2f}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -67,7 +67,7 @@
     return declared
 
 
-async def _port(child: processes.Child) -> int:
+async def _read_port(child: processes.Child) -> int:
     assert child.process.stdout is not None
     line = await child.process.stdout.readline()
     return int(json.loads(line)["port"])
@@ -82,7 +82,7 @@
             for standin in ("log", "live-list", "weight-store"):
                 child = await children.start(standin, "standin", standin)
                 key = f"{standin.replace('-', '_')}_url"
-                urls[key] = f"http://127.0.0.1:{await _port(child)}"
+                urls[key] = f"http://127.0.0.1:{await _read_port(child)}"
             await _declare(urls["log_url"], _resources(endpoints, accounts))
             settings = directory / "entry.json"
             settings.write_text(
@@ -111,7 +111,7 @@
             await log.append(records.STREAM, [_change(r) for r in batch])
 
 
-async def _line(kind: str, counts: Sequence[int]) -> None:
+async def _measure_slope(kind: str, counts: Sequence[int]) -> None:
     values = []
     for count in counts:
         sizes = {"endpoints": 0, "accounts": 0} | {kind: count}
@@ -127,7 +127,7 @@
     parser.add_argument("--counts", default="0,1000,3000,5900")
     counts = [int(c) for c in parser.parse_args().counts.split(",")]
     for kind in ("endpoints", "accounts"):
-        asyncio.run(_line(kind, counts))
+        asyncio.run(_measure_slope(kind, counts))
 
 
 if __name__ == "__main__":
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -83,9 +83,9 @@
     timings: list[Timing]
     took_s: float
 
-    def percentile(self, of: str, percent: float) -> float:
+    def percentile(self, field: str, percent: float) -> float:
         """Returns a percentile of ``first_ms`` or ``whole_ms``."""
-        values = [getattr(timing, of) for timing in self.timings]
+        values = [getattr(timing, field) for timing in self.timings]
         return float(np.percentile(values, percent))
 
     @property
@@ -187,13 +187,15 @@
     numbers = iter(range(load.requests))
     timings: list[Timing] = []
 
-    async def worker(place: int) -> None:
-        await asyncio.sleep(load.spread_s * place / load.in_flight)
+    async def worker(worker_index: int) -> None:
+        await asyncio.sleep(load.spread_s * worker_index / load.in_flight)
         for number in numbers:
             timings.append(await send(number))
 
     began_s = time.perf_counter()
-    await asyncio.gather(*(worker(place) for place in range(load.in_flight)))
+    await asyncio.gather(
+        *(worker(worker_index) for worker_index in range(load.in_flight))
+    )
     return Run(timings, time.perf_counter() - began_s)
 
 
@@ -293,12 +295,12 @@
 
 def _print_ratio(load: Load, direct: Run, through: Run, use: Use) -> None:
     cells = [f"{load.in_flight:4d} in flight, {load.requests} requests:"]
-    for of in ("first_ms", "whole_ms"):
+    for field in ("first_ms", "whole_ms"):
         for percent in (50, 99):
-            before = direct.percentile(of, percent)
-            after = through.percentile(of, percent)
+            before = direct.percentile(field, percent)
+            after = through.percentile(field, percent)
             cells.append(
-                f"{of} p{percent} {before:.1f} -> {after:.1f} "
+                f"{field} p{percent} {before:.1f} -> {after:.1f} "
                 f"(x{after / before:.3f})"
             )
     print("  ".join(cells))
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -21,8 +21,8 @@
 from jujubewharf.engines import client
 from jujubewharf.platform import log
 
-_RECORDS = (500, 1_000, 2_000, 4_000)
-_CANDIDATES = (6, 25, 100, 380)
+_RECORD_COUNTS = (500, 1_000, 2_000, 4_000)
+_CANDIDATE_COUNTS = (6, 25, 100, 380)
 _ROUNDS = 200
 _US = 1e6
 
@@ -63,24 +63,24 @@
 
 def fold_us() -> slopes.Slope:
     """Fits the microseconds to apply records against their number."""
-    payloads = [_payload(_endpoint(n)) for n in range(max(_RECORDS))]
+    payloads = [_payload(_endpoint(n)) for n in range(max(_RECORD_COUNTS))]
     values = []
-    for count in _RECORDS:
+    for count in _RECORD_COUNTS:
         state = states.State()
         began_s = time.process_time()
         for offset, payload in enumerate(payloads[:count]):
             state.apply(log.LogRecord(offset, payload))
         values.append((time.process_time() - began_s) * _US)
-    return slopes.Slope.fit(_RECORDS, values)
+    return slopes.Slope.fit(_RECORD_COUNTS, values)
 
 
 def rank_us() -> slopes.Slope:
     """Fits the microseconds of a rendezvous choice against the candidates."""
     values = []
-    for count in _CANDIDATES:
+    for count in _CANDIDATE_COUNTS:
         names = [f"entry-{number}" for number in range(count)]
         values.append(_time_us(lambda names=names: hashing.rank("key", names)))  # type: ignore[misc]
-    return slopes.Slope.fit(_CANDIDATES, values)
+    return slopes.Slope.fit(_CANDIDATE_COUNTS, values)
 
 
 def _time_us(call: Callable[[], object]) -> float:
--- a/benchmarks/request_profile.py
+++ b/benchmarks/request_profile.py
@@ -35,10 +35,10 @@
 _INSTANCES = ("e1", "e2", "e3", "e4")
 _ACCOUNTS = 16
 _REQUESTS = 1_000
-_EVERY_MS = 40.0
+_INTERVAL_MS = 40.0
 _SETTLE_MS = 4_000.0
 _WORK = calls.ModelWork(3_000, 9_000, 6_000)
-_MOST_ROWS = 16
+_MAX_ROWS = 16
 _MS_PER_S = 1e3
 _TRAITS = routes.EngineTraits(12, 60_000, 500.0, 6_000.0, 2_000.0)
 
@@ -64,13 +64,13 @@
         virtual_time.run(_run(profile, requests))
     finally:
         logs.configure()
-    took_s: dict[str, float] = collections.defaultdict(float)
+    time_s: dict[str, float] = collections.defaultdict(float)
     rows = pstats.Stats(profile).stats  # type: ignore[attr-defined]
     for (path, _, _), (_, _, own_s, _, _) in rows.items():
-        took_s[_module(path)] += own_s
+        time_s[_module(path)] += own_s
     found = [
         ModuleTime(name, own_s * _MS_PER_S / requests)
-        for name, own_s in took_s.items()
+        for name, own_s in time_s.items()
     ]
     return sorted(found, key=lambda row: -row.request_ms)
 
@@ -89,21 +89,21 @@
     clock = clocks.Clock(wall_origin_ms=0.0)
     instances = await _start(clock)
     await clock.sleep_ms(_SETTLE_MS)
-    asked: list[asyncio.Task[None]] = []
+    tasks: list[asyncio.Task[None]] = []
     profile.enable()
     for number in range(requests):
         instance = instances[number % len(instances)]
         account = f"account-{number % _ACCOUNTS}"
-        asking = forwarding_parts.ask(
+        request = forwarding_parts.ask(
             instance,
             number,
             arrived_ms=clock.now_ms(),
             work=_WORK,
             headers=(("Authorization", f"Bearer {account}"),),
         )
-        asked.append(asyncio.ensure_future(asking))
-        await clock.sleep_ms(_EVERY_MS)
-    await asyncio.gather(*asked)
+        tasks.append(asyncio.ensure_future(request))
+        await clock.sleep_ms(_INTERVAL_MS)
+    await asyncio.gather(*tasks)
     profile.disable()
     for instance in instances:
         await instance.stop()
@@ -112,7 +112,7 @@
 async def _start(clock: clocks.Clock) -> list[entry.ForwardingEntry]:
     engines = [_engine("p1", resources.Role.PREFILL)]
     engines += [_engine(f"d{n}", resources.Role.DECODE) for n in range(6)]
-    behind = backends.StandInBackends(clock, engines)
+    stand_ins = backends.StandInBackends(clock, engines)
     configurations = tables.StandInTable(clock)
     configurations.put(
         "config",
@@ -131,17 +131,17 @@
     for engine in engines:
         endpoints.put(engine.name, engine.endpoint)
     leaders = tables.StandInGroups(clock)
-    wires = network.MemoryNetwork(clock)
+    peer_network = network.MemoryNetwork(clock)
     instances: list[entry.ForwardingEntry] = []
     for name in _INSTANCES:
         address = f"{name}:1"
         peers = ports.PeerAdapters(
             leaders.member(address),
-            wires.transport(name, "a", address=address),
+            peer_network.transport(name, "a", address=address),
             address,
         )
         adapters = entry.Adapters(
-            behind.for_instance(name),
+            stand_ins.for_instance(name),
             configurations,
             endpoints,
             tables.StandInGroups(clock).member(name),
@@ -176,9 +176,9 @@
 def main() -> None:
     """Prints the most expensive modules."""
     rows = measure()
-    whole_ms = sum(row.request_ms for row in rows)
-    print(f"{whole_ms:.2f} ms a request under the profiler")
-    for row in rows[:_MOST_ROWS]:
+    total_ms = sum(row.request_ms for row in rows)
+    print(f"{total_ms:.2f} ms a request under the profiler")
+    for row in rows[:_MAX_ROWS]:
         print(f"{row.request_ms:7.3f} ms  {row.module}")
 
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -30,11 +30,11 @@
     def fit(cls, units: Sequence[float], values: Sequence[float]) -> Slope:
         """Fits a line to two or more points."""
         per_unit, base = np.polyfit(units, values, 1)
-        left = np.asarray(values) - (base + per_unit * np.asarray(units))
+        residuals = np.asarray(values) - (base + per_unit * np.asarray(units))
         return cls(
             float(base),
             float(per_unit),
-            float(np.abs(left).max()),
+            float(np.abs(residuals).max()),
             min(units),
             max(units),
         )
--- a/src/jujubewharf/demo/checks.py
+++ b/src/jujubewharf/demo/checks.py
@@ -29,17 +29,19 @@
     Returns:
         One line for each request that ran too often or not at all.
     """
-    answers = await _answers(deployment, session)
-    plain_runs = await _plain_runs(deployment, session)
+    answers = await _count_answers(deployment, session)
+    plain_runs = await _count_plain_runs(deployment, session)
     lines = []
     for outcome in outcomes:
         if outcome.kind is load.Kind.PLAIN:
-            times = sum(plain_runs[one] for one in outcome.request_ids)
+            run_count = sum(
+                plain_runs[request_id] for request_id in outcome.request_ids
+            )
         else:
-            times = answers[outcome.prompt_digest]
+            run_count = answers[outcome.prompt_digest]
         is_cancelled = outcome.kind is load.Kind.CANCELLED
-        if times > 1 or (times < 1 and not is_cancelled):
-            lines.append(f"{outcome.kind.value}: request ran {times} times")
+        if run_count > 1 or (run_count < 1 and not is_cancelled):
+            lines.append(f"{outcome.kind.value}: request ran {run_count} times")
     return lines
 
 
@@ -48,15 +50,15 @@
 ) -> list[str]:
     """Lists memory that engines still hold once releases had time to arrive."""
     loop = asyncio.get_running_loop()
-    until_s = loop.time() + _RELEASE_WAIT_S
+    deadline_s = loop.time() + _RELEASE_WAIT_S
     while True:
-        held = await _held(deployment, session)
-        if not held or loop.time() > until_s:
+        held = await _list_held_memory(deployment, session)
+        if not held or loop.time() > deadline_s:
             return held
         await asyncio.sleep(_RELEASE_POLL_S)
 
 
-async def _held(
+async def _list_held_memory(
     deployment: deployments.Deployment, session: aiohttp.ClientSession
 ) -> list[str]:
     lines = []
@@ -72,7 +74,7 @@
     return lines
 
 
-async def _answers(
+async def _count_answers(
     deployment: deployments.Deployment, session: aiohttp.ClientSession
 ) -> collections.Counter[str]:
     answers: collections.Counter[str] = collections.Counter()
@@ -83,7 +85,7 @@
     return answers
 
 
-async def _plain_runs(
+async def _count_plain_runs(
     deployment: deployments.Deployment, session: aiohttp.ClientSession
 ) -> collections.Counter[str]:
     runs: collections.Counter[str] = collections.Counter()
--- a/src/jujubewharf/demo/deployment.py
+++ b/src/jujubewharf/demo/deployment.py
@@ -69,7 +69,7 @@
     drained_s: float
 
 
-_Holds = Callable[[EntryAddress, aiohttp.ClientSession], Awaitable[bool]]
+_Condition = Callable[[EntryAddress, aiohttp.ClientSession], Awaitable[bool]]
 
 
 @dataclasses.dataclass(slots=True)
@@ -126,7 +126,7 @@
         running.start_standin("weight-store", "weight-store"),
     )
     log_url, live_list_url, weight_store_url = (f"http://{a}" for a in platform)
-    starts = [_start_endpoint(running, *one) for one in _endpoints()]
+    starts = [_start_endpoint(running, *one) for one in _endpoint_specs()]
     endpoints = list(await asyncio.gather(*starts))
     token = secrets.token_hex()
     token_sha256 = hashlib.sha256(token.encode()).hexdigest()
@@ -205,11 +205,11 @@
     Raises:
         StartError: If an instance exits or does not become ready in time.
     """
-    waits = [
+    waiters = [
         _wait_for(deployment, entry, is_ready, session)
         for entry in deployment.entries
     ]
-    await asyncio.gather(*waits)
+    await asyncio.gather(*waiters)
 
 
 async def wait_until_answering(
@@ -220,11 +220,11 @@
     Raises:
         StartError: If an instance exits or does not answer in time.
     """
-    waits = [
-        _wait_for(deployment, entry, _answers, session)
+    waiters = [
+        _wait_for(deployment, entry, _is_answering, session)
         for entry in deployment.entries
     ]
-    await asyncio.gather(*waits)
+    await asyncio.gather(*waiters)
 
 
 async def replace(
@@ -239,13 +239,13 @@
     ``deployment.entries`` and gets no load, as behind a load balancer.
     """
     loop = asyncio.get_running_loop()
-    began_s = loop.time()
+    started_s = loop.time()
     child = deployment.children[entry.instance]
     child.send(signal.SIGTERM)
-    await _wait_for(deployment, entry, _is_unlisted, session)
+    await _wait_for(deployment, entry, _is_not_ready, session)
     deployment.entries.remove(entry)
     exit_code = await child.process.wait()
-    drained_s = loop.time() - began_s
+    drained_s = loop.time() - started_s
     deployment.children[entry.instance] = await _start_entry(
         running, entry, child.settings_path
     )
@@ -254,7 +254,7 @@
     return Replaced(exit_code, drained_s)
 
 
-async def _is_unlisted(
+async def _is_not_ready(
     entry: EntryAddress, session: aiohttp.ClientSession
 ) -> bool:
     return not await is_ready(entry, session)
@@ -263,14 +263,14 @@
 async def _wait_for(
     deployment: Deployment,
     entry: EntryAddress,
-    holds: _Holds,
+    condition: _Condition,
     session: aiohttp.ClientSession,
 ) -> None:
     child = deployment.children[entry.instance]
     loop = asyncio.get_running_loop()
-    until_s = loop.time() + _READY_TIMEOUT_S
-    while loop.time() < until_s and child.is_running:
-        if await holds(entry, session):
+    deadline_s = loop.time() + _READY_TIMEOUT_S
+    while loop.time() < deadline_s and child.is_running:
+        if await condition(entry, session):
             return
         await asyncio.sleep(_READY_POLL_S)
     raise processes.StartError(
@@ -278,7 +278,9 @@
     )
 
 
-async def _answers(entry: EntryAddress, session: aiohttp.ClientSession) -> bool:
+async def _is_answering(
+    entry: EntryAddress, session: aiohttp.ClientSession
+) -> bool:
     base = f"http://{entry.callers}"
     body = {"model": MODEL_SERVICE, "prompt": "ready", "max_tokens": 1}
     try:
@@ -291,14 +293,14 @@
         return False
 
 
-def _endpoints() -> list[tuple[str, str, resources.Role]]:
-    wanted = []
+def _endpoint_specs() -> list[tuple[str, str, resources.Role]]:
+    specs = []
     for domain in DOMAINS:
         letter = domain[-1]
         for role in _ENGINE_ROLES:
-            wanted.append((f"{role.value}-{letter}1", domain, role))
-        wanted.append((f"till-{letter}1", domain, resources.Role.PLAIN))
-    return wanted
+            specs.append((f"{role.value}-{letter}1", domain, role))
+        specs.append((f"till-{letter}1", domain, resources.Role.PLAIN))
+    return specs
 
 
 async def _start_endpoint(
--- a/src/jujubewharf/demo/load.py
+++ b/src/jujubewharf/demo/load.py
@@ -16,11 +16,11 @@
 from jujubewharf.engines import http_endpoint
 from jujubewharf.standins import engine as engines
 
-_CONCURRENT = 24
+_CONCURRENCY = 24
 _TOKENS_MIN = 8
-_TOKENS_SPREAD = 25
+_TOKENS_RANGE = 25
 _WORDS_MIN = 50
-_WORDS_SPREAD = 900
+_WORDS_RANGE = 900
 _WORDS_STEP = 137
 _DATA = "data: "
 _DONE = "[DONE]"
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Ask:
+class _ModelRequest:
     """A model request and its expected answer."""
 
     number: int
@@ -88,13 +88,13 @@
 
     @property
     def prompt(self) -> str:
-        words = _WORDS_MIN + self.number * _WORDS_STEP % _WORDS_SPREAD
+        words = _WORDS_MIN + self.number * _WORDS_STEP % _WORDS_RANGE
         report = " ".join(f"line-{self.number}-{i}" for i in range(words))
         return f"answer_tokens={self.tokens} {report}"
 
     @property
     def tokens(self) -> int:
-        return _TOKENS_MIN + self.number % _TOKENS_SPREAD
+        return _TOKENS_MIN + self.number % _TOKENS_RANGE
 
     @property
     def expected(self) -> str:
@@ -129,54 +129,58 @@
             count: Number of requests.
             on_outcome: Called with the result of each request.
         """
-        gate = asyncio.Semaphore(_CONCURRENT)
+        semaphore = asyncio.Semaphore(_CONCURRENCY)
 
-        async def one(number: int) -> Outcome:
-            async with gate:
-                outcome = await self._one(number)
+        async def send_one(number: int) -> Outcome:
+            async with semaphore:
+                outcome = await self._send_and_check(number)
             on_outcome(outcome)
             return outcome
 
-        return list(await asyncio.gather(*[one(n) for n in range(count)]))
+        return list(await asyncio.gather(*[send_one(n) for n in range(count)]))
 
-    async def _one(self, number: int) -> Outcome:
+    async def _send_and_check(self, number: int) -> Outcome:
         kind = _MIX[number % len(_MIX)]
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
+        started_s = loop.time()
         fault = ""
         request_ids: tuple[str, ...] = ()
         try:
             request_ids = await self._send(kind, number)
         except (WrongAnswerError, aiohttp.ClientError, TimeoutError) as error:
             fault = f"{type(error).__name__}: {error}"
-        duration_ms = (loop.time() - began_s) * 1_000
+        duration_ms = (loop.time() - started_s) * 1_000
         prompt_digest = ""
         if kind is not Kind.PLAIN:
-            prompt_digest = hashing.digest(_Ask(number).prompt.encode())
+            prompt_digest = hashing.digest(
+                _ModelRequest(number).prompt.encode()
+            )
         return Outcome(kind, duration_ms, fault, prompt_digest, request_ids)
 
     async def _send(self, kind: Kind, number: int) -> tuple[str, ...]:
-        ask = _Ask(number)
+        request = _ModelRequest(number)
         match kind:
             case Kind.PLAIN:
                 return (await self._plain(number),)
             case Kind.STREAMED:
-                return (await self._streamed(ask),)
+                return (await self._streamed(request),)
             case Kind.CANCELLED:
-                return (await self._cancelled(ask),)
+                return (await self._cancelled(request),)
             case Kind.RETRIED:
-                return await self._retried(ask)
+                return await self._retried(request)
             case Kind.WHOLE:
-                return (await self._whole(ask, ask.number),)
+                return (await self._unstreamed(request, request.number),)
             case Kind.NOT_REPEATABLE:
-                return (await self._whole(ask, number, repeatable=False),)
+                return (
+                    await self._unstreamed(request, number, repeatable=False),
+                )
 
-    def _base(self, number: int) -> str:
+    def _base_url(self, number: int) -> str:
         entry = self._entries[number % len(self._entries)]
         return f"http://{entry.callers}"
 
     async def _plain(self, number: int) -> str:
-        url = f"{self._base(number)}/s/{deployments.PLAIN_SERVICE}/stock"
+        url = f"{self._base_url(number)}/s/{deployments.PLAIN_SERVICE}/stock"
         data = f"item {number}"
         async with self._session.post(
             url, params={"item": str(number)}, data=data
@@ -189,28 +193,32 @@
                 )
             return answer.headers[http_endpoint.REQUEST_HEADER]
 
-    async def _whole(
-        self, ask: _Ask, place: int, *, repeatable: bool = True
+    async def _unstreamed(
+        self,
+        request: _ModelRequest,
+        entry_index: int,
+        *,
+        repeatable: bool = True,
     ) -> str:
-        body = self._body(ask) | {"repeatable": repeatable}
-        async with self._post(ask, place, body) as answer:
+        body = self._body(request) | {"repeatable": repeatable}
+        async with self._post(request, entry_index, body) as answer:
             await _check_status(answer)
             text = (await answer.json())["choices"][0]["text"]
-            _check_text(ask, text)
+            _check_text(request, text)
             return answer.headers[request_options.REQUEST_HEADER]
 
-    async def _retried(self, ask: _Ask) -> tuple[str, ...]:
+    async def _retried(self, request: _ModelRequest) -> tuple[str, ...]:
         """Sends one idempotency key to two instances, like a caller's retry."""
         tries = await asyncio.gather(
-            self._whole(ask, ask.number),
-            self._whole(ask, ask.number + 1),
+            self._unstreamed(request, request.number),
+            self._unstreamed(request, request.number + 1),
         )
         return tuple(tries)
 
-    async def _streamed(self, ask: _Ask) -> str:
+    async def _streamed(self, request: _ModelRequest) -> str:
         texts = []
-        body = self._body(ask) | {"stream": True}
-        async with self._post(ask, ask.number, body) as answer:
+        body = self._body(request) | {"stream": True}
+        async with self._post(request, request.number, body) as answer:
             await _check_status(answer)
             async for data in _events(answer):
                 if data == _DONE:
@@ -218,32 +226,32 @@
                 texts.append(_text_of(data))
             else:
                 raise WrongAnswerError("stream ended before [DONE]")
-            _check_text(ask, "".join(texts))
+            _check_text(request, "".join(texts))
             return answer.headers[request_options.REQUEST_HEADER]
 
-    async def _cancelled(self, ask: _Ask) -> str:
-        body = self._body(ask) | {"stream": True}
-        async with self._post(ask, ask.number, body) as answer:
+    async def _cancelled(self, request: _ModelRequest) -> str:
+        body = self._body(request) | {"stream": True}
+        async with self._post(request, request.number, body) as answer:
             await _check_status(answer)
             async for _ in _events(answer):
                 break
             answer.close()
             return answer.headers[request_options.REQUEST_HEADER]
 
-    def _body(self, ask: _Ask) -> dict[str, object]:
+    def _body(self, request: _ModelRequest) -> dict[str, object]:
         return {
             "model": deployments.MODEL_SERVICE,
-            "prompt": ask.prompt,
-            "max_tokens": ask.tokens,
+            "prompt": request.prompt,
+            "max_tokens": request.tokens,
         }
 
     def _post(  # type: ignore[no-untyped-def]
-        self, ask: _Ask, place: int, body: dict[str, object]
+        self, request: _ModelRequest, entry_index: int, body: dict[str, object]
     ):
         return self._session.post(
-            f"{self._base(place)}/v1/completions",
+            f"{self._base_url(entry_index)}/v1/completions",
             json=body,
-            headers={request_options.KEY_HEADER: ask.key},
+            headers={request_options.KEY_HEADER: request.key},
         )
 
 
@@ -266,8 +274,8 @@
         raise WrongAnswerError(f"{answer.status}: {await answer.text()}")
 
 
-def _check_text(ask: _Ask, text: str) -> None:
-    if text != ask.expected:
+def _check_text(request: _ModelRequest, text: str) -> None:
+    if text != request.expected:
         raise WrongAnswerError(
-            f"answer {ask.number} differs from the expected text"
+            f"answer {request.number} differs from the expected text"
         )
--- a/src/jujubewharf/demo/show.py
+++ b/src/jujubewharf/demo/show.py
@@ -37,7 +37,7 @@
         directory = pathlib.Path(name)
         try:
             async with asyncio.timeout(_TIME_LIMIT_S):
-                found = await _run(requests, directory, console)
+                failures = await _run(requests, directory, console)
         except (
             processes.StartError,
             aiohttp.ClientError,
@@ -45,14 +45,14 @@
             call_errors.UnreachableError,
             TimeoutError,
         ) as error:
-            found = [f"{type(error).__name__}: {error}"]
+            failures = [f"{type(error).__name__}: {error}"]
             _print_logs(directory, console)
-    for fault in found:
+    for fault in failures:
         console.print(f"[red]{fault}", highlight=False)
-    if not found:
+    if not failures:
         console.print("[green]Every answer came once and whole.")
         console.print("[green]No engine holds memory.")
-    return found
+    return failures
 
 
 async def _run(
@@ -69,23 +69,27 @@
             await _apply(deployment)
             await deployments.wait_until_answering(deployment, session)
         console.print(_deployment_table(deployment))
-        leaver = deployment.entries[-1]
+        drained_entry = deployment.entries[-1]
         outcomes, replaced = await asyncio.gather(
             _load(requests, deployment, session, console),
-            deployments.replace(running, deployment, leaver, session),
+            deployments.replace(running, deployment, drained_entry, session),
         )
         console.print(_outcome_table(outcomes))
         console.print(
-            f"{leaver.instance} was drained under load in "
+            f"{drained_entry.instance} was drained under load in "
             f"{replaced.drained_s:.1f} s (exit code {replaced.exit_code}) and "
             "started anew.",
             highlight=False,
         )
-        found = [f"{o.kind.value}: {o.fault}" for o in outcomes if o.fault]
+        failures = [f"{o.kind.value}: {o.fault}" for o in outcomes if o.fault]
         if replaced.exit_code != 0:
-            found.append(f"{leaver.instance}: exit code {replaced.exit_code}")
-        found += await checks.ran_more_than_once(outcomes, deployment, session)
-        return found + await checks.held_memory(deployment, session)
+            failures.append(
+                f"{drained_entry.instance}: exit code {replaced.exit_code}"
+            )
+        failures += await checks.ran_more_than_once(
+            outcomes, deployment, session
+        )
+        return failures + await checks.held_memory(deployment, session)
 
 
 async def _apply(deployment: deployments.Deployment) -> None:
@@ -116,8 +120,8 @@
     )
     with bar:
         task = bar.add_task("Requests", total=requests)
-        sender = load.Load(deployment.entries, session)
-        return await sender.run(requests, lambda _: bar.advance(task))
+        generator = load.Load(deployment.entries, session)
+        return await generator.run(requests, lambda _: bar.advance(task))
 
 
 def _deployment_table(deployment: deployments.Deployment) -> tables.Table:
@@ -147,14 +151,14 @@
     for outcome in outcomes:
         by_kind[outcome.kind].append(outcome)
     for kind in load.Kind:
-        of_kind = by_kind[kind]
-        if not of_kind:
+        kind_outcomes = by_kind[kind]
+        if not kind_outcomes:
             continue
-        durations = [outcome.duration_ms for outcome in of_kind]
-        whole = sum(1 for outcome in of_kind if not outcome.fault)
+        durations = [outcome.duration_ms for outcome in kind_outcomes]
+        whole = sum(1 for outcome in kind_outcomes if not outcome.fault)
         table.add_row(
             kind.value,
-            str(len(of_kind)),
+            str(len(kind_outcomes)),
             str(whole),
             f"{statistics.median(durations):.0f}",
             f"{max(durations):.0f}",
--- a/tests/scenarios/steps.py
+++ b/tests/scenarios/steps.py
@@ -20,9 +20,9 @@
         self.loop = virtual_time.VirtualLoop()
         self.bench = benches.Bench()
 
-    def run(self, work: Coroutine[Any, Any, Any]) -> Any:
+    def run(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
         """Runs a coroutine to completion."""
-        return self.loop.run_until_complete(work)
+        return self.loop.run_until_complete(coroutine)
 
     def act(self, action: Callable[[], Any]) -> Any:
         """Calls a function within the running event loop."""
@@ -42,9 +42,9 @@
         """Waits for a condition; returns whether it became true in time."""
 
         async def watch() -> bool:
-            until_ms = self.bench.clock.now_ms() + duration_s * 1_000
+            deadline_ms = self.bench.clock.now_ms() + duration_s * 1_000
             while not holds():
-                if self.bench.clock.now_ms() >= until_ms:
+                if self.bench.clock.now_ms() >= deadline_ms:
                     return False
                 await self.bench.clock.sleep_ms(_STEP_MS)
             return True
@@ -55,11 +55,11 @@
         """Stops the bench and cancels all remaining tasks."""
         self.run(self.bench.stop())
         self.loop.release_all()
-        rest = asyncio.all_tasks(self.loop)
-        for task in rest:
+        remaining = asyncio.all_tasks(self.loop)
+        for task in remaining:
             task.cancel()
-        if rest:
-            self.run(_gather(rest))
+        if remaining:
+            self.run(_wait_for_all(remaining))
         self.loop.close()
 
 
@@ -73,20 +73,20 @@
     def __init__(self) -> None:
         super().__init__()
         self.sent: list[asyncio.Task[Any]] = []
-        self._sending: asyncio.Task[None] | None = None
+        self._load_task: asyncio.Task[None] | None = None
 
     def start_load(self, sending: Coroutine[Any, Any, None]) -> None:
         """Starts sending requests in the background."""
 
         async def start() -> None:
-            self._sending = asyncio.create_task(sending)
+            self._load_task = asyncio.create_task(sending)
 
         self.run(start())
 
     def end_load(self) -> None:
         """Stops sending and waits for all answers."""
-        assert self._sending is not None
-        self._sending.cancel()
+        assert self._load_task is not None
+        self._load_task.cancel()
 
         async def finish() -> None:
             await asyncio.gather(*self.sent)
@@ -94,5 +94,5 @@
         self.run(finish())
 
 
-async def _gather(tasks: set[asyncio.Task[Any]]) -> None:
+async def _wait_for_all(tasks: set[asyncio.Task[Any]]) -> None:
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -22,8 +22,8 @@
 
 pytest_bdd.scenarios("configuration.feature")
 
-NOWHERE = "http://127.0.0.1:9"
-NEWER = msgpack.packb({"schema_version": 9, "quota": "à"})
+UNREACHABLE_URL = "http://127.0.0.1:9"
+NEWER_RECORD = msgpack.packb({"schema_version": 9, "quota": "à"})
 
 SERVICE = resources.Service("till", resources.ServiceKind.PLAIN)
 
@@ -40,10 +40,10 @@
         super().__init__()
         self.slots: dict[str, int] = {}
         self.slots_before_cut: dict[str, int] = {}
-        self.raced: list[states.Verdict] = []
+        self.race_verdicts: list[states.Verdict] = []
         self.last_operation = ""
-        self.went_back: list[str] = []
-        self._numbers = itertools.count(1)
+        self.regressed_instances: list[str] = []
+        self._change_numbers = itertools.count(1)
         self._offsets: dict[int, int] = {}
         self._retention_ms = 0.0
 
@@ -53,9 +53,9 @@
 
     async def start(self, name: str) -> None:
         platform = {
-            "log_url": NOWHERE,
-            "live_list_url": NOWHERE,
-            "weight_store_url": NOWHERE,
+            "log_url": UNREACHABLE_URL,
+            "live_list_url": UNREACHABLE_URL,
+            "weight_store_url": UNREACHABLE_URL,
             "log_retention_ms": self._retention_ms,
             "live_list_poll_ms": 4_000,
         }
@@ -72,7 +72,7 @@
 
     async def submit(self, name: str) -> states.Verdict:
         """Submits a change of an endpoint to an instance."""
-        number = next(self._numbers)
+        number = next(self._change_numbers)
         self.last_operation = f"change-{number}"
         change = builders.put(
             _endpoint("e1", number), operation_id=self.last_operation
@@ -83,7 +83,7 @@
             self.slots["e1"] = number
         return verdict
 
-    def holds(self, name: str, slots: dict[str, int]) -> bool:
+    def has_slots(self, name: str, slots: dict[str, int]) -> bool:
         follower = self.bench.instances[name].core.configuration
         if not follower.caught_up.is_set():
             return False
@@ -93,8 +93,8 @@
                 return False
         return True
 
-    def all_hold(self) -> bool:
-        return all(self.holds(name, self.slots) for name in self.names)
+    def all_up_to_date(self) -> bool:
+        return all(self.has_slots(name, self.slots) for name in self.names)
 
     @property
     def names(self) -> list[str]:
@@ -109,7 +109,7 @@
 
         def check(state: states.State) -> None:
             if state.next_offset <= seen["offset"]:
-                self.went_back.append(name)
+                self.regressed_instances.append(name)
             seen["offset"] = state.next_offset
 
         follower.listen(check)
@@ -144,7 +144,7 @@
     assert all(verdict.is_accepted for verdict in fleet.run(submitted))
     fleet.slots = {"e1": 20, "e2": 20}
     fleet.wait_s(10)
-    assert fleet.all_hold()
+    assert fleet.all_up_to_date()
 
 
 @pytest_bdd.when("the log goes down")
@@ -173,14 +173,14 @@
 
 
 @pytest_bdd.when("all instances are replaced one by one")
-def one_by_one(fleet):
+def replace_one_by_one(fleet):
     for name in fleet.names:
         fleet.run(fleet.restart(name))
         fleet.wait_s(8)
 
 
 @pytest_bdd.when("all instances are replaced at once")
-def at_once(fleet):
+def replace_at_once(fleet):
     for name in fleet.names:
         fleet.act(lambda name=name: fleet.bench.kill_instance(name))
     for name in fleet.names:
@@ -198,7 +198,7 @@
         "the log takes a change at {name}, falls and loses the answer"
     )
 )
-def taken_and_lost(fleet, name):
+def append_answer_lost(fleet, name):
     fleet.bench.log.fails_after_next_append = True
     with pytest.raises(errors.WharfError) as caught:
         fleet.run(fleet.submit(name))
@@ -228,7 +228,7 @@
 
 @pytest_bdd.when("a record of a newer version is appended")
 def newer_record(fleet):
-    fleet.run(fleet.bench.log.append(records.STREAM, [NEWER]))
+    fleet.run(fleet.bench.log.append(records.STREAM, [NEWER_RECORD]))
 
 
 @pytest_bdd.when(parsers.parse("domain {domain} is cut off"))
@@ -268,59 +268,59 @@
     async def both() -> list[states.Verdict]:
         return list(await asyncio.gather(one("a1", 3), one("b1", 4)))
 
-    fleet.raced = fleet.run(both())
+    fleet.race_verdicts = fleet.run(both())
 
 
 @pytest_bdd.then("one of them wins and the other is told of a conflict")
 def one_winner(fleet):
-    outcomes = sorted(verdict.outcome.value for verdict in fleet.raced)
+    outcomes = sorted(verdict.outcome.value for verdict in fleet.race_verdicts)
     assert outcomes == ["accepted", "conflict"]
-    loser = next(one for one in fleet.raced if not one.is_accepted)
-    winner = next(one for one in fleet.raced if one.is_accepted)
+    loser = next(one for one in fleet.race_verdicts if not one.is_accepted)
+    winner = next(one for one in fleet.race_verdicts if one.is_accepted)
     assert f"generation is {winner.generation}" in loser.detail
 
 
 @pytest_bdd.when("changes go on while every instance restarts in turn")
-def churn(fleet):
+def restart_in_turn(fleet):
     for index, name in enumerate(fleet.names):
         other = fleet.names[index - 1]
         assert fleet.run(fleet.submit(other)).is_accepted
         fleet.run(fleet.restart(name))
         assert fleet.run(fleet.submit(other)).is_accepted
         fleet.wait_s(6)
-        assert fleet.all_hold()
+        assert fleet.all_up_to_date()
 
 
 @pytest_bdd.then("no instance ever went back")
-def never_back(fleet):
-    assert fleet.went_back == []
+def no_regressions(fleet):
+    assert fleet.regressed_instances == []
 
 
 @pytest_bdd.then("all hold the accepted changes")
-def all_hold(fleet):
-    assert fleet.all_hold()
+def all_up_to_date(fleet):
+    assert fleet.all_up_to_date()
 
 
 @pytest_bdd.then(
     parsers.parse("within {limit_s:d} seconds all hold the accepted changes")
 )
-def all_hold_within(fleet, limit_s):
-    assert fleet.holds_within_s(limit_s, fleet.all_hold)
+def all_up_to_date_within(fleet, limit_s):
+    assert fleet.holds_within_s(limit_s, fleet.all_up_to_date)
 
 
 @pytest_bdd.then(
     parsers.parse("those outside {domain} hold the accepted changes")
 )
-def outside_hold(fleet, domain):
+def others_up_to_date(fleet, domain):
     for name in fleet.names:
         if name[0] != domain:
-            assert fleet.holds(name, fleet.slots)
+            assert fleet.has_slots(name, fleet.slots)
 
 
 @pytest_bdd.then("c1 and c2 hold what was accepted before")
-def cut_off_hold(fleet):
+def cut_off_have_old_slots(fleet):
     for name in ("c1", "c2"):
-        assert fleet.holds(name, fleet.slots_before_cut)
+        assert fleet.has_slots(name, fleet.slots_before_cut)
 
 
 @pytest_bdd.then(parsers.parse("a change at {name} is refused and did not run"))
@@ -343,7 +343,7 @@
 
 
 @pytest_bdd.then("the change stands on the log once")
-def once(fleet):
+def appended_once(fleet):
     core = fleet.bench.instances["a1"].core
     found = [
         item
@@ -357,10 +357,10 @@
 
 
 @pytest_bdd.then("all keep the newer record whole")
-def kept_whole(fleet):
+def unknown_record_kept(fleet):
     for name in fleet.names:
         kept = [record.payload for record in fleet.state(name).unknown_records]
-        assert kept == [NEWER]
+        assert kept == [NEWER_RECORD]
 
 
 @pytest_bdd.then("all instances at one offset hold one state")
--- a/tests/scenarios/test_forwarding.py
+++ b/tests/scenarios/test_forwarding.py
@@ -21,12 +21,12 @@
 INSTANCES = ("e1", "e2", "e3")
 
 
-class Story:
+class ForwardingScenario:
     """A deployment on a virtual-time event loop and the answers it gave."""
 
     def __init__(self) -> None:
         self.loop = virtual_time.VirtualLoop()
-        self.world = deployments.Deployment(
+        self.deployment = deployments.Deployment(
             deployments.prefill_engine("p1", "a"),
             deployments.prefill_engine("p2", "b"),
             *(deployments.decode_engine(f"d{d}", d) for d in "abc"),
@@ -36,8 +36,8 @@
         self.answers: list[deployments.Answer] = []
         self.holder = ""
         self.fence = 0
-        self.last_ms = 0.0
-        self.next_ms = 0.0
+        self.last_held_ms = 0.0
+        self.next_held_ms = 0.0
 
     def run(self, coroutine):
         """Runs a coroutine to completion."""
@@ -45,62 +45,64 @@
 
     def set_store(self, *, is_down: bool) -> None:
         """Makes the store unavailable or available again."""
-        self.world.endpoints.is_down = is_down
-        self.world.configurations.is_down = is_down
+        self.deployment.endpoints.is_down = is_down
+        self.deployment.configurations.is_down = is_down
         cut_off = set(INSTANCES) if is_down else set()
-        self.world.groups.cut_off = cut_off
+        self.deployment.groups.cut_off = cut_off
 
     async def send(self, streams: int, sales: int, over_s: float) -> None:
         """Sends requests at a constant rate, round-robin over the instances."""
         self.answers = []
         paths = ["/verdicts/1"] * streams + ["/sale/1"] * sales
-        asked = []
+        requests = []
         for number, path in enumerate(paths):
             instance = INSTANCES[number % len(INSTANCES)]
-            asked.append(
-                asyncio.create_task(self.world.ask(path, instance=instance))
+            requests.append(
+                asyncio.create_task(
+                    self.deployment.ask(path, instance=instance)
+                )
             )
-            await self.world.clock.sleep_ms(over_s * 1_000.0 / len(paths))
-        self.answers = list(await asyncio.gather(*asked))
+            await self.deployment.clock.sleep_ms(over_s * 1_000.0 / len(paths))
+        self.answers = list(await asyncio.gather(*requests))
 
 
 @pytest.fixture
-def story():
-    told = Story()
-    yield told
-    told.run(told.world.stop())
-    told.loop.close()
+def scenario():
+    state = ForwardingScenario()
+    yield state
+    state.run(state.deployment.stop())
+    state.loop.close()
 
 
 @pytest_bdd.given(
     "3 instances before 2 prefill engines, 3 decode engines and 2 tills"
 )
-def _(story):
-    story.run(story.world.start(*INSTANCES))
+def _(scenario):
+    scenario.run(scenario.deployment.start(*INSTANCES))
 
 
 @pytest_bdd.given("the holder of the orders is known")
-def _(story):
-    story.run(story.world.clock.sleep_ms(8_000.0))
-    ((story.holder, story.fence),) = story.run(_holders(story))
+def _(scenario):
+    scenario.run(scenario.deployment.clock.sleep_ms(8_000.0))
+    ((scenario.holder, scenario.fence),) = scenario.run(_holders(scenario))
 
 
 @pytest_bdd.when("the store goes away")
-def _(story):
-    story.set_store(is_down=True)
+def _(scenario):
+    scenario.set_store(is_down=True)
 
 
 @pytest_bdd.when("the store is back")
-def _(story):
-    story.set_store(is_down=False)
-    story.run(story.world.clock.sleep_ms(1_500.0))
+def _(scenario):
+    scenario.set_store(is_down=False)
+    scenario.run(scenario.deployment.clock.sleep_ms(1_500.0))
 
 
 @pytest_bdd.when("all instances are killed and started anew")
-def _(story):
-    story.run(story.world.stop())
-    story.world.instances.clear()
-    story.run(story.world.start(*INSTANCES, declare=False))
+def _(scenario):
+    scenario.run(scenario.deployment.stop())
+    scenario.deployment.instances.clear()
+    scenario.run(scenario.deployment.start(*INSTANCES, declare=False))
 
 
 @pytest_bdd.when(
@@ -109,88 +111,88 @@
         r"(?P<seconds>\d+) s(?P<dies> while a decode engine dies)?$"
     )
 )
-def _(story, streams, sales, seconds, dies):
+def _(scenario, streams, sales, seconds, dies):
     async def send():
         sending = asyncio.create_task(
-            story.send(int(streams), int(sales), float(seconds))
+            scenario.send(int(streams), int(sales), float(seconds))
         )
         if dies:
-            await story.world.clock.sleep_ms(2_000.0)
-            engine = story.world.backends.by_name["da"]
+            await scenario.deployment.clock.sleep_ms(2_000.0)
+            engine = scenario.deployment.backends.by_name["da"]
             engine.breaks_after = 1
-            await story.world.clock.sleep_ms(300.0)
+            await scenario.deployment.clock.sleep_ms(300.0)
             engine.is_unreachable = True
         await sending
 
-    story.run(send())
+    scenario.run(send())
 
 
 @pytest_bdd.when("the holder is cut off from the store for 20 s")
-def _(story):
+def _(scenario):
     async def watch():
-        story.world.groups.cut_off = {story.holder}
+        scenario.deployment.groups.cut_off = {scenario.holder}
         for _ in range(200):
-            await story.world.clock.sleep_ms(100.0)
-            for name, fence in await _holders(story):
-                if name == story.holder:
-                    story.last_ms = story.world.clock.now_ms()
-                elif not story.next_ms:
-                    story.next_ms = story.world.clock.now_ms()
-                    assert fence > story.fence
+            await scenario.deployment.clock.sleep_ms(100.0)
+            for name, fence in await _holders(scenario):
+                if name == scenario.holder:
+                    scenario.last_held_ms = scenario.deployment.clock.now_ms()
+                elif not scenario.next_held_ms:
+                    scenario.next_held_ms = scenario.deployment.clock.now_ms()
+                    assert fence > scenario.fence
 
-    story.run(watch())
+    scenario.run(watch())
 
 
 @pytest_bdd.then("every request was answered whole")
-def _(story):
-    assert story.answers
-    for answer in story.answers:
+def _(scenario):
+    assert scenario.answers
+    for answer in scenario.answers:
         assert (answer.status, answer.error) == (200, None)
         if answer.numbers:
             assert answer.numbers == [1, 2, 3, 4, 5]
 
 
 @pytest_bdd.then("every request was told to come back")
-def _(story):
-    for answer in story.answers:
+def _(scenario):
+    for answer in scenario.answers:
         assert answer.error is not None
         assert answer.error.kind is errors.ErrorKind.NOT_READY
         assert answer.error.retry_after_ms is not None
 
 
 @pytest_bdd.then("no sale ran twice")
-def _(story):
-    ran = [r.request_id for r in story.world.backends.runs]
+def _(scenario):
+    ran = [r.request_id for r in scenario.deployment.backends.runs]
     assert len(ran) == len(set(ran))
 
 
 @pytest_bdd.then("no engine holds memory")
-def _(story):
+def _(scenario):
     async def settle():
-        await story.world.clock.sleep_ms(3_000.0)
-        story.world.backends.remove_expired_reservations()
+        await scenario.deployment.clock.sleep_ms(3_000.0)
+        scenario.deployment.backends.remove_expired_reservations()
 
-    story.run(settle())
-    for backend in story.world.backends.by_name.values():
+    scenario.run(settle())
+    for backend in scenario.deployment.backends.by_name.values():
         assert not backend.held
 
 
 @pytest_bdd.then("another instance holds them, under a higher fencing token")
-def _(story):
-    ((name, fence),) = story.run(_holders(story))
-    assert name != story.holder
-    assert fence > story.fence
+def _(scenario):
+    ((name, fence),) = scenario.run(_holders(scenario))
+    assert name != scenario.holder
+    assert fence > scenario.fence
 
 
 @pytest_bdd.then("there was a whole time to live between the two")
-def _(story):
-    between_ms = story.next_ms - story.last_ms
-    assert between_ms >= story.world.groups.ttl_ms
+def _(scenario):
+    gap_ms = scenario.next_held_ms - scenario.last_held_ms
+    assert gap_ms >= scenario.deployment.groups.ttl_ms
 
 
-async def _holders(story):
+async def _holders(scenario):
     return [
         (name, instance.share.lease.fence)
-        for name, instance in story.world.instances.items()
+        for name, instance in scenario.deployment.instances.items()
         if instance.share.lease.fence is not None
     ]
--- a/tests/scenarios/test_orders.py
+++ b/tests/scenarios/test_orders.py
@@ -25,7 +25,7 @@
 MODEL = resources.Model("judge", ("1", "2"))
 
 
-class Orders(steps.LoadedWorld):
+class OrdersWorld(steps.LoadedWorld):
     """A world with one pool of engines under a steady load.
 
     Attributes:
@@ -38,10 +38,10 @@
     def __init__(self) -> None:
         super().__init__()
         self.endpoints: dict[str, resources.Endpoint] = {}
-        self.ends: list[model_request.Event | None] = []
-        self.serving: list[int] = []
-        self.paused = ""
-        self._asked = 0
+        self.last_events: list[model_request.Event | None] = []
+        self.serving_counts: list[int] = []
+        self.paused_instance = ""
+        self._request_count = 0
 
     def declare_version(self, version: str) -> None:
         for name, endpoint in self.endpoints.items():
@@ -53,10 +53,10 @@
     def engines(self) -> list[engines.Engine]:
         return [self.bench.engine(name) for name in sorted(self.endpoints)]
 
-    async def ask(self) -> model_request.Event | None:
-        self._asked += 1
+    async def send_request(self) -> model_request.Event | None:
+        self._request_count += 1
         names = sorted(self.bench.instances)
-        request_id = f"r{self._asked}"
+        request_id = f"r{self._request_count}"
         request = model_request.ModelRequest(
             request_id=request_id,
             key=request_id,
@@ -68,7 +68,7 @@
             arrived_ms=self.bench.clock.now_ms(),
             deadline_ms=30_000.0,
         )
-        instance = self.bench.instances[names[self._asked % len(names)]]
+        instance = self.bench.instances[names[self._request_count % len(names)]]
         last: model_request.Event | None = None
         async for event in instance.answer(request):
             last = event
@@ -76,14 +76,14 @@
 
     async def load(self) -> None:
         while True:
-            self.sent.append(asyncio.create_task(self._ask_one()))
-            self.serving.append(self._serving_now())
+            self.sent.append(asyncio.create_task(self._send_and_record()))
+            self.serving_counts.append(self._serving_count())
             await self.bench.clock.sleep_ms(400)
 
-    async def _ask_one(self) -> None:
-        self.ends.append(await self.ask())
+    async def _send_and_record(self) -> None:
+        self.last_events.append(await self.send_request())
 
-    def _serving_now(self) -> int:
+    def _serving_count(self) -> int:
         cores = [i.core for i in self.bench.instances.values()]
         return min(
             sum(1 for v in core.fleet.views_of(SERVICE.name) if v.takes_work)
@@ -92,8 +92,8 @@
 
 
 @pytest.fixture
-def world() -> Iterator[Orders]:
-    world = Orders()
+def world() -> Iterator[OrdersWorld]:
+    world = OrdersWorld()
     yield world
     world.close()
 
@@ -148,15 +148,15 @@
 
 @pytest_bdd.when("the holder of an engine is paused before it orders")
 def pause_holder(world):
-    assert world.holds_within_s(20, lambda: _holders(world))
-    world.paused = _holders(world)[0]
+    assert world.holds_within_s(20, lambda: _lease_holders(world))
+    world.paused_instance = _lease_holders(world)[0]
     assert not any(engine.orders for engine in world.engines())
-    world.act(lambda: world.bench.pause_instance(world.paused))
+    world.act(lambda: world.bench.pause_instance(world.paused_instance))
 
 
 @pytest_bdd.when("the paused instance goes on")
-def goes_on(world):
-    world.act(lambda: world.bench.resume_instance(world.paused))
+def resume_holder(world):
+    world.act(lambda: world.bench.resume_instance(world.paused_instance))
 
 
 @pytest_bdd.when(parsers.parse("{duration_s:d} seconds pass"))
@@ -178,17 +178,17 @@
 
     async def append(stream, payloads):
         if stream == records.STREAM and world.bench.log.lose_answers == 0:
-            world.bench.log.lose_answers = int(len(lost) < 3)
-            lost.append(stream)
+            world.bench.log.lose_answers = int(len(lost_streams) < 3)
+            lost_streams.append(stream)
         return await original(stream, payloads)
 
-    lost: list[str] = []
+    lost_streams: list[str] = []
     world.bench.log.append = append
 
 
 @pytest_bdd.when("the log goes down while an engine is held")
 def log_down(world):
-    assert world.holds_within_s(20, lambda: _holders(world))
+    assert world.holds_within_s(20, lambda: _lease_holders(world))
     world.bench.log.is_down = True
 
 
@@ -198,7 +198,7 @@
 
 
 @pytest_bdd.when("the other engines are dead")
-def others_dead(world):
+def kill_other_engines(world):
     for name in ("e1", "e2", "e3"):
         world.run(world.bench.kill_engine(name))
     world.wait_s(2)
@@ -209,7 +209,7 @@
         "within {limit_s:d} seconds all engines have version {version}"
     )
 )
-def all_have(world, limit_s, version):
+def all_have_version(world, limit_s, version):
     def holds() -> bool:
         return all(e.model_version == version for e in world.engines())
 
@@ -227,29 +227,29 @@
 @pytest_bdd.then(
     "at every moment some engine was neither loading nor held back"
 )
-def always_some(world):
-    assert min(world.serving) >= 1
+def some_engine_always_available(world):
+    assert min(world.serving_counts) >= 1
 
 
 @pytest_bdd.then("every answer came whole")
-def all_whole(world):
+def all_answers_complete(world):
     # Few requests may precede the change, so send some more after it.
     world.wait_s(4)
     world.end_load()
-    assert len(world.ends) > 10
-    assert {type(end) for end in world.ends} == {model_request.Finished}
-    assert {end.count for end in world.ends} == {100}
+    assert len(world.last_events) > 10
+    assert {type(end) for end in world.last_events} == {model_request.Finished}
+    assert {end.count for end in world.last_events} == {100}
     assert [e.counts.cut_by_orders for e in world.engines()] == [0] * 4
 
 
 @pytest_bdd.then("a request is answered whole")
-def one_whole(world):
-    end = world.run(world.ask())
+def one_answer_complete(world):
+    end = world.run(world.send_request())
     assert isinstance(end, model_request.Finished)
 
 
 @pytest_bdd.then("no engine obeyed an older holder after a newer one")
-def fences_grow(world):
+def fences_do_not_decrease(world):
     for engine in world.engines():
         fences = [order.fence for order in engine.orders]
         assert fences
@@ -264,12 +264,12 @@
 
 
 @pytest_bdd.then("engine e0 still has version 1")
-def still_one(world):
+def version_unchanged(world):
     assert world.bench.engine("e0").model_version == "1"
     assert not world.bench.engine("e0").orders
 
 
-def _holders(world: Orders) -> list[str]:
+def _lease_holders(world: OrdersWorld) -> list[str]:
     now_ms = world.loop.time() * 1_000
     for instance in world.bench.instances.values():
         held = instance.core.leases.ledger.held(now_ms)
--- a/tests/scenarios/test_peers.py
+++ b/tests/scenarios/test_peers.py
@@ -38,19 +38,21 @@
     world.close()
 
 
-def _group(world: steps.World, words: str) -> list[str]:
+def _resolve_names(world: steps.World, expression: str) -> list[str]:
     """Resolves 'all', 'all but x', 'those in a' or a name to names."""
-    everyone = sorted(world.bench.instances)
-    if words == "all":
-        return everyone
-    if words.startswith("all but "):
-        return [n for n in everyone if n != words.removeprefix("all but ")]
-    if words.startswith("those in "):
-        domain = words.removeprefix("those in ")
+    all_names = sorted(world.bench.instances)
+    if expression == "all":
+        return all_names
+    if expression.startswith("all but "):
         return [
-            n for n in everyone if world.bench.instances[n].domain == domain
+            n for n in all_names if n != expression.removeprefix("all but ")
         ]
-    return [words]
+    if expression.startswith("those in "):
+        domain = expression.removeprefix("those in ")
+        return [
+            n for n in all_names if world.bench.instances[n].domain == domain
+        ]
+    return [expression]
 
 
 def _present(world: steps.World, name: str) -> set[str]:
@@ -58,7 +60,9 @@
     return {member.instance for member in view.present()}
 
 
-def _start(world: steps.World, name: str, skew_ms: float = 0.0) -> None:
+def _start_instance(
+    world: steps.World, name: str, skew_ms: float = 0.0
+) -> None:
     async def start() -> None:
         clock = clocks.Clock(skew_ms=skew_ms, wall_origin_ms=_ORIGIN_MS)
         instance = await world.bench.start_instance(name, name[0], clock=clock)
@@ -76,10 +80,10 @@
 def three_domains(world):
     for domain in "abc":
         for number in (1, 2, 3):
-            _start(world, f"{domain}{number}")
+            _start_instance(world, f"{domain}{number}")
     world.wait_s(10)
-    for name in _group(world, "all"):
-        assert _present(world, name) == set(_group(world, "all"))
+    for name in _resolve_names(world, "all"):
+        assert _present(world, name) == set(_resolve_names(world, "all"))
 
 
 @pytest_bdd.given(parsers.parse("the list lies {lag_s:d} seconds behind"))
@@ -95,7 +99,7 @@
 
 @pytest_bdd.when(parsers.re(r"(?P<name>\w+) starts in domain \w"))
 def starts(world, name):
-    _start(world, name)
+    _start_instance(world, name)
 
 
 @pytest_bdd.when(
@@ -107,7 +111,7 @@
 def starts_with_skew(world, name, skew_s, side):
     sign = 1 if side == "ahead" else -1
     skew_ms = sign * float(skew_s) * 1_000
-    _start(world, name, skew_ms)
+    _start_instance(world, name, skew_ms)
 
 
 @pytest_bdd.when(parsers.parse("{name} dies"))
@@ -121,7 +125,7 @@
 
 
 @pytest_bdd.when(parsers.parse("{name} goes on"))
-def goes_on(world, name):
+def resumes(world, name):
     world.act(lambda: world.bench.resume_instance(name))
 
 
@@ -213,13 +217,13 @@
 
 
 @pytest_bdd.then("no engine holds memory")
-def nothing_held(world):
+def no_memory_held(world):
     for engine in world.bench.engines.values():
         assert world.run(engine.held()) == ()
 
 
 @pytest_bdd.when("the cut heals")
-def heals(world):
+def heal_network(world):
     world.act(world.bench.heal)
 
 
@@ -229,12 +233,12 @@
         r"pass over (?P<others>.+)"
     )
 )
-def pass_over(world, limit_s, watchers, others):
+def are_absent(world, limit_s, watchers, others):
     def holds() -> bool:
-        absent = set(_group(world, others))
+        absent = set(_resolve_names(world, others))
         return not any(
             _present(world, name) & absent - {name}
-            for name in _group(world, watchers)
+            for name in _resolve_names(world, watchers)
         )
 
     assert world.holds_within_s(float(limit_s), holds)
@@ -247,9 +251,10 @@
 )
 def see_within(world, limit_s, watchers, others):
     def holds() -> bool:
-        seen = set(_group(world, others))
+        seen = set(_resolve_names(world, others))
         return all(
-            seen <= _present(world, name) for name in _group(world, watchers)
+            seen <= _present(world, name)
+            for name in _resolve_names(world, watchers)
         )
 
     assert world.holds_within_s(float(limit_s), holds)
@@ -263,7 +268,7 @@
 @pytest_bdd.then(
     parsers.parse("{name} passes over nobody for {duration_s:d} seconds")
 )
-def passes_over_nobody(world, name, duration_s):
+def sees_everyone(world, name, duration_s):
     def is_alone() -> bool:
         return len(_present(world, name)) < len(world.bench.instances)
 
@@ -273,7 +278,7 @@
 @pytest_bdd.then(
     parsers.parse("within {limit_s:d} seconds all reach the new {name}")
 )
-def reach(world, limit_s, name):
+def all_reach_new(world, limit_s, name):
     newest = world.bench.instances[name].core.peers
 
     async def ask(asker: str) -> int:
@@ -282,5 +287,5 @@
         return answer.incarnation
 
     world.wait_s(limit_s)
-    for asker in _group(world, f"all but {name}"):
+    for asker in _resolve_names(world, f"all but {name}"):
         assert world.run(ask(asker)) == newest.incarnation
--- a/tests/scenarios/test_policy.py
+++ b/tests/scenarios/test_policy.py
@@ -30,14 +30,14 @@
 _TOKENS = 40
 
 
-class Story:
+class PolicyScenario:
     """A world, its engines and the last event of each request."""
 
     def __init__(self):
         self.world = steps.World()
         self.bench = self.world.bench
         self.world.run(self.bench.declare(_SERVICE))
-        self.ends = []
+        self.last_events = []
         self.refused_full = 0
 
     def add_engine(self, name, domain, role, *, capabilities=None, lag_ms=500):
@@ -61,15 +61,15 @@
 
         def add():
             engine = self.bench.add_engine(endpoint, spec)
-            self._watch(engine)
+            self._count_refusals(engine)
 
         self.world.act(add)
         self.world.run(self.bench.declare(endpoint))
 
-    def _watch(self, engine):
+    def _count_refusals(self, engine):
         reserve = engine.reserve
 
-        async def watched(attempt):
+        async def counting_reserve(attempt):
             try:
                 await reserve(attempt)
             except client.EngineError as error:
@@ -77,9 +77,9 @@
                 self.refused_full += error.fault is full
                 raise
 
-        engine.reserve = watched
+        engine.reserve = counting_reserve
 
-    async def ask(self, instance, number):
+    async def send_request(self, instance, number):
         request = model_request.ModelRequest(
             request_id=f"r-{instance.name}-{number}",
             key=f"k-{instance.name}-{number}",
@@ -92,7 +92,7 @@
             deadline_ms=40_000,
         )
         answer = instance.core.answer(request)
-        self.ends.append([event async for event in answer][-1])
+        self.last_events.append([event async for event in answer][-1])
 
     def living(self):
         return [
@@ -101,121 +101,123 @@
             if not instance.process.is_dead
         ]
 
-    def ask_all(self, count, over_s):
+    def send_requests(self, count, over_s):
         async def work():
-            asked = []
+            requests = []
             for number in range(count):
                 for instance in self.living():
-                    name = number + 100 * len(self.ends)
-                    asked.append(
-                        asyncio.ensure_future(self.ask(instance, name))
+                    name = number + 100 * len(self.last_events)
+                    requests.append(
+                        asyncio.ensure_future(self.send_request(instance, name))
                     )
                 await self.bench.clock.sleep_ms(over_s * 1_000 / count)
-            await asyncio.gather(*asked)
+            await asyncio.gather(*requests)
 
         self.world.run(work())
 
 
 @pytest.fixture
-def story():
-    told = Story()
-    yield told
-    told.world.close()
+def scenario():
+    state = PolicyScenario()
+    yield state
+    state.world.close()
 
 
 @pytest_bdd.given("two decode engines of 4 slots whose reports are 5 s old")
-def two_decode_engines(story):
+def two_decode_engines(scenario):
     for name, domain in (("d1", "a"), ("d2", "b")):
-        story.add_engine(name, domain, "decode", lag_ms=5_000)
-    story.add_engine("p1", "a", "prefill", lag_ms=5_000)
+        scenario.add_engine(name, domain, "decode", lag_ms=5_000)
+    scenario.add_engine("p1", "a", "prefill", lag_ms=5_000)
 
 
 @pytest_bdd.given('a decode engine "d1" that can\'t import KV cache')
-def no_import(story):
+def no_import(scenario):
     capabilities = resources.Capabilities(kv_import=False)
-    story.add_engine("d1", "a", "both", capabilities=capabilities)
+    scenario.add_engine("d1", "a", "both", capabilities=capabilities)
 
 
 @pytest_bdd.given('a prefill engine "p1" that can\'t export KV cache')
-def no_export(story):
+def no_export(scenario):
     capabilities = resources.Capabilities(kv_export=False)
-    story.add_engine("p1", "b", "prefill", capabilities=capabilities)
+    scenario.add_engine("p1", "b", "prefill", capabilities=capabilities)
 
 
 @pytest_bdd.given('3 instances in each of domains "a" and "b"')
-def instances(story):
+def instances(scenario):
     for domain in ("a", "b"):
         for number in range(3):
             name = f"e-{domain}{number}"
-            story.world.run(story.bench.start_instance(name, domain))
-    story.world.wait_s(8)
+            scenario.world.run(scenario.bench.start_instance(name, domain))
+    scenario.world.wait_s(8)
 
 
 @pytest_bdd.when("every instance is asked 3 questions at once")
-def ask_at_once(story):
-    story.ask_all(3, 0)
+def ask_at_once(scenario):
+    scenario.send_requests(3, 0)
 
 
 @pytest_bdd.when(
     parsers.parse("every living instance is asked {count:d} questions over 6 s")
 )
-def ask_over_time(story, count):
-    story.ask_all(count, 6)
+def ask_over_time(scenario, count):
+    scenario.send_requests(count, 6)
 
 
 @pytest_bdd.when('the keeper of "d1" dies')
-def keeper_dies(story):
-    core = story.living()[0].core
+def coordinator_dies(scenario):
+    core = scenario.living()[0].core
     endpoint = core.fleet.view("d1").endpoint
-    keeper = coordinators.coordinator_of(endpoint, core.membership.present())
-    story.world.act(lambda: story.bench.kill_instance(keeper))
+    coordinator = coordinators.coordinator_of(
+        endpoint, core.membership.present()
+    )
+    scenario.world.act(lambda: scenario.bench.kill_instance(coordinator))
 
 
 @pytest_bdd.when('the peers of domain "a" are cut off')
-def cut_peers(story):
-    story.world.act(
-        lambda: story.bench.cut_domain(
+def cut_peers(scenario):
+    scenario.world.act(
+        lambda: scenario.bench.cut_domain(
             "a", from_log=False, from_list=False, from_engines_elsewhere=False
         )
     )
 
 
 @pytest_bdd.when('the instances are told that "d1" is leaving')
-def told_leaving(story):
-    for instance in story.living():
+def engine_marked_leaving(scenario):
+    for instance in scenario.living():
         instance.core.fleet.mark_leaving("d1", True)
 
 
 @pytest_bdd.then("no engine refused a reservation for lack of slots")
-def none_refused(story):
-    assert story.refused_full == 0
+def no_reservation_refused(scenario):
+    assert scenario.refused_full == 0
 
 
 @pytest_bdd.then("no prompt was read in vain")
-def none_wasted(story):
-    for engine in story.bench.engines.values():
+def no_wasted_prefill(scenario):
+    for engine in scenario.bench.engines.values():
         assert engine.counts.wasted_prefill_tokens == 0
 
 
 @pytest_bdd.then("every question is answered whole")
-def all_whole(story):
-    kinds = [type(end) for end in story.ends]
+def all_answers_complete(scenario):
+    kinds = [type(end) for end in scenario.last_events]
     assert kinds == [model_request.Finished] * len(kinds)
-    assert all(end.count == _TOKENS for end in story.ends)
+    assert all(end.count == _TOKENS for end in scenario.last_events)
 
 
 @pytest_bdd.then("no slot stays held")
-def none_held(story):
-    story.world.wait_s(1)
-    for engine in story.bench.engines.values():
-        assert story.world.run(engine.held()) == ()
+def no_slot_held(scenario):
+    scenario.world.wait_s(1)
+    for engine in scenario.bench.engines.values():
+        assert scenario.world.run(engine.held()) == ()
 
 
 @pytest_bdd.then(parsers.parse('"{name}" wrote nothing'))
-def wrote_nothing(story, name):
-    assert story.bench.engine(name).counts.decoded_tokens == 0
+def decoded_nothing(scenario, name):
+    assert scenario.bench.engine(name).counts.decoded_tokens == 0
 
 
 @pytest_bdd.then(parsers.parse('"{name}" read nothing'))
-def read_nothing(story, name):
-    assert story.bench.engine(name).counts.prefilled_tokens == 0
+def prefilled_nothing(scenario, name):
+    assert scenario.bench.engine(name).counts.prefilled_tokens == 0
--- a/tests/scenarios/test_requests.py
+++ b/tests/scenarios/test_requests.py
@@ -19,11 +19,11 @@
 
 INSTANCES = {"e1": "a", "e2": "b", "e3": "c"}
 TOKENS = 120
-_PATIENCE_MS = 25_000
+_TIMEOUT_MS = 25_000
 
 
 @dataclasses.dataclass
-class Sending:
+class Attempt:
     """An attempt of the caller and the events it received."""
 
     request_id: str
@@ -31,65 +31,67 @@
     task: asyncio.Task
 
 
-class Story:
+class RequestScenario:
     """Collects the actions of a scenario and runs them on virtual time."""
 
     def __init__(self):
-        self.acts = []
-        self.sendings = []
+        self.actions = []
+        self.attempts = []
         self.is_repeatable = True
-        self.is_played = False
+        self.is_executed = False
         self.held = None
 
-    def play(self):
+    def execute(self):
         """Runs the collected actions once and keeps the results."""
-        if not self.is_played:
-            self.is_played = True
-            virtual_time.run(self._play())
+        if not self.is_executed:
+            self.is_executed = True
+            virtual_time.run(self._execute())
 
-    async def _play(self):
-        self.d = await deployments.Deployment(
+    async def _execute(self):
+        self.cluster = await deployments.Deployment(
             INSTANCES, prefillers=2, decoders=3
         ).start()
-        for after_ms, act in self.acts:
-            await self.d.clock.sleep_ms(after_ms)
-            await act()
+        for after_ms, action in self.actions:
+            await self.cluster.clock.sleep_ms(after_ms)
+            await action()
         await asyncio.wait(
-            [sending.task for sending in self.sendings],
-            timeout=_PATIENCE_MS / 1_000,
+            [attempt.task for attempt in self.attempts],
+            timeout=_TIMEOUT_MS / 1_000,
         )
         for _ in range(5):
-            if self.ends_known():
+            if self.is_outcome_known():
                 break
             await self.send("e3")
-            await asyncio.wait([self.sendings[-1].task])
-        await self.d.clock.sleep_ms(20_000)
-        self.held = await self.d.held()
-        self.dispatches = self.d.dispatches()
+            await asyncio.wait([self.attempts[-1].task])
+        await self.cluster.clock.sleep_ms(20_000)
+        self.held = await self.cluster.held()
+        self.dispatches = self.cluster.dispatches()
         self.dispatched_ids = {
             attempt_id.rpartition(".")[0]
-            for engine in self.d.bench.engines.values()
+            for engine in self.cluster.bench.engines.values()
             for attempt_id in engine.counts.dispatches
         }
-        await self.d.bench.stop()
+        await self.cluster.bench.stop()
 
-    def ends(self):
-        return [s.events[-1] for s in self.sendings if s.events]
+    def last_events(self):
+        return [s.events[-1] for s in self.attempts if s.events]
 
     def has_answer(self):
-        return any(isinstance(e, model_request.Finished) for e in self.ends())
+        return any(
+            isinstance(e, model_request.Finished) for e in self.last_events()
+        )
 
     def is_unknown(self):
         unknown = (errors.Ran.UNKNOWN, errors.Ran.YES)
-        return any(deployments.ran_of(e) in unknown for e in self.ends())
+        return any(deployments.ran_of(e) in unknown for e in self.last_events())
 
-    def ends_known(self):
+    def is_outcome_known(self):
         if self.has_answer():
             return True
         return not self.is_repeatable and self.is_unknown()
 
     async def send(self, name):
-        request = self.d.request(
+        request = self.cluster.request(
             tokens=TOKENS,
             key="k",
             is_repeatable=self.is_repeatable,
@@ -99,22 +101,22 @@
 
         async def read():
             try:
-                instance = self.d.bench.instances[name]
+                instance = self.cluster.bench.instances[name]
                 async for event in instance.answer(request):
                     events.append(event)
             except processes.InstanceLostError:
                 return
 
         task = asyncio.ensure_future(read())
-        self.sendings.append(Sending(request.request_id, events, task))
+        self.attempts.append(Attempt(request.request_id, events, task))
 
     async def fail(self, failure):
-        bench = self.d.bench
+        bench = self.cluster.bench
         match failure.split():
             case ["nothing", "fails"]:
                 return
             case ["the", "caller", "hangs", "up"]:
-                self.sendings[0].task.cancel()
+                self.attempts[0].task.cancel()
             case [*names, "die" | "dies"] if names[0].startswith("e"):
                 for name in names[::2]:
                     bench.kill_instance(name)
@@ -143,11 +145,11 @@
                 raise AssertionError(failure)
 
     async def _engines_in_use(self):
-        in_use = {item.partition(":")[0] for item in await self.d.held()}
+        in_use = {item.partition(":")[0] for item in await self.cluster.held()}
         return sorted(in_use)
 
-    async def put_right(self):
-        bench = self.d.bench
+    async def repair_all(self):
+        bench = self.cluster.bench
         bench.heal()
         bench.log.is_down = False
         bench.log.lose_answers = 0
@@ -164,85 +166,85 @@
 
 
 @pytest.fixture
-def story():
-    return Story()
+def scenario():
+    return RequestScenario()
 
 
 @pytest_bdd.given(
     "instances e1, e2 and e3 in domains a, b and c before five engines"
 )
-def deployment(story):
-    assert not story.acts
+def deployment(scenario):
+    assert not scenario.actions
 
 
 @pytest_bdd.given(parsers.re(r"a request that may (?P<no>not )?be repeated"))
-def marked_request(story, no):
-    story.is_repeatable = not no
+def marked_request(scenario, no):
+    scenario.is_repeatable = not no
 
 
 @pytest_bdd.when(parsers.parse("the caller sends it to {name}"))
-def sends(story, name):
-    story.acts.append((0, lambda: story.send(name)))
+def sends(scenario, name):
+    scenario.actions.append((0, lambda: scenario.send(name)))
 
 
 @pytest_bdd.when(
     parsers.re(r"after (?P<at>\d+) ms the caller sends it to (?P<name>e\d)")
 )
-def sends_later(story, at, name):
-    story.acts.append((float(at), lambda: story.send(name)))
+def sends_later(scenario, at, name):
+    scenario.actions.append((float(at), lambda: scenario.send(name)))
 
 
 @pytest_bdd.when(
     parsers.re(r"after (?P<at>\d+) ms (?P<failure>(?!the caller sends).+)")
 )
-def fails(story, at, failure):
-    story.acts.append((float(at), lambda: story.fail(failure)))
+def fails(scenario, at, failure):
+    scenario.actions.append((float(at), lambda: scenario.fail(failure)))
 
 
 @pytest_bdd.when("after 9 seconds everything is put right")
-def put_right(story):
-    story.acts.append((9_000.0, story.put_right))
+def repair_all(scenario):
+    scenario.actions.append((9_000.0, scenario.repair_all))
 
 
 @pytest_bdd.then("the caller gets the whole answer")
-def whole_answer(story):
-    story.play()
-    assert story.has_answer(), story.ends()
+def complete_answer(scenario):
+    scenario.execute()
+    assert scenario.has_answer(), scenario.last_events()
 
 
 @pytest_bdd.then(
     "the caller gets the whole answer or is told that it is unknown"
 )
-def whole_or_unknown(story):
-    story.play()
-    assert story.ends_known(), story.ends()
+def complete_or_unknown(scenario):
+    scenario.execute()
+    assert scenario.is_outcome_known(), scenario.last_events()
 
 
 @pytest_bdd.then("it was dispatched at most once")
-def dispatched_once(story):
-    assert story.dispatches <= 1
+def dispatched_once(scenario):
+    assert scenario.dispatches <= 1
 
 
 @pytest_bdd.then("it was dispatched at most once unless it may be repeated")
-def dispatched_once_if_marked(story):
-    assert story.is_repeatable or story.dispatches <= 1
+def dispatched_once_if_marked(scenario):
+    assert scenario.is_repeatable or scenario.dispatches <= 1
 
 
 @pytest_bdd.then(
     "no answer is broken, and nothing that ran is said not to have run"
 )
-def nothing_broken(story):
-    whole = deployments.expected(TOKENS)
-    for sending in story.sendings:
-        text = deployments.text_of(sending.events)
-        assert whole.startswith(text)
-        end = sending.events[-1] if sending.events else None
+def no_answer_broken(scenario):
+    expected_text = deployments.expected(TOKENS)
+    for attempt in scenario.attempts:
+        text = deployments.text_of(attempt.events)
+        assert expected_text.startswith(text)
+        end = attempt.events[-1] if attempt.events else None
         if isinstance(end, model_request.Finished):
-            assert text == whole
+            assert text == expected_text
         if deployments.ran_of(end) is errors.Ran.NO:
-            assert sending.request_id not in story.dispatched_ids
+            assert attempt.request_id not in scenario.dispatched_ids
 
 
 @pytest_bdd.then("within 20 seconds no engine holds memory")
-def no_memory_held(story):
-    assert story.held == []
+def no_memory_held(scenario):
+    assert scenario.held == []
--- a/tests/scenarios/test_shutdown.py
+++ b/tests/scenarios/test_shutdown.py
@@ -25,19 +25,21 @@
 SERVICE = resources.Service(
     "verdict-llm", resources.ServiceKind.MODEL, model="judge"
 )
-TILLS = resources.Service("shop-api", resources.ServiceKind.PLAIN)
+PLAIN_SERVICE = resources.Service("shop-api", resources.ServiceKind.PLAIN)
 
 
-class Leaving(steps.LoadedWorld):
+class ShutdownWorld(steps.LoadedWorld):
     """A world with both pools under a steady load on the ready instances."""
 
     def __init__(self) -> None:
         super().__init__()
         self.endpoints: dict[str, resources.Endpoint] = {}
-        self.ends: list[model_request.Event | None] = []
-        self.plain_ends: list[bytes] = []
+        self.last_events: list[model_request.Event | None] = []
+        self.plain_answers: list[bytes] = []
         self.summary: shutdown.Summary | None = None
-        self.asked: asyncio.Task[model_request.Event | None] | None = None
+        self.long_request: asyncio.Task[model_request.Event | None] | None = (
+            None
+        )
         self._count = 0
 
     def request(self, tokens: int) -> model_request.ModelRequest:
@@ -55,14 +57,16 @@
             deadline_ms=60_000.0,
         )
 
-    def listed(self) -> list[str]:
+    def ready_instances(self) -> list[str]:
         return [
             name
             for name, instance in sorted(self.bench.instances.items())
             if not instance.process.is_dead and instance.core.admission.is_ready
         ]
 
-    async def ask(self, name: str, tokens: int) -> model_request.Event | None:
+    async def send_request(
+        self, name: str, tokens: int
+    ) -> model_request.Event | None:
         last: model_request.Event | None = None
         instance = self.bench.instances[name]
         async for event in instance.answer(self.request(tokens)):
@@ -71,37 +75,37 @@
 
     async def load(self) -> None:
         for turn in itertools.count():
-            names = self.listed()
+            names = self.ready_instances()
             name = names[turn % len(names)]
-            self.sent.append(asyncio.create_task(self._ask(name)))
-            self.sent.append(asyncio.create_task(self._call(name)))
+            self.sent.append(asyncio.create_task(self._send_and_record(name)))
+            self.sent.append(asyncio.create_task(self._call_plain(name)))
             await self.bench.clock.sleep_ms(300)
 
-    async def _ask(self, name: str) -> None:
-        self.ends.append(await self.ask(name, 80))
+    async def _send_and_record(self, name: str) -> None:
+        self.last_events.append(await self.send_request(name, 80))
 
-    async def _call(self, name: str) -> None:
+    async def _call_plain(self, name: str) -> None:
         self._count += 1
         call = plain.PlainRequest(
             request_id=f"p{self._count}",
-            service=TILLS,
+            service=PLAIN_SERVICE,
             method="GET",
             path_query="/stock",
             arrived_ms=self.bench.clock.now_ms(),
             deadline_ms=10_000.0,
             is_repeatable=True,
         )
-        self.plain_ends.append(
+        self.plain_answers.append(
             await self.bench.instances[name].call_plain(call)
         )
 
-    def shut_down(self, name: str, hasten_after_s: float | None = None) -> None:
+    def shut_down(self, name: str, force_after_s: float | None = None) -> None:
         async def drain() -> None:
             core = self.bench.instances[name].core
             leaving = core.new_shutdown()
             task = asyncio.create_task(leaving.run())
-            if hasten_after_s is not None:
-                await self.bench.clock.sleep_ms(hasten_after_s * 1_000)
+            if force_after_s is not None:
+                await self.bench.clock.sleep_ms(force_after_s * 1_000)
                 leaving.force()
             self.summary = await task
 
@@ -109,8 +113,8 @@
 
 
 @pytest.fixture
-def world() -> Iterator[Leaving]:
-    world = Leaving()
+def world() -> Iterator[ShutdownWorld]:
+    world = ShutdownWorld()
     yield world
     world.close()
 
@@ -143,14 +147,14 @@
     for number in range(2):
         endpoint = resources.Endpoint(
             f"till-{number}",
-            TILLS.name,
+            PLAIN_SERVICE.name,
             f"127.0.0.1:till{number}",
             "ab"[number],
             resources.Role.PLAIN,
         )
         world.endpoints[endpoint.name] = endpoint
     declared = world.endpoints.values()
-    world.run(world.bench.declare(SERVICE, TILLS, *declared))
+    world.run(world.bench.declare(SERVICE, PLAIN_SERVICE, *declared))
     world.wait_s(5)
 
 
@@ -178,15 +182,17 @@
 @pytest_bdd.when("a caller asks entry-a1 for a long answer")
 def ask_long(world):
     async def start() -> None:
-        world.asked = asyncio.create_task(world.ask("entry-a1", 1_000))
+        world.long_request = asyncio.create_task(
+            world.send_request("entry-a1", 1_000)
+        )
 
     world.run(start())
     world.wait_s(2)
 
 
 @pytest_bdd.when("entry-a1 is shut down and hastened after 1 second")
-def hasten(world):
-    world.shut_down("entry-a1", hasten_after_s=1.0)
+def force_shutdown(world):
+    world.shut_down("entry-a1", force_after_s=1.0)
 
 
 @pytest_bdd.when("entry-a1 is shut down")
@@ -196,7 +202,7 @@
 
 @pytest_bdd.when("a caller asks entry-a1")
 def ask_one(world):
-    world.ends.append(world.run(world.ask("entry-a1", 5)))
+    world.last_events.append(world.run(world.send_request("entry-a1", 5)))
 
 
 @pytest_bdd.when(
@@ -204,7 +210,7 @@
         r"the (?P<source>engine|operator) says that (?P<name>\S+) leaves"
     )
 )
-def says_leaving(world, source, name):
+def mark_leaving(world, source, name):
     if source == "engine":
         world.bench.engine(name).is_leaving = True
     else:
@@ -213,7 +219,7 @@
 
 
 @pytest_bdd.when(parsers.re(r"one list reader says that (?P<name>\S+) leaves"))
-def reader_says(world, name):
+def reader_reports_leaving(world, name):
     """Only entry-b2 reads the current live list; the others lag behind."""
     endpoint = world.endpoints[name]
     member = live_list.LiveMember(
@@ -228,16 +234,16 @@
 
 
 @pytest_bdd.then("every answer came whole")
-def all_whole(world):
+def all_answers_complete(world):
     world.end_load()
-    assert len(world.ends) > 10
-    assert {type(end) for end in world.ends} == {model_request.Finished}
-    assert {end.count for end in world.ends} == {80}
-    assert len(world.plain_ends) > 10
+    assert len(world.last_events) > 10
+    assert {type(end) for end in world.last_events} == {model_request.Finished}
+    assert {end.count for end in world.last_events} == {80}
+    assert len(world.plain_answers) > 10
 
 
 @pytest_bdd.then("every instance knows all 6 changes")
-def know_all(world):
+def all_know_changes(world):
     for instance in world.bench.instances.values():
         state = instance.core.configuration.current
         for number in range(6):
@@ -246,20 +252,20 @@
 
 
 @pytest_bdd.then("no engine holds memory")
-def nothing_held(world):
+def no_memory_held(world):
     world.wait_s(5)
     for engine in world.bench.engines.values():
         assert world.run(engine.held()) == ()
 
 
 @pytest_bdd.then("the shutdown cut 1 request")
-def cut_one(world):
+def one_request_cut(world):
     assert world.summary.cut == 1
 
 
 @pytest_bdd.then("the caller is told to come back and that nothing ran")
-def told(world):
-    end = world.ends[-1]
+def caller_told_to_retry(world):
+    end = world.last_events[-1]
     assert isinstance(end, model_request.Failed)
     assert end.kind is errors.ErrorKind.SHUTTING_DOWN
     assert end.ran is errors.Ran.NO
@@ -269,12 +275,12 @@
 @pytest_bdd.then(parsers.re(r"3 seconds later (?P<name>\S+) gets no new work"))
 def no_new_work(world, name):
     world.wait_s(3)
-    before = _work(world, name)
+    before = _work_count(world, name)
     world.wait_s(15)
-    assert _work(world, name) == before
+    assert _work_count(world, name) == before
 
 
-def _work(world: Leaving, name: str) -> int:
+def _work_count(world: ShutdownWorld, name: str) -> int:
     if name.startswith("till"):
         return len(world.bench.endpoints.runs.get(name, ()))
     return len(world.bench.engine(name).counts.dispatches)
