--- a/src/jujubewharf/demo/deployment.py
+++ b/src/jujubewharf/demo/deployment.py
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Replaced:
+class ReplacementResult:
     """Result of replacing an instance.
 
     Attributes:
@@ -232,7 +232,7 @@
     deployment: Deployment,
     entry: EntryAddress,
     session: aiohttp.ClientSession,
-) -> Replaced:
+) -> ReplacementResult:
     """Drains an instance with SIGTERM and restarts it on the same address.
 
     While its readiness probe fails, the instance is removed from
@@ -251,7 +251,7 @@
     )
     await _wait_for(deployment, entry, is_ready, session)
     deployment.entries.append(entry)
-    return Replaced(exit_code, drained_s)
+    return ReplacementResult(exit_code, drained_s)
 
 
 async def _is_not_ready(
