--- a/src/jujubewharf/demo/deployment.py
+++ b/src/jujubewharf/demo/deployment.py
@@ -92,7 +92,7 @@
     live_list_url: str
     operator_token: str
 
-    def declared(self) -> list[resources.Resource]:
+    def declared_resources(self) -> list[resources.Resource]:
         """Returns the resources that operators apply to this deployment."""
         return [
             resources.Model(MODEL, versions=("1",)),
--- a/src/jujubewharf/demo/show.py
+++ b/src/jujubewharf/demo/show.py
@@ -98,7 +98,7 @@
     async with operator_client.OperatorClient(
         addresses, deployment.operator_token
     ) as client:
-        reply = await client.apply(deployment.declared())
+        reply = await client.apply(deployment.declared_resources())
     if reply.failed:
         raise processes.StartError(
             f"configuration was rejected: {reply.failed}"
