--- a/src/jujubewharf/demo/checks.py
+++ b/src/jujubewharf/demo/checks.py
@@ -17,7 +17,7 @@
 _RELEASE_POLL_S = 0.2
 
 
-async def ran_more_than_once(
+async def find_execution_count_errors(
     outcomes: list[load.Outcome],
     deployment: deployments.Deployment,
     session: aiohttp.ClientSession,
--- a/src/jujubewharf/demo/show.py
+++ b/src/jujubewharf/demo/show.py
@@ -86,7 +86,7 @@
             failures.append(
                 f"{drained_entry.instance}: exit code {replaced.exit_code}"
             )
-        failures += await checks.ran_more_than_once(
+        failures += await checks.find_execution_count_errors(
             outcomes, deployment, session
         )
         return failures + await checks.held_memory(deployment, session)
