--- a/src/jujubewharf/demo/checks.py
+++ b/src/jujubewharf/demo/checks.py
@@ -45,7 +45,7 @@
     return lines
 
 
-async def held_memory(
+async def find_held_memory(
     deployment: deployments.Deployment, session: aiohttp.ClientSession
 ) -> list[str]:
     """Lists memory that engines still hold once releases had time to arrive."""
--- a/src/jujubewharf/demo/show.py
+++ b/src/jujubewharf/demo/show.py
@@ -89,7 +89,7 @@
         failures += await checks.find_execution_count_errors(
             outcomes, deployment, session
         )
-        return failures + await checks.held_memory(deployment, session)
+        return failures + await checks.find_held_memory(deployment, session)
 
 
 async def _apply(deployment: deployments.Deployment) -> None:
