--- a/src/jujubewharf/demo/load.py
+++ b/src/jujubewharf/demo/load.py
@@ -72,7 +72,7 @@
     request_ids: tuple[str, ...] = ()
 
 
-class WrongAnswerError(Exception):
+class InvalidResponseError(Exception):
     """A response was an error, truncated or had unexpected content."""
 
 
@@ -147,7 +147,11 @@
         request_ids: tuple[str, ...] = ()
         try:
             request_ids = await self._send(kind, number)
-        except (WrongAnswerError, aiohttp.ClientError, TimeoutError) as error:
+        except (
+            InvalidResponseError,
+            aiohttp.ClientError,
+            TimeoutError,
+        ) as error:
             fault = f"{type(error).__name__}: {error}"
         duration_ms = (loop.time() - started_s) * 1_000
         prompt_digest = ""
@@ -188,7 +192,7 @@
             await _check_status(answer)
             echoed = await answer.json()
             if echoed["body"] != data:
-                raise WrongAnswerError(
+                raise InvalidResponseError(
                     "response body belongs to another request"
                 )
             return answer.headers[http_endpoint.REQUEST_HEADER]
@@ -225,7 +229,7 @@
                     break
                 texts.append(_text_of(data))
             else:
-                raise WrongAnswerError("stream ended before [DONE]")
+                raise InvalidResponseError("stream ended before [DONE]")
             _check_text(request, "".join(texts))
             return answer.headers[request_options.REQUEST_HEADER]
 
@@ -265,17 +269,17 @@
 def _text_of(data: str) -> str:
     event = json.loads(data)
     if "error" in event:
-        raise WrongAnswerError(event["error"]["code"])
+        raise InvalidResponseError(event["error"]["code"])
     return event["choices"][0]["text"]
 
 
 async def _check_status(answer: aiohttp.ClientResponse) -> None:
     if answer.status != _HTTP_OK:
-        raise WrongAnswerError(f"{answer.status}: {await answer.text()}")
+        raise InvalidResponseError(f"{answer.status}: {await answer.text()}")
 
 
 def _check_text(request: _ModelRequest, text: str) -> None:
     if text != request.expected:
-        raise WrongAnswerError(
+        raise InvalidResponseError(
             f"answer {request.number} differs from the expected text"
         )
