--- a/src/jujubewharf/demo/load.py
+++ b/src/jujubewharf/demo/load.py
@@ -31,7 +31,7 @@
     """Kind of a request in the mix."""
 
     STREAMED = "streamed"
-    WHOLE = "whole"
+    UNSTREAMED = "whole"
     RETRIED = "retried at another instance"
     NOT_REPEATABLE = "not repeatable"
     CANCELLED = "cancelled by the caller"
@@ -41,13 +41,13 @@
 _MIX = (
     Kind.STREAMED,
     Kind.PLAIN,
-    Kind.WHOLE,
+    Kind.UNSTREAMED,
     Kind.PLAIN,
     Kind.NOT_REPEATABLE,
     Kind.STREAMED,
     Kind.PLAIN,
     Kind.RETRIED,
-    Kind.WHOLE,
+    Kind.UNSTREAMED,
     Kind.CANCELLED,
 )
 
@@ -172,7 +172,7 @@
                 return (await self._cancelled(request),)
             case Kind.RETRIED:
                 return await self._retried(request)
-            case Kind.WHOLE:
+            case Kind.UNSTREAMED:
                 return (await self._unstreamed(request, request.number),)
             case Kind.NOT_REPEATABLE:
                 return (
