--- a/src/jujubewharf/demo/load.py
+++ b/src/jujubewharf/demo/load.py
@@ -59,7 +59,7 @@
     Attributes:
         kind: Kind of the request.
         duration_ms: Time from sending until the last byte.
-        fault: Description of the failure; empty on success.
+        failure: Description of the failure; empty on success.
         prompt_digest: Digest by which engines count answers; empty for plain
             requests.
         request_ids: Request IDs that instances assigned to its attempts.
@@ -67,7 +67,7 @@
 
     kind: Kind
     duration_ms: float
-    fault: str = ""
+    failure: str = ""
     prompt_digest: str = ""
     request_ids: tuple[str, ...] = ()
 
@@ -143,7 +143,7 @@
         kind = _MIX[number % len(_MIX)]
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        fault = ""
+        failure = ""
         request_ids: tuple[str, ...] = ()
         try:
             request_ids = await self._send(kind, number)
@@ -152,14 +152,14 @@
             aiohttp.ClientError,
             TimeoutError,
         ) as error:
-            fault = f"{type(error).__name__}: {error}"
+            failure = f"{type(error).__name__}: {error}"
         duration_ms = (loop.time() - started_s) * 1_000
         prompt_digest = ""
         if kind is not Kind.PLAIN:
             prompt_digest = hashing.digest(
                 _ModelRequest(number).prompt.encode()
             )
-        return Outcome(kind, duration_ms, fault, prompt_digest, request_ids)
+        return Outcome(kind, duration_ms, failure, prompt_digest, request_ids)
 
     async def _send(self, kind: Kind, number: int) -> tuple[str, ...]:
         request = _ModelRequest(number)
--- a/src/jujubewharf/demo/show.py
+++ b/src/jujubewharf/demo/show.py
@@ -47,8 +47,8 @@
         ) as error:
             failures = [f"{type(error).__name__}: {error}"]
             _print_logs(directory, console)
-    for fault in failures:
-        console.print(f"[red]{fault}", highlight=False)
+    for failure in failures:
+        console.print(f"[red]{failure}", highlight=False)
     if not failures:
         console.print("[green]Every answer came once and whole.")
         console.print("[green]No engine holds memory.")
@@ -81,7 +81,9 @@
             "started anew.",
             highlight=False,
         )
-        failures = [f"{o.kind.value}: {o.fault}" for o in outcomes if o.fault]
+        failures = [
+            f"{o.kind.value}: {o.failure}" for o in outcomes if o.failure
+        ]
         if replaced.exit_code != 0:
             failures.append(
                 f"{drained_entry.instance}: exit code {replaced.exit_code}"
@@ -155,7 +157,7 @@
         if not kind_outcomes:
             continue
         durations = [outcome.duration_ms for outcome in kind_outcomes]
-        whole = sum(1 for outcome in kind_outcomes if not outcome.fault)
+        whole = sum(1 for outcome in kind_outcomes if not outcome.failure)
         table.add_row(
             kind.value,
             str(len(kind_outcomes)),
