--- a/src/jujubewharf/demo/load.py
+++ b/src/jujubewharf/demo/load.py
@@ -104,7 +104,7 @@
         )
 
 
-class Load:
+class LoadGenerator:
     """Sends the mix of requests and checks the answers.
 
     Args:
--- a/src/jujubewharf/demo/show.py
+++ b/src/jujubewharf/demo/show.py
@@ -122,7 +122,7 @@
     )
     with bar:
         task = bar.add_task("Requests", total=requests)
-        generator = load.Load(deployment.entries, session)
+        generator = load.LoadGenerator(deployment.entries, session)
         return await generator.run(requests, lambda _: bar.advance(task))
 
 
