--- a/tests/scenarios/steps.py
+++ b/tests/scenarios/steps.py
@@ -36,14 +36,14 @@
         """Advances the virtual clock."""
         self.run(self.bench.clock.sleep_ms(duration_s * 1_000))
 
-    def holds_within_s(
-        self, duration_s: float, holds: Callable[[], bool]
+    def condition_met_within_s(
+        self, duration_s: float, condition: Callable[[], bool]
     ) -> bool:
         """Waits for a condition; returns whether it became true in time."""
 
         async def watch() -> bool:
             deadline_ms = self.bench.clock.now_ms() + duration_s * 1_000
-            while not holds():
+            while not condition():
                 if self.bench.clock.now_ms() >= deadline_ms:
                     return False
                 await self.bench.clock.sleep_ms(_STEP_MS)
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -305,7 +305,7 @@
     parsers.parse("within {limit_s:d} seconds all hold the accepted changes")
 )
 def all_up_to_date_within(fleet, limit_s):
-    assert fleet.holds_within_s(limit_s, fleet.all_up_to_date)
+    assert fleet.condition_met_within_s(limit_s, fleet.all_up_to_date)
 
 
 @pytest_bdd.then(
--- a/tests/scenarios/test_operators.py
+++ b/tests/scenarios/test_operators.py
@@ -130,7 +130,7 @@
         return all(entry.resource == scenario.accepted for entry in entries)
 
     assert scenario.accepted is not None
-    assert scenario.world.holds_within_s(limit_s, holds)
+    assert scenario.world.condition_met_within_s(limit_s, holds)
 
 
 @when("ana drains till-1 at e1")
@@ -148,7 +148,7 @@
 )
 def _(scenario: OperatorsScenario, limit_s: int):
     key = (resources.Kind.ENDPOINT, "till-1")
-    assert scenario.world.holds_within_s(
+    assert scenario.world.condition_met_within_s(
         limit_s,
         lambda: all(
             scenario.stored(name, key).resource.drained for name in _NAMES
--- a/tests/scenarios/test_orders.py
+++ b/tests/scenarios/test_orders.py
@@ -148,7 +148,7 @@
 
 @pytest_bdd.when("the holder of an engine is paused before it orders")
 def pause_holder(world):
-    assert world.holds_within_s(20, lambda: _lease_holders(world))
+    assert world.condition_met_within_s(20, lambda: _lease_holders(world))
     world.paused_instance = _lease_holders(world)[0]
     assert not any(engine.orders for engine in world.engines())
     world.act(lambda: world.bench.pause_instance(world.paused_instance))
@@ -188,7 +188,7 @@
 
 @pytest_bdd.when("the log goes down while an engine is held")
 def log_down(world):
-    assert world.holds_within_s(20, lambda: _lease_holders(world))
+    assert world.condition_met_within_s(20, lambda: _lease_holders(world))
     world.bench.log.is_down = True
 
 
@@ -213,7 +213,7 @@
     def holds() -> bool:
         return all(e.model_version == version for e in world.engines())
 
-    assert world.holds_within_s(limit_s, holds)
+    assert world.condition_met_within_s(limit_s, holds)
 
 
 @pytest_bdd.then(
@@ -221,7 +221,9 @@
 )
 def decodes_only(world, limit_s):
     engine = world.bench.engine("e1")
-    assert world.holds_within_s(limit_s, lambda: engine.role == "decode")
+    assert world.condition_met_within_s(
+        limit_s, lambda: engine.role == "decode"
+    )
 
 
 @pytest_bdd.then(
--- a/tests/scenarios/test_peers.py
+++ b/tests/scenarios/test_peers.py
@@ -241,7 +241,7 @@
             for name in _resolve_names(world, watchers)
         )
 
-    assert world.holds_within_s(float(limit_s), holds)
+    assert world.condition_met_within_s(float(limit_s), holds)
 
 
 @pytest_bdd.then(
@@ -257,7 +257,7 @@
             for name in _resolve_names(world, watchers)
         )
 
-    assert world.holds_within_s(float(limit_s), holds)
+    assert world.condition_met_within_s(float(limit_s), holds)
 
 
 @pytest_bdd.then(parsers.re(r"(?P<watchers>(all|those).*) see (?P<others>.+)"))
@@ -272,7 +272,7 @@
     def is_alone() -> bool:
         return len(_present(world, name)) < len(world.bench.instances)
 
-    assert not world.holds_within_s(duration_s, is_alone)
+    assert not world.condition_met_within_s(duration_s, is_alone)
 
 
 @pytest_bdd.then(
--- a/tests/scenarios/test_shutdown.py
+++ b/tests/scenarios/test_shutdown.py
@@ -175,7 +175,9 @@
         world.run(world.bench.stop_instance(name))
         world.run(world.bench.restart_instance(name))
         core = world.bench.instances[name].core
-        assert world.holds_within_s(20, core.configuration.caught_up.is_set)
+        assert world.condition_met_within_s(
+            20, core.configuration.caught_up.is_set
+        )
         world.wait_s(5)
 
 
