--- a/tests/scenarios/steps.py
+++ b/tests/scenarios/steps.py
@@ -24,7 +24,7 @@
         """Runs a coroutine to completion."""
         return self.loop.run_until_complete(coroutine)
 
-    def act(self, action: Callable[[], Any]) -> Any:
+    def call_in_loop(self, action: Callable[[], Any]) -> Any:
         """Calls a function within the running event loop."""
 
         async def call() -> Any:
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -159,7 +159,7 @@
 
 @pytest_bdd.when("the log is wiped")
 def log_wiped(fleet):
-    fleet.act(fleet.bench.log.wipe)
+    fleet.call_in_loop(fleet.bench.log.wipe)
 
 
 @pytest_bdd.when(parsers.parse("{duration_s:d} seconds pass"))
@@ -182,7 +182,7 @@
 @pytest_bdd.when("all instances are replaced at once")
 def replace_at_once(fleet):
     for name in fleet.names:
-        fleet.act(lambda name=name: fleet.bench.kill_instance(name))
+        fleet.call_in_loop(lambda name=name: fleet.bench.kill_instance(name))
     for name in fleet.names:
         fleet.run(fleet.restart(name))
     fleet.wait_s(8)
@@ -223,7 +223,9 @@
 
 @pytest_bdd.when(parsers.parse("an operator accepts the loss at {name}"))
 def accept_loss(fleet, name):
-    fleet.act(fleet.bench.instances[name].core.configuration.accept_loss)
+    fleet.call_in_loop(
+        fleet.bench.instances[name].core.configuration.accept_loss
+    )
 
 
 @pytest_bdd.when("a record of a newer version is appended")
@@ -234,22 +236,22 @@
 @pytest_bdd.when(parsers.parse("domain {domain} is cut off"))
 def cut(fleet, domain):
     fleet.slots_before_cut = dict(fleet.slots)
-    fleet.act(lambda: fleet.bench.cut_domain(domain))
+    fleet.call_in_loop(lambda: fleet.bench.cut_domain(domain))
 
 
 @pytest_bdd.when(parsers.parse("domain {domain} is cut off from the log"))
 def cut_from_log(fleet, domain):
-    fleet.act(lambda: fleet.bench.cut_domain(domain, from_peers=False))
+    fleet.call_in_loop(lambda: fleet.bench.cut_domain(domain, from_peers=False))
 
 
 @pytest_bdd.when(parsers.parse("domain {domain} is cut off from peers"))
 def cut_from_peers(fleet, domain):
-    fleet.act(lambda: fleet.bench.cut_domain(domain, from_log=False))
+    fleet.call_in_loop(lambda: fleet.bench.cut_domain(domain, from_log=False))
 
 
 @pytest_bdd.when("the cuts heal")
 def heal(fleet):
-    fleet.act(fleet.bench.heal)
+    fleet.call_in_loop(fleet.bench.heal)
 
 
 @pytest_bdd.when("a1 and b1 change the same endpoint at once")
--- a/tests/scenarios/test_orders.py
+++ b/tests/scenarios/test_orders.py
@@ -151,12 +151,16 @@
     assert world.condition_met_within_s(20, lambda: _lease_holders(world))
     world.paused_instance = _lease_holders(world)[0]
     assert not any(engine.orders for engine in world.engines())
-    world.act(lambda: world.bench.pause_instance(world.paused_instance))
+    world.call_in_loop(
+        lambda: world.bench.pause_instance(world.paused_instance)
+    )
 
 
 @pytest_bdd.when("the paused instance goes on")
 def resume_holder(world):
-    world.act(lambda: world.bench.resume_instance(world.paused_instance))
+    world.call_in_loop(
+        lambda: world.bench.resume_instance(world.paused_instance)
+    )
 
 
 @pytest_bdd.when(parsers.parse("{duration_s:d} seconds pass"))
--- a/tests/scenarios/test_peers.py
+++ b/tests/scenarios/test_peers.py
@@ -116,22 +116,22 @@
 
 @pytest_bdd.when(parsers.parse("{name} dies"))
 def dies(world, name):
-    world.act(lambda: world.bench.kill_instance(name))
+    world.call_in_loop(lambda: world.bench.kill_instance(name))
 
 
 @pytest_bdd.when(parsers.parse("{name} is paused"))
 def is_paused(world, name):
-    world.act(lambda: world.bench.pause_instance(name))
+    world.call_in_loop(lambda: world.bench.pause_instance(name))
 
 
 @pytest_bdd.when(parsers.parse("{name} goes on"))
 def resumes(world, name):
-    world.act(lambda: world.bench.resume_instance(name))
+    world.call_in_loop(lambda: world.bench.resume_instance(name))
 
 
 @pytest_bdd.when(parsers.parse("{name} begins to leave"))
 def leaves(world, name):
-    world.act(world.bench.instances[name].core.membership.leave)
+    world.call_in_loop(world.bench.instances[name].core.membership.leave)
 
 
 @pytest_bdd.when("domain b is no longer heard in domain a")
@@ -167,7 +167,7 @@
 
 @pytest_bdd.when("domain a is cut off from peers, log and list")
 def cut_off_from_all(world):
-    world.act(lambda: world.bench.cut_domain("a"))
+    world.call_in_loop(lambda: world.bench.cut_domain("a"))
 
 
 @pytest_bdd.when(parsers.parse("{duration_s:d} seconds pass"))
@@ -191,7 +191,7 @@
         service=_SERVICE,
         prompt="answer_tokens=9 " + "word " * 50,
         max_tokens=50,
-        arrived_ms=world.act(world.bench.clock.now_ms),
+        arrived_ms=world.call_in_loop(world.bench.clock.now_ms),
         deadline_ms=10_000,
     )
     generated = {
@@ -224,7 +224,7 @@
 
 @pytest_bdd.when("the cut heals")
 def heal_network(world):
-    world.act(world.bench.heal)
+    world.call_in_loop(world.bench.heal)
 
 
 @pytest_bdd.then(
--- a/tests/scenarios/test_policy.py
+++ b/tests/scenarios/test_policy.py
@@ -63,7 +63,7 @@
             engine = self.bench.add_engine(endpoint, spec)
             self._count_refusals(engine)
 
-        self.world.act(add)
+        self.world.call_in_loop(add)
         self.world.run(self.bench.declare(endpoint))
 
     def _count_refusals(self, engine):
@@ -170,12 +170,14 @@
     coordinator = coordinators.coordinator_of(
         endpoint, core.membership.present()
     )
-    scenario.world.act(lambda: scenario.bench.kill_instance(coordinator))
+    scenario.world.call_in_loop(
+        lambda: scenario.bench.kill_instance(coordinator)
+    )
 
 
 @pytest_bdd.when('the peers of domain "a" are cut off')
 def cut_peers(scenario):
-    scenario.world.act(
+    scenario.world.call_in_loop(
         lambda: scenario.bench.cut_domain(
             "a", from_log=False, from_list=False, from_engines_elsewhere=False
         )
