--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -339,7 +339,7 @@
     return "\n".join(lines)
 
 
-def written(page: str, size: Size, measured: Measured) -> str:
+def update_tables(page: str, size: Size, measured: Measured) -> str:
     """Returns the page with its tables recomputed."""
     for name, table in (
         ("roles", role_table(size, measured)),
@@ -365,7 +365,7 @@
     size, measured = Size(), Measured.from_file()
     if options.write:
         page = PAGE.read_text(encoding="utf-8")
-        PAGE.write_text(written(page, size, measured), encoding="utf-8")
+        PAGE.write_text(update_tables(page, size, measured), encoding="utf-8")
         return
     print(role_table(size, measured))
     print(budget_table(size, measured))
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -9,7 +9,7 @@
 def test_page_matches_measured_inputs():
     page = capacity.PAGE.read_text(encoding="utf-8")
     measured = capacity.Measured.from_file()
-    assert page == capacity.written(page, capacity.Size(), measured)
+    assert page == capacity.update_tables(page, capacity.Size(), measured)
     assert "| Role |" in page
 
 
