--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -60,7 +60,7 @@
     bytes_per_s: float = 3_000
 
     @property
-    def engines_kept(self) -> float:
+    def engines_per_instance(self) -> float:
         """Engines per instance."""
         return self.engines / self.instances
 
@@ -189,7 +189,7 @@
 
 
 def _engines(size: Size, measured: Measured) -> Iterator[Row]:
-    kept = size.engines_kept
+    kept = size.engines_per_instance
     polls = kept * measured.at("polls_per_engine_s")
     yield Row(
         "keeper of engines: load",
