--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -64,7 +64,7 @@
 
     Attributes:
         state: Activity of the fleet.
-        engines_each: Engines per instance.
+        engines_per_instance: Engines per instance.
         domains: Number of failure domains.
         settle_s: Virtual seconds between start and measurement.
         duration_s: Virtual seconds of the measurement.
@@ -73,7 +73,7 @@
     """
 
     state: State
-    engines_each: int = 1
+    engines_per_instance: int = 1
     domains: int = _DOMAINS
     settle_s: float = _SETTLE_S
     duration_s: float = _DURATION_S
@@ -156,7 +156,7 @@
 async def _start_bench(instances: int, plan: Plan) -> benches.Bench:
     bench = benches.Bench()
     await bench.declare(_SERVICE)
-    for number in range(instances * plan.engines_each):
+    for number in range(instances * plan.engines_per_instance):
         endpoint = resources.Endpoint(
             f"m{number}",
             "m",
--- a/tests/benchmarks/test_control_cost.py
+++ b/tests/benchmarks/test_control_cost.py
@@ -9,7 +9,7 @@
 def test_measures_small_fleet():
     plan = control_cost.Plan(
         control_cost.State.CHURN,
-        engines_each=0,
+        engines_per_instance=0,
         domains=2,
         settle_s=20,
         duration_s=5,
