--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -200,7 +200,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Use:
+class ResourceUsage:
     """Processor time and peak memory of the entry process."""
 
     cpu_s: float = 0.0
@@ -208,24 +208,24 @@
 
 
 @contextlib.asynccontextmanager
-async def used(pid: int) -> AsyncIterator[Use]:
+async def measure_usage(pid: int) -> AsyncIterator[ResourceUsage]:
     """Measures a process while the context is active."""
     process = psutil.Process(pid)
-    use = Use()
+    usage = ResourceUsage()
 
     async def sample() -> None:
         while True:
-            use.peak_mb = max(use.peak_mb, _rss_mb(process))
+            usage.peak_mb = max(usage.peak_mb, _rss_mb(process))
             await asyncio.sleep(0.05)
 
     before = process.cpu_times()
     sampler = asyncio.create_task(sample())
     try:
-        yield use
+        yield usage
     finally:
         sampler.cancel()
         after = process.cpu_times()
-        use.cpu_s = after.user + after.system - before.user - before.system
+        usage.cpu_s = after.user + after.system - before.user - before.system
 
 
 async def latency(step_ms: float, scale: float) -> None:
@@ -246,11 +246,11 @@
                 direct = await run_load(
                     Direct(deployment, session, tokens).send, load
                 )
-                async with used(deployment.entry_pid) as use:
+                async with measure_usage(deployment.entry_pid) as usage:
                     through = await run_load(
                         Through(deployment, session, tokens).send, load
                     )
-            _print_ratio(load, direct, through, use)
+            _print_ratio(load, direct, through, usage)
 
 
 async def target() -> None:
@@ -260,9 +260,9 @@
         load = Load(163, 163, tokens)
         async with _session() as session:
             send = Through(deployment, session, tokens).send
-            async with used(deployment.entry_pid) as use:
+            async with measure_usage(deployment.entry_pid) as usage:
                 run = await run_load(send, load)
-        _print_capacity("target load", load, run, use)
+        _print_capacity("target load", load, run, usage)
 
 
 async def capacity(scale: float) -> None:
@@ -274,11 +274,11 @@
             ("one token", Load(64, int(2_048 * scale), 1)),
         ):
             async with _session() as session:
-                async with used(deployment.entry_pid) as use:
+                async with measure_usage(deployment.entry_pid) as usage:
                     run = await run_load(
                         Through(deployment, session, load.tokens).send, load
                     )
-            _print_capacity(name, load, run, use)
+            _print_capacity(name, load, run, usage)
         await _plain(deployment, Load(32, int(3_000 * scale), 0))
 
 
@@ -287,13 +287,15 @@
     through_url = f"{deployment.entry_url}/s/{deployments.PLAIN}"
     async with _session() as session:
         direct = await run_load(Plain(direct_url, session).send, load)
-        async with used(deployment.entry_pid) as use:
+        async with measure_usage(deployment.entry_pid) as usage:
             through = await run_load(Plain(through_url, session).send, load)
-    _print_ratio(load, direct, through, use)
-    _print_capacity("plain", load, through, use)
+    _print_ratio(load, direct, through, usage)
+    _print_capacity("plain", load, through, usage)
 
 
-def _print_ratio(load: Load, direct: Run, through: Run, use: Use) -> None:
+def _print_ratio(
+    load: Load, direct: Run, through: Run, usage: ResourceUsage
+) -> None:
     cells = [f"{load.in_flight:4d} in flight, {load.requests} requests:"]
     for field in ("first_ms", "whole_ms"):
         for percent in (50, 99):
@@ -307,20 +309,22 @@
     rate_per_s = through.tokens / through.took_s
     print(
         f"     {rate_per_s:.0f} tokens/s, "
-        f"{use.cpu_s / through.took_s:.2f} cores, "
-        f"peak {use.peak_mb:.1f} MB"
+        f"{usage.cpu_s / through.took_s:.2f} cores, "
+        f"peak {usage.peak_mb:.1f} MB"
     )
 
 
-def _print_capacity(name: str, load: Load, run: Run, use: Use) -> None:
-    requests_per_core_s = load.requests / use.cpu_s
-    tokens_per_core_s = run.tokens / use.cpu_s
+def _print_capacity(
+    name: str, load: Load, run: Run, usage: ResourceUsage
+) -> None:
+    requests_per_core_s = load.requests / usage.cpu_s
+    tokens_per_core_s = run.tokens / usage.cpu_s
     print(
         f"  {name}: {load.requests / run.took_s:.0f} requests/s, "
         f"{run.tokens / run.took_s:.0f} tokens/s at "
-        f"{use.cpu_s / run.took_s:.2f} cores; a core: "
+        f"{usage.cpu_s / run.took_s:.2f} cores; a core: "
         f"{requests_per_core_s:.0f} requests/s, "
-        f"{tokens_per_core_s:.0f} tokens/s; peak {use.peak_mb:.1f} MB"
+        f"{tokens_per_core_s:.0f} tokens/s; peak {usage.peak_mb:.1f} MB"
     )
 
 
