--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -94,7 +94,7 @@
         return sum(timing.tokens for timing in self.timings)
 
 
-class Direct:
+class DirectSender:
     """Calls the engines directly, as the entry instance does."""
 
     def __init__(
@@ -129,7 +129,7 @@
         return Timing(first_ms, _since_ms(began_s), count)
 
 
-class Through:
+class EntrySender:
     """Calls the model service through the entry instance."""
 
     def __init__(
@@ -244,11 +244,11 @@
             )
             async with _session() as session:
                 direct = await run_load(
-                    Direct(deployment, session, tokens).send, load
+                    DirectSender(deployment, session, tokens).send, load
                 )
                 async with measure_usage(deployment.entry_pid) as usage:
                     through = await run_load(
-                        Through(deployment, session, tokens).send, load
+                        EntrySender(deployment, session, tokens).send, load
                     )
             _print_ratio(load, direct, through, usage)
 
@@ -259,7 +259,7 @@
     async with deployments.running(step_ms=64.0) as deployment:
         load = Load(163, 163, tokens)
         async with _session() as session:
-            send = Through(deployment, session, tokens).send
+            send = EntrySender(deployment, session, tokens).send
             async with measure_usage(deployment.entry_pid) as usage:
                 run = await run_load(send, load)
         _print_capacity("target load", load, run, usage)
@@ -276,7 +276,7 @@
             async with _session() as session:
                 async with measure_usage(deployment.entry_pid) as usage:
                     run = await run_load(
-                        Through(deployment, session, load.tokens).send, load
+                        EntrySender(deployment, session, load.tokens).send, load
                     )
             _print_capacity(name, load, run, usage)
         await _plain(deployment, Load(32, int(3_000 * scale), 0))
