--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -36,14 +36,14 @@
         entry_pid: Process ID of the entry instance.
         prefill: The prefill engine.
         decoders: The decode engines.
-        till: The plain endpoint.
+        plain_endpoint: The plain endpoint.
     """
 
     entry_url: str
     entry_pid: int
     prefill: resources.Endpoint
     decoders: tuple[resources.Endpoint, ...]
-    till: resources.Endpoint
+    plain_endpoint: resources.Endpoint
 
 
 @contextlib.asynccontextmanager
@@ -63,8 +63,8 @@
         store = await group.start_standin("weight-store", "weight-store")
         engines = await _start_engines(group, step_ms)
         till_address = await group.start_standin("till", "endpoint", "till")
-        till = _endpoint("till", till_address, resources.Role.PLAIN)
-        await _declare(log_address, [*engines, till])
+        plain_endpoint = _endpoint("till", till_address, resources.Role.PLAIN)
+        await _declare(log_address, [*engines, plain_endpoint])
         port = _free_port()
         settings = {
             "instance": "e1",
@@ -84,7 +84,11 @@
         url = f"http://127.0.0.1:{port}"
         await _wait_until_ready(url)
         yield Deployment(
-            url, child.process.pid, engines[0], tuple(engines[1:]), till
+            url,
+            child.process.pid,
+            engines[0],
+            tuple(engines[1:]),
+            plain_endpoint,
         )
 
 
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -283,7 +283,7 @@
 
 
 async def _plain(deployment: deployments.Deployment, load: Load) -> None:
-    direct_url = f"http://{deployment.till.address}"
+    direct_url = f"http://{deployment.plain_endpoint.address}"
     through_url = f"{deployment.entry_url}/s/{deployments.PLAIN}"
     async with _session() as session:
         direct = await run_load(Plain(direct_url, session).send, load)
