--- a/benchmarks/forwarding_parts.py
+++ b/benchmarks/forwarding_parts.py
@@ -44,7 +44,7 @@
     )
 
 
-async def ask(
+async def send_request(
     instance: entry.ForwardingEntry,
     number: int,
     *,
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -103,7 +103,7 @@
     await clock.sleep_ms(_SETTLE_MS)
     began_s = time.process_time()
     for number in range(requests):
-        await forwarding_parts.ask(
+        await forwarding_parts.send_request(
             instance, number, arrived_ms=clock.now_ms(), work=_WORK
         )
     took_s = time.process_time() - began_s
--- a/benchmarks/request_profile.py
+++ b/benchmarks/request_profile.py
@@ -94,7 +94,7 @@
     for number in range(requests):
         instance = instances[number % len(instances)]
         account = f"account-{number % _ACCOUNTS}"
-        request = forwarding_parts.ask(
+        request = forwarding_parts.send_request(
             instance,
             number,
             arrived_ms=clock.now_ms(),
