--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -61,7 +61,7 @@
     )
 
 
-def fold_us() -> slopes.Slope:
+def apply_us() -> slopes.Slope:
     """Fits the microseconds to apply records against their number."""
     payloads = [_payload(_endpoint(n)) for n in range(max(_RECORD_COUNTS))]
     values = []
@@ -101,7 +101,7 @@
 def main() -> None:
     """Measures all operations and prints the results."""
     parts: dict[str, object] = {
-        "fold_us": dataclasses.asdict(fold_us()),
+        "fold_us": dataclasses.asdict(apply_us()),
         "rank_us": dataclasses.asdict(rank_us()),
         "endpoint_record_bytes": len(_payload(_endpoint(1))),
         "account_record_bytes": len(_payload(_account(1))),
