--- a/src/jujubewharf/forwarding/calls.py
+++ b/src/jujubewharf/forwarding/calls.py
@@ -43,8 +43,8 @@
         headers: End-to-end headers, without those that the router sets.
         body: The whole body.
         arrived_ms: Clock reading when the last byte was read.
-        patience_ms: Time that the caller waits, counted from arrival; ``None``
-            if it did not say.
+        caller_timeout_ms: Time that the caller waits from arrival, in ms;
+            ``None`` if it set none.
         work: Size of a model request; ``None`` for plain requests.
         last_event: Number of the last event that the caller received in an
             earlier try.
@@ -61,7 +61,7 @@
     headers: Headers
     body: bytes
     arrived_ms: float
-    patience_ms: float | None = None
+    caller_timeout_ms: float | None = None
     work: ModelWork | None = None
     last_event: int | None = None
     account: str | None = None
--- a/src/jujubewharf/forwarding/forwarder.py
+++ b/src/jujubewharf/forwarding/forwarder.py
@@ -191,8 +191,8 @@
         service = self._select_service(route)
         self._budget.record_request(service)
         timeout_ms = route.timeout_ms
-        if call.patience_ms is not None:
-            timeout_ms = min(timeout_ms, call.patience_ms)
+        if call.caller_timeout_ms is not None:
+            timeout_ms = min(timeout_ms, call.caller_timeout_ms)
         deadline_at_ms = call.arrived_ms + timeout_ms
         return runs.Run(
             call,
--- a/src/jujubewharf/forwarding/patience.py
+++ b/src/jujubewharf/forwarding/patience.py
@@ -95,7 +95,7 @@
             call: The refused request.
             running_count: Number of responses that this instance is running.
         """
-        timeout_ms = call.patience_ms or _DEFAULT_CALLER_TIMEOUT_MS
+        timeout_ms = call.caller_timeout_ms or _DEFAULT_CALLER_TIMEOUT_MS
         max_retry_after_ms = timeout_ms * come_back.MAX_TIMEOUT_SHARE
         memory_hold_ms = (
             self._cost_estimates.memory_hold_ms
@@ -115,7 +115,7 @@
         memory_hold_ms = self._cost_estimates.memory_hold_ms
         if memory_hold_ms is not None:
             return memory_hold_ms * _RESPONSE_TIME_FACTOR
-        timeout_ms = run.call.patience_ms or run.route.timeout_ms
+        timeout_ms = run.call.caller_timeout_ms or run.route.timeout_ms
         return timeout_ms * _DEFAULT_RESPONSE_SHARE
 
     def _elapsed_ms(self, run: runs.Run) -> float:
@@ -125,7 +125,7 @@
         on its route. The difference is time spent before this attempt.
         """
         elapsed_ms = self._clock.now_ms() - run.call.arrived_ms
-        timeout_ms = run.call.patience_ms
+        timeout_ms = run.call.caller_timeout_ms
         if timeout_ms is None:
             return elapsed_ms
         route = run.route.name
--- a/src/jujubewharf/forwarding/plain.py
+++ b/src/jujubewharf/forwarding/plain.py
@@ -129,12 +129,14 @@
         wait_ms = self._backpressure.wait_ms(names)
         if wait_ms is None:
             return run.failure()
-        patience_ms = run.call.patience_ms or run.left_ms(self._clock)
+        caller_timeout_ms = run.call.caller_timeout_ms or run.left_ms(
+            self._clock
+        )
         after_ms = self._retry_scheduler.next_retry_after_ms(
             run.service,
             free_in_ms=wait_ms,
             interval_ms=self._backpressure.request_interval_ms(names),
-            max_ms=patience_ms * come_back.MAX_TIMEOUT_SHARE,
+            max_ms=caller_timeout_ms * come_back.MAX_TIMEOUT_SHARE,
         )
         return run.failure("all endpoints deferred", retry_after_ms=after_ms)
 
--- a/src/jujubewharf/leadership/leader_link.py
+++ b/src/jujubewharf/leadership/leader_link.py
@@ -364,7 +364,7 @@
             service=run.service,
             waited_ms=self._clock.now_ms() - run.call.arrived_ms,
             left_ms=run.left_ms(self._clock),
-            patience_ms=run.call.patience_ms,
+            caller_timeout_ms=run.call.caller_timeout_ms,
             may_have_run=run.may_have_run,
             lost_by=tuple(sorted(run.lost_by)),
             prompt_tokens=None if work is None else work.prompt_tokens,
--- a/src/jujubewharf/leadership/placement_server.py
+++ b/src/jujubewharf/leadership/placement_server.py
@@ -315,7 +315,7 @@
             headers=(),
             body=b"",
             arrived_ms=now_ms - request.waited_ms,
-            patience_ms=request.patience_ms,
+            caller_timeout_ms=request.caller_timeout_ms,
             work=work,
             account=request.account,
         )
--- a/src/jujubewharf/peers/leader_messages.py
+++ b/src/jujubewharf/peers/leader_messages.py
@@ -111,8 +111,8 @@
         service: Service that was chosen from the route's.
         waited_ms: Time since the request arrived, in ms.
         left_ms: Time until the request's deadline, in ms.
-        patience_ms: Maximum time that the caller waits after arrival, in ms;
-            ``None`` if it set none.
+        caller_timeout_ms: Maximum time that the caller waits after arrival, in
+            ms; ``None`` if it set none.
         may_have_run: Whether an engine may have started the request.
         lost_by: Engines whose response to the request was lost.
         prompt_tokens: Number of prompt tokens; ``None`` if unknown.
@@ -132,7 +132,7 @@
     service: str
     waited_ms: float
     left_ms: float
-    patience_ms: float | None = None
+    caller_timeout_ms: float | None = None
     may_have_run: bool = False
     lost_by: tuple[str, ...] = ()
     prompt_tokens: int | None = None
--- a/tests/forwarding/deployments.py
+++ b/tests/forwarding/deployments.py
@@ -342,7 +342,7 @@
         *,
         for_ms: float,
         every_ms: float = 28.0,
-        patience_ms: float = 8_000.0,
+        caller_timeout_ms: float = 8_000.0,
         are_alike: bool = True,
     ) -> list[Answer]:
         """Sends requests to all instances in turn and returns the answers.
@@ -351,7 +351,7 @@
             path: Path of the requests.
             for_ms: Duration.
             every_ms: Time between two requests.
-            patience_ms: Time that each caller waits.
+            caller_timeout_ms: Time that each caller waits.
             are_alike: Whether all requests have the same body.
         """
         asked: list[asyncio.Task[Answer]] = []
@@ -361,7 +361,10 @@
             name = names[len(asked) % len(names)]
             body = b"body" if are_alike else b"body %d" % len(asked)
             ask = self.ask(
-                path, instance=name, patience_ms=patience_ms, body=body
+                path,
+                instance=name,
+                caller_timeout_ms=caller_timeout_ms,
+                body=body,
             )
             asked.append(asyncio.ensure_future(ask))
             await self.clock.sleep_ms(every_ms)
--- a/tests/forwarding/test_attempts.py
+++ b/tests/forwarding/test_attempts.py
@@ -46,7 +46,7 @@
     async def main():
         full = decode_engine("d1", memory_tokens=100)
         async with deployments.deployed(prefill_engine("p1"), full) as world:
-            answer = await world.ask("/verdicts/1", patience_ms=14_000.0)
+            answer = await world.ask("/verdicts/1", caller_timeout_ms=14_000.0)
             assert answer.error is not None
             assert answer.error.kind is errors.ErrorKind.QUEUE_FULL
             assert answer.error.ran is errors.Ran.NO
@@ -68,8 +68,8 @@
     async def main():
         full = decode_engine("d1", memory_tokens=100)
         async with deployments.deployed(prefill_engine("p1"), full) as world:
-            first = await world.ask("/verdicts/1", patience_ms=14_000.0)
-            again = await world.ask("/verdicts/1", patience_ms=10_500.0)
+            first = await world.ask("/verdicts/1", caller_timeout_ms=14_000.0)
+            again = await world.ask("/verdicts/1", caller_timeout_ms=10_500.0)
             assert again.took_ms > 3 * first.took_ms
             # Callers give up on streams that have not started by then.
             assert again.took_ms <= 3.61 * deployments.STREAM.target_ms
@@ -87,14 +87,14 @@
         tight = decode_engine("d1", memory_tokens=16_000, events=6)
         async with deployments.deployed(prefill_engine("p1"), tight) as world:
             first = asyncio.ensure_future(
-                world.ask("/verdicts/1", patience_ms=14_000.0)
+                world.ask("/verdicts/1", caller_timeout_ms=14_000.0)
             )
             await world.clock.sleep_ms(50.0)
             late = asyncio.ensure_future(
-                world.ask("/verdicts/2", patience_ms=10_500.0)
+                world.ask("/verdicts/2", caller_timeout_ms=10_500.0)
             )
             await world.clock.sleep_ms(50.0)
-            in_time = await world.ask("/verdicts/3", patience_ms=14_000.0)
+            in_time = await world.ask("/verdicts/3", caller_timeout_ms=14_000.0)
             assert not late.done()
             assert in_time.numbers[-1] == 6
             assert in_time.first_ms < deployments.STREAM.target_ms
--- a/tests/forwarding/test_fingerprints.py
+++ b/tests/forwarding/test_fingerprints.py
@@ -22,7 +22,7 @@
     "again",
     [
         {"request_id": "another"},
-        {"patience_ms": 500.0, "last_event": 3},
+        {"caller_timeout_ms": 500.0, "last_event": 3},
         {"headers": (("Idempotency-Key", "k"), ("Accept", "x"))},
         {"host": deployments.HOST.upper()},
     ],
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -79,7 +79,7 @@
         async with deployments.deployed(
             plain_endpoint("s1", is_silent=True)
         ) as world:
-            answer = await world.ask("/sale/1", patience_ms=500.0)
+            answer = await world.ask("/sale/1", caller_timeout_ms=500.0)
             assert answer.took_ms <= 550.0
 
     deployments.run(main())
--- a/tests/forwarding/test_patience.py
+++ b/tests/forwarding/test_patience.py
@@ -23,7 +23,7 @@
     virtual_time.run(main())
 
 
-def _run(clock, *, patience_ms: float = 14_000.0) -> runs.Run:
+def _run(clock, *, caller_timeout_ms: float = 14_000.0) -> runs.Run:
     call = calls.Call(
         "r1",
         "POST",
@@ -32,10 +32,10 @@
         (),
         b"",
         clock.now_ms(),
-        patience_ms=patience_ms,
+        caller_timeout_ms=caller_timeout_ms,
         work=calls.ModelWork(5_000, 1_000),
     )
-    due_ms = clock.now_ms() + patience_ms
+    due_ms = clock.now_ms() + caller_timeout_ms
     return runs.Run(call, deployments.STREAM, deployments.ENGINES, due_ms)
 
 
@@ -58,8 +58,11 @@
     async def test(policy, estimates, clock):
         for _ in range(20):
             estimates.record_decode(4_000.0, memory_share=0.1)
-        assert policy.late_wait_ms(_run(clock, patience_ms=9_000.0)) > 2_000.0
-        assert policy.late_wait_ms(_run(clock, patience_ms=4_000.0)) < 0.0
+        assert (
+            policy.late_wait_ms(_run(clock, caller_timeout_ms=9_000.0))
+            > 2_000.0
+        )
+        assert policy.late_wait_ms(_run(clock, caller_timeout_ms=4_000.0)) < 0.0
 
     _with_policy(test)
 
@@ -80,7 +83,7 @@
         assert min(apart) > 0.0
         more = [policy.retry_after_ms(call, 10) for _ in range(9)]
         assert max(more) <= 14_000.0 / 3
-        hasty = dataclasses.replace(call, patience_ms=3_000.0)
+        hasty = dataclasses.replace(call, caller_timeout_ms=3_000.0)
         assert policy.retry_after_ms(hasty, 10) <= 1_000.0
 
     _with_policy(test)
--- a/tests/forwarding/test_random_faults.py
+++ b/tests/forwarding/test_random_faults.py
@@ -121,7 +121,7 @@
                 instance=rng.choice(names),
                 request_id=request_id,
                 leave_after_ms=leaves,
-                patience_ms=14_000.0,
+                caller_timeout_ms=14_000.0,
             )
         )
         asked.append((path, request_id, task))
--- a/tests/leadership/test_backoff.py
+++ b/tests/leadership/test_backoff.py
@@ -138,7 +138,7 @@
             await world.clock.sleep_ms(2_000.0)
             await world.ask(path)
             await world.clock.sleep_ms(500.0)
-            answer = await world.ask(path, patience_ms=8_000.0)
+            answer = await world.ask(path, caller_timeout_ms=8_000.0)
             assert answer.error is not None
             assert answer.error.kind is errors.ErrorKind.NO_FITTING_ENGINE
             assert answer.error.ran is errors.Ran.NO
--- a/tests/leadership/test_crashing_requests.py
+++ b/tests/leadership/test_crashing_requests.py
@@ -67,7 +67,9 @@
     while world.clock.now_ms() < until_ms:
         names = sorted(world.instances)
         name = names[len(asked) % len(names)]
-        ask = world.ask(path, instance=name, body=body, patience_ms=8_000.0)
+        ask = world.ask(
+            path, instance=name, body=body, caller_timeout_ms=8_000.0
+        )
         asked.append(asyncio.ensure_future(ask))
         await world.clock.sleep_ms(every_ms)
     return list(await asyncio.gather(*asked))
@@ -190,7 +192,9 @@
             for backend in world.backends.by_name.values():
                 backend.memory_tokens = 0
             waiting = asyncio.ensure_future(
-                world.ask("/verdicts/1", body=CRASHING, patience_ms=14_000.0)
+                world.ask(
+                    "/verdicts/1", body=CRASHING, caller_timeout_ms=14_000.0
+                )
             )
             await world.clock.sleep_ms(50.0)
             for backend in world.backends.by_name.values():
@@ -221,7 +225,7 @@
                     "/verdicts/1",
                     instance=instance,
                     body=CRASHING,
-                    patience_ms=14_000.0,
+                    caller_timeout_ms=14_000.0,
                 )
             )
             await world.clock.sleep_ms(50.0)
--- a/tests/leadership/test_leadership.py
+++ b/tests/leadership/test_leadership.py
@@ -344,7 +344,7 @@
             retry_times_ms = []
             for name in NAMES:
                 answer = await world.ask(
-                    "/verdicts/1", instance=name, patience_ms=14_000.0
+                    "/verdicts/1", instance=name, caller_timeout_ms=14_000.0
                 )
                 assert answer.error.kind is errors.ErrorKind.QUEUE_FULL
                 now_ms = world.clock.now_ms()
--- a/tests/users_platform/test_edge.py
+++ b/tests/users_platform/test_edge.py
@@ -148,7 +148,7 @@
         (call,) = caller.forwarding.calls
         assert (call.method, call.path_query) == ("POST", "/a/1?x=%2F")
         assert (call.path, call.host) == ("/a/1", "Shop.example:80")
-        assert (call.patience_ms, call.last_event) == (1_500.0, 12)
+        assert (call.caller_timeout_ms, call.last_event) == (1_500.0, 12)
         assert call.work == calls.ModelWork(1_460, 80, 60)
         assert call.body == b"body"
         assert ("X-Own", "1") in call.headers
