--- a/src/jujubewharf/forwarding/entry.py
+++ b/src/jujubewharf/forwarding/entry.py
@@ -396,7 +396,7 @@
     def _on_configurations(
         self,
         page: tables.TablePage[routes.RoutingConfiguration | None],
-        is_whole: bool,
+        is_full_read: bool,
     ) -> None:
         for record in page.records:
             if record.value is not None and self.source.apply(record.value):
@@ -408,18 +408,18 @@
             self.fleet.followers.publish_configurations(page.records, page.end)
 
     def _on_endpoints(
-        self, page: tables.TablePage[resources.Endpoint], is_whole: bool
+        self, page: tables.TablePage[resources.Endpoint], is_full_read: bool
     ) -> None:
         self.registry.mark_store_available()
         records = [
             registry.Record(r.key, r.offset, r.value, r.is_unreadable)
             for r in page.records
         ]
-        if is_whole:
+        if is_full_read:
             self.registry.apply_all(records, page.end)
         else:
             self.registry.apply(records)
         if self.fleet.followers is not None:
             self.fleet.followers.publish_endpoints(
-                page.records, page.end, is_whole=is_whole
+                page.records, page.end, is_full_read=is_full_read
             )
--- a/src/jujubewharf/forwarding/follower.py
+++ b/src/jujubewharf/forwarding/follower.py
@@ -114,7 +114,7 @@
         began_ms = self._clock.now_ms()
         outcome = "unavailable"
         try:
-            page, is_whole = await self._next_page()
+            page, is_full_read = await self._next_page()
             outcome = "read"
         except log.LogTruncatedError:
             outcome = "truncated"
@@ -123,18 +123,18 @@
             took_ms = self._clock.now_ms() - began_ms
             labels = {"table": self._name, "outcome": outcome}
             _STORE_CALL_MS.record(took_ms, labels)
-        self._handle_page(page, is_whole=is_whole)
-        if not is_whole:
+        self._handle_page(page, is_full_read=is_full_read)
+        if not is_full_read:
             await self._clock.sleep_ms(self._pace.pause_ms)
 
     async def _next_page(self) -> tuple[tables.TablePage[T], bool]:
         """Returns the next page and whether it is the whole table."""
         now_ms = self._clock.now_ms()
-        is_whole = self._offset is None
-        if not is_whole and self._is_watched():
+        is_full_read = self._offset is None
+        if not is_full_read and self._is_watched():
             self._last_full_read_ms = now_ms
         if (
-            is_whole
+            is_full_read
             or now_ms - self._last_full_read_ms > _FULL_READ_INTERVAL_MS
         ):
             page = await self._table.newest()
@@ -147,7 +147,7 @@
         return page, False
 
     def _handle_page(
-        self, page: tables.TablePage[T], *, is_whole: bool
+        self, page: tables.TablePage[T], *, is_full_read: bool
     ) -> None:
         if self._unavailable_since_ms is not None:
             away_ms = round(self._clock.now_ms() - self._unavailable_since_ms)
@@ -157,7 +157,7 @@
             self._unavailable_since_ms = None
         # A full read can be older than changes that were already read.
         self._offset = max(page.end, self._offset or 0)
-        self._on_page(page, is_whole)
+        self._on_page(page, is_full_read)
 
     def _handle_outage(self, detail: str) -> None:
         if self._unavailable_since_ms is None:
--- a/src/jujubewharf/leadership/crash_follower.py
+++ b/src/jujubewharf/leadership/crash_follower.py
@@ -105,7 +105,7 @@
         self._on_record = on_record
         self._errors = record_errors.RecordErrors(_TABLE)
 
-    def take(self, page: tables.TablePage[bytes], is_whole: bool) -> None:
+    def take(self, page: tables.TablePage[bytes], is_full_read: bool) -> None:
         """Applies the reports of a page."""
         wall_ms = self._clock.wall_ms()
         for record in page.records:
--- a/src/jujubewharf/leadership/followers.py
+++ b/src/jujubewharf/leadership/followers.py
@@ -270,7 +270,7 @@
         records: Iterable[tables.TableRecord[resources.Endpoint]],
         end: int,
         *,
-        is_whole: bool,
+        is_full_read: bool,
     ) -> None:
         """Records endpoints read from the store, and broadcasts changed ones.
 
@@ -278,7 +278,7 @@
         sent.
         """
         current = [_endpoint_record(record) for record in records]
-        if is_whole:
+        if is_full_read:
             current.extend(
                 self._removals({record.key for record in current}, end)
             )
--- a/tests/forwarding/test_follower.py
+++ b/tests/forwarding/test_follower.py
@@ -19,7 +19,7 @@
         known = {}
         lost = []
 
-        def on_page(page, is_whole):
+        def on_page(page, is_full_read):
             known.update({r.key: r.value for r in page.records})
 
         service = follower.TableFollower(
