--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -288,7 +288,7 @@
 
     Attributes:
         is_running: Whether the call is still running.
-        is_whole: Whether the response is complete; else the fields below are
+        is_complete: Whether the response is complete; else the fields below are
             unset.
         status: HTTP status.
         headers: End-to-end headers.
@@ -296,7 +296,7 @@
     """
 
     is_running: bool = False
-    is_whole: bool = False
+    is_complete: bool = False
     status: int = 0
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b""
--- a/src/jujubewharf/requests/plain_replies.py
+++ b/src/jujubewharf/requests/plain_replies.py
@@ -42,7 +42,7 @@
         self.chunks: list[bytes] = []
         self.size_bytes = 0
         self.dropped_bytes = 0
-        self.is_whole = False
+        self.is_complete = False
         self.failure: errors.WharfError | None = None
         self.readers = 0
         self.expires_ms = float("inf")
@@ -50,11 +50,11 @@
 
     @property
     def has_ended(self) -> bool:
-        return self.is_whole or self.failure is not None
+        return self.is_complete or self.failure is not None
 
     @property
     def can_be_replayed(self) -> bool:
-        return self.is_whole and not self.dropped_bytes
+        return self.is_complete and not self.dropped_bytes
 
     def wake(self) -> None:
         self._changed.set()
@@ -97,7 +97,7 @@
                 index += 1
             if self.failure is not None:
                 raise self.failure
-            if self.is_whole:
+            if self.is_complete:
                 return
             await self.wait_for_change()
 
@@ -176,7 +176,7 @@
                 recording.wake()
                 async for chunk in reply.body:
                     await recording.add(chunk)
-            recording.is_whole = True
+            recording.is_complete = True
         except errors.WharfError as error:
             recording.failure = error
         except asyncio.CancelledError:
@@ -212,7 +212,7 @@
                     break
                 await self._clock.sleep_ms(_RETRY_DELAY_MS * failures)
                 continue
-            if pulled.is_whole:
+            if pulled.is_complete:
                 return endpoint_client.PlainReply(
                     pulled.status,
                     tuple((name, value) for name, value in pulled.headers),
@@ -249,7 +249,7 @@
         if not recording.can_be_replayed:
             return key_messages.PlainPullReply()
         return key_messages.PlainPullReply(
-            is_whole=True,
+            is_complete=True,
             status=recording.status,
             headers=recording.headers,
             body=b"".join(recording.chunks),
