--- a/src/jujubewharf/peers/key_messages.py
+++ b/src/jujubewharf/peers/key_messages.py
@@ -145,11 +145,11 @@
 
     Attributes:
         owner: Instance that dispatched the attempts.
-        marks: Eight bytes for each attempt, see ``releases.mark_of``.
+        digests: Eight bytes for each attempt, see ``releases.digest_of``.
     """
 
     owner: str
-    marks: bytes
+    digests: bytes
 
 
 @messages.message(28)
@@ -158,12 +158,12 @@
     """Reply to ``NeededAttemptsRequest``: attempts no longer needed.
 
     Attributes:
-        marks: Eight bytes for each attempt.
+        digests: Eight bytes for each attempt.
         is_from_owner: Whether the owner itself replied; false if it could
             not be reached.
     """
 
-    marks: bytes
+    digests: bytes
     is_from_owner: bool = True
 
 
--- a/src/jujubewharf/requests/releases.py
+++ b/src/jujubewharf/requests/releases.py
@@ -18,10 +18,10 @@
 _FIRST_DELAY_MS = 100.0
 _LONGEST_DELAY_MS = 2_000.0
 RETRY_WINDOW_MS = 30_000.0
-MARK_BYTES = 8
+DIGEST_BYTES = 8
 
 
-def mark_of(attempt_id: str) -> bytes:
+def digest_of(attempt_id: str) -> bytes:
     """Returns an 8-byte digest that identifies an attempt in sweep messages.
 
     After a collision, an attempt is kept for longer. An attempt that is needed
@@ -30,11 +30,11 @@
     return xxhash.xxh3_64_digest(attempt_id.encode())
 
 
-def marks_in(marks: bytes) -> list[bytes]:
-    """Splits concatenated marks."""
+def split_digests(digests: bytes) -> list[bytes]:
+    """Splits concatenated digests."""
     return [
-        marks[start : start + MARK_BYTES]
-        for start in range(0, len(marks), MARK_BYTES)
+        digests[start : start + DIGEST_BYTES]
+        for start in range(0, len(digests), DIGEST_BYTES)
     ]
 
 
@@ -74,16 +74,18 @@
         The sweep frees attempts that are not needed. An engine must therefore
         never hold an attempt that is not yet in this set.
         """
-        self._needed.add(mark_of(attempt_id))
+        self._needed.add(digest_of(attempt_id))
 
     def end(self, attempt_id: str) -> None:
         """Removes an attempt; its resources may be freed anywhere."""
-        self._needed.discard(mark_of(attempt_id))
+        self._needed.discard(digest_of(attempt_id))
 
-    def not_needed(self, marks: bytes) -> bytes:
-        """Returns the marks of attempts that no request here needs any more."""
+    def not_needed(self, digests: bytes) -> bytes:
+        """Returns the digests of attempts that no local request needs."""
         return b"".join(
-            mark for mark in marks_in(marks) if mark not in self._needed
+            digest
+            for digest in split_digests(digests)
+            if digest not in self._needed
         )
 
     def release(self, attempt_id: str, endpoint: resources.Endpoint) -> None:
--- a/src/jujubewharf/requests/sweep.py
+++ b/src/jujubewharf/requests/sweep.py
@@ -147,29 +147,29 @@
         owner: str,
         attempt_ids: tuple[str, ...],
     ) -> None:
-        marks = {releases.mark_of(item): item for item in attempt_ids}
-        not_needed = await self._not_needed(owner, b"".join(marks))
-        for mark, attempt_id in marks.items():
+        digests = {releases.digest_of(item): item for item in attempt_ids}
+        not_needed = await self._not_needed(owner, b"".join(digests))
+        for digest, attempt_id in digests.items():
             if not_needed is None:
                 if self._is_timed_out(endpoint.name, attempt_id):
                     self._free(endpoint, attempt_id, "owner_silent")
                 continue
             self._unconfirmed.pop((endpoint.name, attempt_id), None)
-            if mark in not_needed:
+            if digest in not_needed:
                 self._free(endpoint, attempt_id, "not_needed")
 
     async def _not_needed(
-        self, owner: str, marks: bytes
+        self, owner: str, digests: bytes
     ) -> frozenset[bytes] | None:
         """Returns attempts the owner doesn't need; ``None`` if unknown."""
         if owner == self._instance:
-            found = self._releaser.not_needed(marks)
-            return frozenset(releases.marks_in(found))
-        message = key_messages.NeededAttemptsRequest(owner, marks)
+            found = self._releaser.not_needed(digests)
+            return frozenset(releases.split_digests(found))
+        message = key_messages.NeededAttemptsRequest(owner, digests)
         for peer in [owner, *self._intermediaries(owner)]:
             answer = await self._ask(peer, message)
             if answer is not None and answer.is_from_owner:
-                return frozenset(releases.marks_in(answer.marks))
+                return frozenset(releases.split_digests(answer.digests))
         return None
 
     def _intermediaries(self, owner: str) -> list[str]:
@@ -234,7 +234,7 @@
         self, sender: str, message: key_messages.NeededAttemptsRequest
     ) -> key_messages.UnneededAttempts:
         if message.owner == self._instance:
-            found = self._releaser.not_needed(message.marks)
+            found = self._releaser.not_needed(message.digests)
             return key_messages.UnneededAttempts(found)
         # Forwards the question for an instance that can't reach the owner.
         answer = await self._ask(message.owner, message)
