--- a/src/jujubewharf/requests/releases.py
+++ b/src/jujubewharf/requests/releases.py
@@ -80,7 +80,7 @@
         """Removes an attempt; its resources may be freed anywhere."""
         self._needed.discard(digest_of(attempt_id))
 
-    def not_needed(self, digests: bytes) -> bytes:
+    def find_unneeded(self, digests: bytes) -> bytes:
         """Returns the digests of attempts that no local request needs."""
         return b"".join(
             digest
--- a/src/jujubewharf/requests/sweep.py
+++ b/src/jujubewharf/requests/sweep.py
@@ -148,22 +148,22 @@
         attempt_ids: tuple[str, ...],
     ) -> None:
         digests = {releases.digest_of(item): item for item in attempt_ids}
-        not_needed = await self._not_needed(owner, b"".join(digests))
+        unneeded = await self._find_unneeded(owner, b"".join(digests))
         for digest, attempt_id in digests.items():
-            if not_needed is None:
+            if unneeded is None:
                 if self._is_timed_out(endpoint.name, attempt_id):
                     self._free(endpoint, attempt_id, "owner_silent")
                 continue
             self._unconfirmed.pop((endpoint.name, attempt_id), None)
-            if digest in not_needed:
+            if digest in unneeded:
                 self._free(endpoint, attempt_id, "not_needed")
 
-    async def _not_needed(
+    async def _find_unneeded(
         self, owner: str, digests: bytes
     ) -> frozenset[bytes] | None:
         """Returns attempts the owner doesn't need; ``None`` if unknown."""
         if owner == self._instance:
-            found = self._releaser.not_needed(digests)
+            found = self._releaser.find_unneeded(digests)
             return frozenset(releases.split_digests(found))
         message = key_messages.NeededAttemptsRequest(owner, digests)
         for peer in [owner, *self._intermediaries(owner)]:
@@ -234,7 +234,7 @@
         self, sender: str, message: key_messages.NeededAttemptsRequest
     ) -> key_messages.UnneededAttempts:
         if message.owner == self._instance:
-            found = self._releaser.not_needed(message.digests)
+            found = self._releaser.find_unneeded(message.digests)
             return key_messages.UnneededAttempts(found)
         # Forwards the question for an instance that can't reach the owner.
         answer = await self._ask(message.owner, message)
--- a/tests/requests/test_safeguards.py
+++ b/tests/requests/test_safeguards.py
@@ -142,8 +142,8 @@
     DisabledSafeguard(
         "owners name their living attempts",
         releases.Releaser,
-        "not_needed",
-        lambda self, marks: marks,
+        "find_unneeded",
+        lambda self, digests: digests,
         test_sweep.test_live_requests_keep_their_memory,
     ),
     DisabledSafeguard(
