--- a/src/jujubewharf/membership/failure_detector.py
+++ b/src/jujubewharf/membership/failure_detector.py
@@ -137,7 +137,9 @@
                 return True
         if not contact.is_watched:
             return False
-        if not contact.hears_us and not self._is_recent(self._resumed_ms):
+        if not contact.is_peer_receiving and not self._is_recent(
+            self._resumed_ms
+        ):
             # The peer does not hear this instance. Right after a pause of
             # this process that state is outdated and ignored.
             return True
--- a/src/jujubewharf/peers/link.py
+++ b/src/jujubewharf/peers/link.py
@@ -55,8 +55,8 @@
         last_heard_ms: Time of the last frame received, in ms.
         last_used_ms: Time of the last frame sent or received other than
             heartbeats, in ms.
-        hears_us: Whether the peer receives frames from this side, according
-            to its last heartbeat.
+        is_peer_receiving: Whether the peer receives frames from this side,
+            according to its last heartbeat.
         on_heartbeat: Called with each heartbeat.
         farewell: Farewell sent by the peer, if any.
         has_broken: Whether the stream ended without a farewell or a local
@@ -82,7 +82,7 @@
         self.is_standing = is_standing
         self.last_heard_ms = clock.now_ms()
         self.last_used_ms = clock.now_ms()
-        self.hears_us = True
+        self.is_peer_receiving = True
         self.is_closed = False
         self.has_broken = False
         self.stale_ms: float | None = None
@@ -281,7 +281,7 @@
                 return
         match frame.message:
             case link_messages.Heartbeat() as heartbeat:
-                self.hears_us = heartbeat.hears_you
+                self.is_peer_receiving = heartbeat.is_receiving
                 self.on_heartbeat(self, heartbeat)
             case link_messages.Farewell() as farewell:
                 self.farewell = farewell
--- a/src/jujubewharf/peers/link_messages.py
+++ b/src/jujubewharf/peers/link_messages.py
@@ -59,13 +59,13 @@
     """Periodic sign of life of the sender.
 
     Attributes:
-        hears_you: Whether the sender receives frames from the receiver.
+        is_receiving: Whether the sender receives frames from the receiver.
             Lets the receiver detect a one-way partition.
         facts_digest: Digest of the sender's facts; see
             ``membership.facts``.
     """
 
-    hears_you: bool = True
+    is_receiving: bool = True
     facts_digest: int = 0
 
 
--- a/src/jujubewharf/peers/mesh.py
+++ b/src/jujubewharf/peers/mesh.py
@@ -277,8 +277,8 @@
             make_heartbeat=self._make_heartbeat,
         )
 
-    def _make_heartbeat(self, hears_you: bool) -> link_messages.Heartbeat:
-        return link_messages.Heartbeat(hears_you, self.facts_digest())
+    def _make_heartbeat(self, is_receiving: bool) -> link_messages.Heartbeat:
+        return link_messages.Heartbeat(is_receiving, self.facts_digest())
 
     def _ensure_maintained(self, entry: peers.Peer) -> None:
         """Starts the maintenance task of a peer if it is needed."""
--- a/src/jujubewharf/peers/peer.py
+++ b/src/jujubewharf/peers/peer.py
@@ -57,7 +57,7 @@
         is_watched: Whether the peer is expected to send heartbeats.
         heard_ms: Time of the last frame from the peer, in ms; ``None`` for
             never.
-        hears_us: Whether the peer receives frames from this instance,
+        is_peer_receiving: Whether the peer receives frames from this instance,
             according to its last heartbeat.
         failed_ms: Time of the last failed dial since a link was opened, in
             ms; ``None`` if there is none.
@@ -66,7 +66,7 @@
     is_linked: bool
     is_watched: bool
     heard_ms: float | None
-    hears_us: bool
+    is_peer_receiving: bool
     failed_ms: float | None
 
 
@@ -74,7 +74,7 @@
     is_linked=False,
     is_watched=False,
     heard_ms=None,
-    hears_us=True,
+    is_peer_receiving=True,
     failed_ms=None,
 )
 
@@ -93,7 +93,7 @@
     Attributes:
         is_wanted: Whether to keep a standing link.
         heard_ms: See ``Contact``.
-        hears_us: See ``Contact``.
+        is_peer_receiving: See ``Contact``.
         failed_ms: See ``Contact``.
     """
 
@@ -137,10 +137,10 @@
         return self._heard_ms
 
     @property
-    def hears_us(self) -> bool:
-        """Whether the peer hears this instance; true without a link."""
+    def is_peer_receiving(self) -> bool:
+        """Whether the peer receives frames; true without a link."""
         link = self.best_link()
-        return link is None or link.hears_us
+        return link is None or link.is_peer_receiving
 
     @property
     def is_needed(self) -> bool:
@@ -157,7 +157,7 @@
             is_linked=link is not None,
             is_watched=self.is_wanted or has_standing_link,
             heard_ms=self.heard_ms,
-            hears_us=self.hears_us,
+            is_peer_receiving=self.is_peer_receiving,
             failed_ms=self.failed_ms,
         )
 
