--- a/src/jujubewharf/forwarding/placement.py
+++ b/src/jujubewharf/forwarding/placement.py
@@ -283,7 +283,7 @@
             work.answer_tokens * margin.reserved_share
         )
         # A request that doesn't fit into an empty engine with its headroom is
-        # still asked for, with less headroom.
+        # still placed, with less headroom.
         max_free_tokens = max(0, traits.memory_tokens - tokens)
         free_tokens = min(margin.free_tokens, max_free_tokens)
         return _MemoryDemand(tokens, free_tokens, traits.hold_max_ms)
--- a/src/jujubewharf/forwarding/runs.py
+++ b/src/jujubewharf/forwarding/runs.py
@@ -83,7 +83,7 @@
 
     @property
     def ran(self) -> errors.Ran:
-        """What the caller may be told about whether the request ran."""
+        """Whether the request ran, as reported to the caller."""
         return errors.Ran.UNKNOWN if self.may_have_run else errors.Ran.NO
 
     @property
--- a/src/jujubewharf/membership/failure_detector.py
+++ b/src/jujubewharf/membership/failure_detector.py
@@ -130,8 +130,8 @@
         """Whether the links of this instance show that the peer is silent."""
         contact = self._mesh.contact(name)
         if contact.failed_ms is not None:
-            # Ignore a failed dial if the peer was heard since, because no
-            # later dial would clear it.
+            # Ignore a failed dial if a frame has arrived from the peer since,
+            # because no later dial would clear it.
             heard_ms = contact.heard_ms
             if heard_ms is None or heard_ms <= contact.failed_ms:
                 return True
@@ -140,8 +140,8 @@
         if not contact.is_peer_receiving and not self._is_recent(
             self._resumed_ms
         ):
-            # The peer does not hear this instance. Right after a pause of
-            # this process that state is outdated and ignored.
+            # The peer receives no frames from this instance. Right after a
+            # pause of this process that state is outdated and ignored.
             return True
         since_ms = contact.heard_ms
         if since_ms is None:
--- a/src/jujubewharf/membership/membership.py
+++ b/src/jujubewharf/membership/membership.py
@@ -300,8 +300,8 @@
         is_heard = self._failure_detector.is_heard(name)
         presence = self._newest_presence(name, presences)
         if listed is None:
-            # An unlisted instance that is silent is gone. One that is heard
-            # is new, and the list lags behind.
+            # An unlisted instance that is silent is gone. One that sends
+            # frames is new, and the list lags behind.
             if presence is None or (name in self._suspected and not is_heard):
                 return None
             return self._make_member(
--- a/src/jujubewharf/requests/attempt.py
+++ b/src/jujubewharf/requests/attempt.py
@@ -27,7 +27,7 @@
 
 
 class Dispatch(enum.Enum):
-    """Whether an engine was told to decode the answer.
+    """Whether an engine was asked to decode the answer.
 
     Reservations and prefill don't count. They have no effect outside of the
     engine, so they may be repeated for any request.
